--- a/tansycrank/brain.py
+++ b/tansycrank/brain.py
@@ -21,35 +21,68 @@
 BLIND_TIMER = 1 / 3  # of the aim, before there is any answer at all
 TOKEN_SHARE = 0.10  # copies per part sent, the refill of the bucket
 # Figures of the exceptions.
-FLEET_TIMER = 1.5  # a server's timer is at most so many overall p90s: a slow server's own p90 is slow too
+FLEET_TIMER = (
+    1.5  # a server's timer is at most so many overall p90s: a slow server's own p90 is slow too
+)
 QUICK_QUANTILE = 0.25  # of all answers: what an answer takes where no queue stands
-SKETCH_REFRESH = 250.0  # ms a merged percentile is kept; merging on every send costs CPU for nothing
+SKETCH_REFRESH = (
+    250.0  # ms a merged percentile is kept; merging on every send costs CPU for nothing
+)
 WINDOW = (ROTATE, SKETCH_REFRESH, (QUICK_QUANTILE, TIMER_QUANTILE, 0.5))
 WINDOW_ALL, WINDOW_LEAST = 18.0, 3.0  # parts out at a server at first: of all routers, of each
 WINDOW_CUT = 0.8  # multiplicative decrease, at most once in a target time
-SLOW_SHARE = 0.2  # of the shortest aim: an answer later than this says that the server's queue is too long
+SLOW_SHARE = (
+    0.2  # of the shortest aim: an answer later than this says that the server's queue is too long
+)
 SLOW_FACTOR = 2.5  # or later than so many quick quartiles, where the aim is short beside the work
-START_SHARE = 0.25  # of the aim: what could not start by then is refused while a repeat can still pay
+START_SHARE = (
+    0.25  # of the aim: what could not start by then is refused while a repeat can still pay
+)
 PILOT = 8  # one in so many of a query's parts goes ahead where no recent answer tells how long the queues are
-PILOT_REST = 4.0  # parts that take one p90 together; a pilot is waited for while the rest can be in time
-PILOT_TIMER = 0.5  # of the time until its query is refused for want of it: the latest that its timer fires
+PILOT_REST = (
+    4.0  # parts that take one p90 together; a pilot is waited for while the rest can be in time
+)
+PILOT_TIMER = (
+    0.5  # of the time until its query is refused for want of it: the latest that its timer fires
+)
 PILOT_ROOM = 4.0  # p90s in an aim that leaves room for a pilot of every query
-PILOT_LATE = 2.0  # parts of a query expected late, by the last answers, from which on it sends a pilot
+PILOT_LATE = (
+    2.0  # parts of a query expected late, by the last answers, from which on it sends a pilot
+)
 WORTH_LAG = 0.25  # of the aim: how far a query of little worth a part falls back in the line
-REFILL = 2  # more parts of room than one before a busy server gets another call, where calls cost work
+REFILL = (
+    2  # more parts of room than one before a busy server gets another call, where calls cost work
+)
 SECOND_STEP = 1.5  # timers kept for a second step when a first one is answered in part
-SPARE_ROOM = 0.5  # of a server's window is open to them, and to copies: under load a copy robs a first try
-TRIAL_TURNS = 2.0  # times between our parts at one server: a sooner trial at size would be every part
-TRIAL_FIRST, TRIAL_LAST = 0.5, 4.0  # of the shortest aim, until a silent server is tried again, doubling
-IDLE_RESET = 0.5  # of the quickest answers: a part reset sooner met a dead connection, not a dying server
+SPARE_ROOM = (
+    0.5  # of a server's window is open to them, and to copies: under load a copy robs a first try
+)
+TRIAL_TURNS = (
+    2.0  # times between our parts at one server: a sooner trial at size would be every part
+)
+TRIAL_FIRST, TRIAL_LAST = (
+    0.5,
+    4.0,
+)  # of the shortest aim, until a silent server is tried again, doubling
+IDLE_RESET = (
+    0.5  # of the quickest answers: a part reset sooner met a dead connection, not a dying server
+)
 IDLE_MARGIN = 0.8  # of the shortest time unused after which a connection was reset
 COLD_PART = 0.8  # of what the cold rule allows; half of the parts may meet warm keys and be light
 COLD_RUSH = 1.5  # times its usual traffic that a router may get in the window that rule 4 counts
-COLD_CALL = 2.0  # parts of a query for one server: its own by turns, and one that no mate of it can take
-COLD_CORES = 2  # of every server at least, as the operators' pages draw them; none tells its own number
-HEDGE_LEDGER = 0.6  # of the told budget may go to hedges; the rest is kept for retries after a crash
+COLD_CALL = (
+    2.0  # parts of a query for one server: its own by turns, and one that no mate of it can take
+)
+COLD_CORES = (
+    2  # of every server at least, as the operators' pages draw them; none tells its own number
+)
+HEDGE_LEDGER = (
+    0.6  # of the told budget may go to hedges; the rest is kept for retries after a crash
+)
 HOLD_OFF = 0.15  # of the aim: when a client that was turned away should come back
-NEAR_TURNS = 4  # turns of a replica in our own zone for each of one elsewhere, where crossing has a price
+NEAR_TURNS = (
+    4  # turns of a replica in our own zone for each of one elsewhere, where crossing has a price
+)
 COPY_LEAD = 6.0  # p90s before the aim from which on a copy is sent, where work without an answer has a price
 ASK_BACKOFF, ASK_BACKOFF_LAST = 200.0, 3_000.0  # ms between calls to discovery after a failure
 PUSH_BACKOFF = 0.25  # of the drain grace: the most between calls where lists are pushed
@@ -71,25 +104,50 @@
         self.out: dict[tuple[int, int], Attempt] = {}
         self.waiting: list[Part] = []  # parts with no attempt out, oldest query first
         self.hungry: list[Attempt] = []  # fired timers that want a token
-        self.agenda, self.order, self.woken_for = [], 0, float("inf")  # (time, order, function, argument)
-        self.turns, self.rings, self.all = {}, {}, LatencyWindow(*WINDOW)  # by cell: the turn, the replicas
+        self.agenda, self.order, self.woken_for = (
+            [],
+            0,
+            float("inf"),
+        )  # (time, order, function, argument)
+        self.turns, self.rings, self.all = (
+            {},
+            {},
+            LatencyWindow(*WINDOW),
+        )  # by cell: the turn, the replicas
         self.densest = 0.0  # the most worth a part of any query yet
         self.parts_sent, self.tokens, self.last_answer = 0, 1.0, float("-inf")
-        self.bucket = 1.0  # tokens it holds: what the largest query's parts earn, however seldom one comes
+        self.bucket = (
+            1.0  # tokens it holds: what the largest query's parts earn, however seldom one comes
+        )
         self.stalled = False
         self.wary_until = float("-inf")  # a query took down servers not long ago
-        self.idle_trust, self.idle_until = float("inf"), float("-inf")  # ms a connection lives unused
+        self.idle_trust, self.idle_until = (
+            float("inf"),
+            float("-inf"),
+        )  # ms a connection lives unused
         self.lateness = 0.0  # share of late ones among the last answers
-        span = settings.budget_window or 0.0  # the ledger of rule 6: requests taken, attempts beyond a first
+        span = (
+            settings.budget_window or 0.0
+        )  # the ledger of rule 6: requests taken, attempts beyond a first
         self.taken, self.extras = SlidingSum(span), SlidingSum(span + settings.tick)
         self.longest: dict[int, float] = {}  # by class: the longest time a first try was given
         self.ask_backoff, self.shortest_aim = ASK_BACKOFF, min(cls.aim for cls in settings.classes)
         self.usual = float("inf")  # ms: the least median, the pace of a cold server's work
-        self.trial = TRIAL_FIRST * self.shortest_aim  # ms until a silent server is first tried again
-        self.quickest, self.target = float("inf"), self.shortest_aim  # ms: an answer later than that is slow
-        self.hear = {io.AttemptEnded: self._ended, io.QueryArrived: self._query_arrived,
-                     io.PartArrived: self._part_came, io.QueryGone: self._gone, io.ServerList: self._listed,
-                     io.AnswerBegan: self._began}
+        self.trial = (
+            TRIAL_FIRST * self.shortest_aim
+        )  # ms until a silent server is first tried again
+        self.quickest, self.target = (
+            float("inf"),
+            self.shortest_aim,
+        )  # ms: an answer later than that is slow
+        self.hear = {
+            io.AttemptEnded: self._ended,
+            io.QueryArrived: self._query_arrived,
+            io.PartArrived: self._part_came,
+            io.QueryGone: self._gone,
+            io.ServerList: self._listed,
+            io.AnswerBegan: self._began,
+        }
 
     def step(self, now_ms: float, events: Iterable[io.Event]) -> list[io.Action]:
         """Hear one round's events and return what to do, in order."""
@@ -121,7 +179,9 @@
             self.actions.append(io.Watch(True))
 
     def _listed(self, event: io.ServerList) -> None:
-        if event.kind is ListKind.FAILED:  # ask again, later each time: discovery has little capacity
+        if (
+            event.kind is ListKind.FAILED
+        ):  # ask again, later each time: discovery has little capacity
             # Danger: hundreds of routers whose watches ended in one moment, asking again in one moment.
             # Danger: where lists are pushed, what the agent says at its return counts at once.
             most = ASK_BACKOFF_LAST if self.cfg.must_ask else PUSH_BACKOFF * self.cfg.drain_grace
@@ -135,11 +195,21 @@
                 server.status = Status.GONE
         for entry in event.entries:
             server = self.servers.get(entry.server)
-            if server is None or entry.life > server.life:  # new or restarted: the old record is void
+            if (
+                server is None or entry.life > server.life
+            ):  # new or restarted: the old record is void
                 span = max(self.cfg.cold_window, self.cfg.cold_time) + self.cfg.tick
-                new = Server(entry.server, entry.cell, entry.zone, entry.status, entry.came_up,
-                             max(WINDOW_ALL / self.cfg.routers, WINDOW_LEAST), LatencyWindow(*WINDOW),
-                             SlidingSum(span), entry.life)
+                new = Server(
+                    entry.server,
+                    entry.cell,
+                    entry.zone,
+                    entry.status,
+                    entry.came_up,
+                    max(WINDOW_ALL / self.cfg.routers, WINDOW_LEAST),
+                    LatencyWindow(*WINDOW),
+                    SlidingSum(span),
+                    entry.life,
+                )
                 if server:  # rule 4
                     new.sends, new.lot, new.lot_until = server.sends, server.lot, server.lot_until
                 self.servers[entry.server] = server = new
@@ -147,7 +217,9 @@
                 server.came_up = entry.came_up
             server.status, server.cell, server.zone = entry.status, entry.cell, entry.zone
         for server in [s for s in self.servers.values() if s.status is Status.GONE and not s.out]:
-            if not server.sends.within(self.now, self.cfg.cold_window):  # rule 4: till then it is the same
+            if not server.sends.within(
+                self.now, self.cfg.cold_window
+            ):  # rule 4: till then it is the same
                 del self.servers[server.id]  # danger: nodes replaced under new ids for days
         self.standing = sum(server.status is Status.READY for server in self.servers.values())
         self.rings = {}
@@ -155,8 +227,10 @@
     def _ring(self, cell: int) -> list[Server]:
         if cell not in self.rings:
             near = {(cell + j) % self.cfg.cells for j in range(self.cfg.reach)}
-            ring = sorted((s for s in self.servers.values() if s.cell in near and s.status is Status.READY),
-                          key=lambda s: (s.zone != self.cfg.zone, s.id))
+            ring = sorted(
+                (s for s in self.servers.values() if s.cell in near and s.status is Status.READY),
+                key=lambda s: (s.zone != self.cfg.zone, s.id),
+            )
             if self.cfg.price_crossing:  # replicas of our own zone get more of the turns
                 ring = [s for s in ring if s.zone == self.cfg.zone] * (NEAR_TURNS - 1) + ring
             self.rings[cell] = ring
@@ -174,12 +248,23 @@
         longest = self.longest.get(event.query_class, 0.0)
         if not event.repeat and event.time_left > longest:
             self.longest[event.query_class] = longest = event.time_left
-        gone = cls.give_up - event.time_left if event.repeat and event.time_left < longest - 1 else 0.0
-        query = Query(event.query, event.number, cls, self.now, self.now + cls.aim - gone,
-                      self.now + event.time_left - 2 * self.cfg.tick, event.repeat)
+        gone = (
+            cls.give_up - event.time_left if event.repeat and event.time_left < longest - 1 else 0.0
+        )
+        query = Query(
+            event.query,
+            event.number,
+            cls,
+            self.now,
+            self.now + cls.aim - gone,
+            self.now + event.time_left - 2 * self.cfg.tick,
+            event.repeat,
+        )
         self.queries[query.id] = self.numbers[query.number] = query
         self.taken.add(self.now)
-        grown = max(TOKEN_SHARE * event.parts - self.bucket, 0.0)  # danger: a first wide query without copies
+        grown = max(
+            TOKEN_SHARE * event.parts - self.bucket, 0.0
+        )  # danger: a first wide query without copies
         self.bucket, self.tokens = self.bucket + grown, self.tokens + grown
         prompt = self.lateness < max(START_SHARE, PILOT_LATE / event.parts)
         prompt = prompt and self.now < self.last_answer + cls.aim
@@ -190,7 +275,12 @@
         self.densest = max(self.densest, density)
         start_by = self._start_by(query)
         query.rank = start_by + WORTH_LAG * cls.aim * (1 - density / self.densest)
-        for time in (start_by, self._answer_by(query), query.aim_at - 2 * self.cfg.tick, query.dead_at):
+        for time in (
+            start_by,
+            self._answer_by(query),
+            query.aim_at - 2 * self.cfg.tick,
+            query.dead_at,
+        ):
             self._at(min(time, query.dead_at), self._review, query)
 
     def _part_came(self, event: io.PartArrived) -> None:
@@ -232,7 +322,12 @@
                 self._cancel(attempt)
 
     def _cancel(self, attempt: Attempt) -> None:
-        if attempt.outcome is None and not attempt.cancelled and not attempt.streamed and self.cfg.can_cancel:
+        if (
+            attempt.outcome is None
+            and not attempt.cancelled
+            and not attempt.streamed
+            and self.cfg.can_cancel
+        ):
             attempt.cancelled = True
             self.actions.append(io.Cancel(attempt.part.id, attempt.number))
 
@@ -243,12 +338,20 @@
     def _answer_by(self, query: Query) -> float:
         """When a partial answer goes out: at the aim, with time left for a second step."""
         second = max(SECOND_STEP * self.all.read(self.now)[1], BLIND_TIMER * query.cls.aim)
-        return query.aim_at - 3 * self.cfg.tick - (second if query.step == 1 and query.cls.follow_up else 0.0)
+        return (
+            query.aim_at
+            - 3 * self.cfg.tick
+            - (second if query.step == 1 and query.cls.follow_up else 0.0)
+        )
 
     def _conclude(self, query: Query, whole: bool) -> None:
         if query.step == 1 and query.cls.follow_up:
             self.actions.append(io.Answer(query.id, whole))
-            query.whole_so_far, query.step, query.proven = whole, 2, True  # danger: a pilot of a second step
+            query.whole_so_far, query.step, query.proven = (
+                whole,
+                2,
+                True,
+            )  # danger: a pilot of a second step
             self._drop(*query.parts)
             query.parts = []
         else:
@@ -257,7 +360,9 @@
     def _give_up(self, query: Query, reason: GiveUpReason) -> None:
         """At once, and as a refusal wherever no effect may have happened."""
         ran = any(a.may_have_run for part in query.parts for a in part.attempts)
-        hold = min(HOLD_OFF * query.cls.aim, self.cfg.hold_off_max) if self.cfg.can_hold_off else 0.0
+        hold = (
+            min(HOLD_OFF * query.cls.aim, self.cfg.hold_off_max) if self.cfg.can_hold_off else 0.0
+        )
         harmless = not ran or query.cls.effect is Effect.SAFE
         self._end(query, io.Shed(query.id, hold, reason) if harmless else io.Fail(query.id, reason))
 
@@ -277,16 +382,24 @@
                     part.dropped = True
         open_parts = [p for p in query.parts if not p.answered and not p.dropped]
         reachable = share + sum(p.weight for p in open_parts)
-        if floor < need and share >= floor and (not open_parts or self.now >= self._answer_by(query)):
+        if (
+            floor < need
+            and share >= floor
+            and (not open_parts or self.now >= self._answer_by(query))
+        ):
             return self._conclude(query, False)
         unsent = sum(not p.attempts for p in open_parts)
         if self._suspect(query) and len(query.broke) > 1 and not any(p.out for p in open_parts):
             return self._give_up(query, GiveUpReason.HARMFUL)
         held = unsent and not (query.started and query.proven)
         start_by = self._start_by(query)
-        if query.started and floor < need:  # danger: an answer in part thrown away for a pilot one turn late
+        if (
+            query.started and floor < need
+        ):  # danger: an answer in part thrown away for a pilot one turn late
             start_by = self._answer_by(query)
-        elif query.started and not query.proven:  # danger: one late pilot is no proof of long queues
+        elif (
+            query.started and not query.proven
+        ):  # danger: one late pilot is no proof of long queues
             rest = self.all.read(self.now)[1] * len(query.parts) / PILOT_REST
             start_by = max(start_by, query.aim_at - rest)
         if reachable < floor - 1e-5:
@@ -294,7 +407,9 @@
         if self.now >= query.dead_at:
             return self._give_up(query, GiveUpReason.DEADLINE_PASSED)
         if held and self.now >= start_by:
-            return self._give_up(query, GiveUpReason.PROBE_LATE if query.started else GiveUpReason.NO_START)
+            return self._give_up(
+                query, GiveUpReason.PROBE_LATE if query.started else GiveUpReason.NO_START
+            )
         if held and query.started and not query.waits:
             query.waits = True
             self._at(start_by, self._review, query)
@@ -315,7 +430,9 @@
         query = part.query
         if query.ended or part.answered or part.dropped or self.now >= query.dead_at:  # rule 1
             return False
-        if server.status is not Status.READY or len(part.attempts) >= self.cfg.attempts_cap:  # rule 3
+        if (
+            server.status is not Status.READY or len(part.attempts) >= self.cfg.attempts_cap
+        ):  # rule 3
             return False
         if not self._may_repeat(part, hedge):  # rule 2
             return False
@@ -353,8 +470,15 @@
         share = COLD_PART * self.cfg.cold_multiple * warmth * span / pace / self.cfg.routers
         # Danger: a thin router meets each server seldom, and a fifth of all shares was used. It counts its
         # share over the time between its parts there, less for a rush, up to the parts that it brings.
-        kept = min(self._met() / COLD_RUSH, self.now - self.began, self.cfg.cold_time,
-                   span * COLD_CALL / max(share, 1e-9)) / span
+        kept = (
+            min(
+                self._met() / COLD_RUSH,
+                self.now - self.began,
+                self.cfg.cold_time,
+                span * COLD_CALL / max(share, 1e-9),
+            )
+            / span
+        )
         share, span = share * max(kept, 1.0), span * max(kept, 1.0)
         if self.now >= server.lot_until:
             server.lot, server.lot_until = self.rng.random(), self.now + span + self.cfg.tick
@@ -375,27 +499,39 @@
             rest = self.all.read(self.now)[1]
             tried = {a.server for a in part.attempts if self.now < a.sent + rest}
         for server in mates:
-            if server in ring and server not in tried and self._has_room(server, part.spare) \
-                    and self._may_send(part, server, hedge):
+            if (
+                server in ring
+                and server not in tried
+                and self._has_room(server, part.spare)
+                and self._may_send(part, server, hedge)
+            ):
                 return server
         turn = self.turns.setdefault(part.cell, self.rng.randrange(1 << 16))
         order = [(turn + i + 1, ring[(turn + i) % len(ring)]) for i in range(len(ring))]
         order = [pair for pair in order if pair[1] not in tried]
         # Danger: a part waits for lots of cold servers beside one that was set aside and could take it.
         order = [pair for pair in order if self._cold_room(pair[1])]
-        order = [pair for pair in order if self.now >= pair[1].flag_until] or order  # late beats silent
+        order = [
+            pair for pair in order if self.now >= pair[1].flag_until
+        ] or order  # late beats silent
         order = [pair for pair in order if not pair[1].flagged(self.now)] or order
         if self.cfg.price_crossing:  # a replica of our own zone that has spare room goes first
-            order.sort(key=lambda pair: pair[1].zone != self.cfg.zone or not self._has_room(pair[1], True))
+            order.sort(
+                key=lambda pair: pair[1].zone != self.cfg.zone or not self._has_room(pair[1], True)
+            )
         order.sort(key=lambda pair: self._warmth(pair[1]) < self.rng.random())  # the cold last
         for following, server in order:
-            if self._has_room(server, part.spare or hedge, not hedge) and self._may_send(part, server, hedge):
+            if self._has_room(server, part.spare or hedge, not hedge) and self._may_send(
+                part, server, hedge
+            ):
                 self.turns[part.cell] = following
                 return server
         return None
 
     def _has_room(self, server: Server, spare: bool, new_call: bool = False) -> bool:
-        window = 1 if server.backoff else int(server.window * (SPARE_ROOM if spare else 1.0))  # one trial
+        window = (
+            1 if server.backoff else int(server.window * (SPARE_ROOM if spare else 1.0))
+        )  # one trial
         if new_call and self.cfg.call_work and server.out:  # wait for room for several
             window -= min(REFILL, window // 2)
         return server.out < window
@@ -409,7 +545,9 @@
             if part.dropped or part.answered or query.ended:
                 continue
             piloting = not query.proven and not part.pilot
-            held = not part.attempts and (part.cell in full or piloting)  # danger: unseen queues (i6691d2)
+            held = not part.attempts and (
+                part.cell in full or piloting
+            )  # danger: unseen queues (i6691d2)
             held = held or self._suspect(query) and any(p.out for p in query.parts)
             server = None if held else self._pick(part, called)
             if server is not None:
@@ -428,14 +566,18 @@
         timer = self._timer(query.cls, server)
         if not query.proven:  # danger: refused for want of a pilot whose own timer never fired
             timer = min(timer, PILOT_TIMER * START_SHARE * query.cls.aim)
-        leave_within = self._repeat_within(part) or 0.0  # danger: written once its connection is up, too late
+        leave_within = (
+            self._repeat_within(part) or 0.0
+        )  # danger: written once its connection is up, too late
         attempt = Attempt(part, len(part.attempts), server, self.now, timer)
         part.attempts.append(attempt)
         query.started = True
         self.out[part.id, attempt.number] = attempt
         attempt.idle = 0.0 if server.out else self.now - server.used
         if self.idle_trust <= attempt.idle < float("inf") and self.now < self.idle_until:
-            self.actions.append(io.CloseIdle(server.id))  # danger: a part lost on a connection dropped unseen
+            self.actions.append(
+                io.CloseIdle(server.id)
+            )  # danger: a part lost on a connection dropped unseen
             attempt.idle = 0.0
         server.used = self.now
         server.out += 1
@@ -450,8 +592,13 @@
     def _timer(self, cls: io.QueryClass, server: Server) -> float:
         """That server's p90, or the aggregator's; bounded by the aggregator's."""
         overall = self.all.read(self.now)[1]
-        own = server.sketch.read(self.now)[1] if server.sketch.count(self.now) >= ENOUGH else overall
-        return max(min(own, FLEET_TIMER * overall, BLIND_TIMER * cls.aim) or BLIND_TIMER * cls.aim, MIN_TIMER)
+        own = (
+            server.sketch.read(self.now)[1] if server.sketch.count(self.now) >= ENOUGH else overall
+        )
+        return max(
+            min(own, FLEET_TIMER * overall, BLIND_TIMER * cls.aim) or BLIND_TIMER * cls.aim,
+            MIN_TIMER,
+        )
 
     def _timer_fired(self, attempt: Attempt) -> None:
         if attempt.outcome is not None or attempt.streamed:
@@ -462,7 +609,9 @@
         if not query.ended and query.cls.effect is Effect.SAFE:
             # Before that a copy earns nothing; without its pilot a query is given up long before its aim.
             by = query.aim_at if query.proven else self._start_by(query)
-            due = by - (COPY_LEAD * self.all.read(self.now)[1] or by)  # at once before there is any answer
+            due = by - (
+                COPY_LEAD * self.all.read(self.now)[1] or by
+            )  # at once before there is any answer
             self._at(due if self.cfg.price_waste else self.now, self._want_copy, attempt)
 
     def _want_copy(self, attempt: Attempt) -> None:
@@ -473,12 +622,16 @@
         rate = max(self.parts_sent / max((self.now - self.began) / 1000.0, 1.0), 1.0)
         refill, cfg = rate * TOKEN_SHARE, self.cfg
         if cfg.budget_window is not None:
-            refill = min(refill, 1000.0 * cfg.budget_floor / cfg.budget_window + rate * cfg.budget_share)
+            refill = min(
+                refill, 1000.0 * cfg.budget_floor / cfg.budget_window + rate * cfg.budget_share
+            )
         earned = refill * (self.now - self.token_at) / 1000.0
         self.tokens = min(self.tokens + earned, max(refill, self.bucket))
         self.token_at = self.now
         self.hungry = [a for a in self.hungry if a.wanted]
-        missing = {a.part.query: sum(not p.answered for p in a.part.query.parts) for a in self.hungry}
+        missing = {
+            a.part.query: sum(not p.answered for p in a.part.query.parts) for a in self.hungry
+        }
         bare = {query: sum(not p.answered and p.out < 2 for p in query.parts) for query in missing}
         self.hungry.sort(key=lambda a: (missing[a.part.query], -a.part.query.cls.worth, a.sent))
         for attempt in self.hungry[:]:
@@ -523,7 +676,9 @@
             self._cut(server)  # if all is given up at its aim, no answer ever tells of long queues
         if event.outcome is Outcome.BROKEN_OFF:
             query.broke.add(server.id)
-            if self._suspect(query) and len(query.broke) > 1 and not reaped:  # its client will ask again
+            if (
+                self._suspect(query) and len(query.broke) > 1 and not reaped
+            ):  # its client will ask again
                 self.wary_until = self.now + ROTATE
         if part.answered or part.dropped or query.ended or part.out:
             return
--- a/tansycrank/cli.py
+++ b/tansycrank/cli.py
@@ -109,7 +109,9 @@
     import psycopg
 
     try:
-        with psycopg.connect(host=host, port=port, user=user, dbname="tansycrank", autocommit=True) as link:
+        with psycopg.connect(
+            host=host, port=port, user=user, dbname="tansycrank", autocommit=True
+        ) as link:
             if query_class:
                 link.execute(f"SET tansycrank.class = '{query_class.replace(chr(39), '')}'")
             if deadline:
@@ -124,7 +126,9 @@
         sys.exit(1)
     if as_json:
         for row in rows:
-            click.echo(json.dumps(dict(zip(names, row, strict=True)), default=str, ensure_ascii=False))
+            click.echo(
+                json.dumps(dict(zip(names, row, strict=True)), default=str, ensure_ascii=False)
+            )
         return
     shown = [["" if v is None else str(v) for v in row] for row in rows]
     widths = [max([len(n), *(len(r[i]) for r in shown)]) for i, n in enumerate(names)]
@@ -138,7 +142,9 @@
 @main.command()
 @click.option("--host", default="127.0.0.1", show_default=True)
 @click.option("--port", default=6432, show_default=True)
-@click.option("--every", default=1.0, show_default=True, type=click.FloatRange(0.1, 60), help="Seconds.")
+@click.option(
+    "--every", default=1.0, show_default=True, type=click.FloatRange(0.1, 60), help="Seconds."
+)
 @click.option("--times", default=0, help="How many times; 0 until interrupted.")
 @click.option("--rows", default=20, show_default=True, type=click.IntRange(1, 200))
 def top(host: str, port: int, every: float, times: int, rows: int) -> None:
@@ -148,7 +154,9 @@
     shown = ("tenant", "queued", "inside_parts", "rate", "weight", "refused", "corrected", "promised",
              "last_wait_ms")  # fmt: skip
     try:
-        with psycopg.connect(host=host, port=port, user="top", dbname="tansycrank", autocommit=True) as link:
+        with psycopg.connect(
+            host=host, port=port, user="top", dbname="tansycrank", autocommit=True
+        ) as link:
             turn = 0
             while not times or turn < times:
                 turn += 1
@@ -166,7 +174,9 @@
                 table = [shown, *(tuple(row[name] for name in shown) for row in found)]
                 widths = [max(len(row[i]) for row in table) for i in range(len(shown))]
                 for row in table:
-                    click.echo("  ".join(v.ljust(w) for v, w in zip(row, widths, strict=True)).rstrip())
+                    click.echo(
+                        "  ".join(v.ljust(w) for v, w in zip(row, widths, strict=True)).rstrip()
+                    )
                 if turn != times:
                     time.sleep(every)
     except KeyboardInterrupt:
@@ -186,7 +196,9 @@
     sys.exit(run(nodes, seconds))
 
 
-def _experiment(group: str, name: str, as_json: bool, seed: int, quick: bool, out: str | None) -> None:
+def _experiment(
+    group: str, name: str, as_json: bool, seed: int, quick: bool, out: str | None
+) -> None:
     from tansycrank.lab import drills, measure_door, measure_merge, measures
 
     known = {
@@ -216,7 +228,10 @@
         click.option("--seed", default=1, show_default=True, help="The seed of load and faults."),
         click.option("--quick", is_flag=True, help="Smaller, under 40 seconds."),
         click.option(
-            "--out", default=None, type=click.Path(dir_okay=False), help="Write the report to a file too."
+            "--out",
+            default=None,
+            type=click.Path(dir_okay=False),
+            help="Write the report to a file too.",
         ),
     ):
         command = option(command)
@@ -247,15 +262,30 @@
 
 
 @main.command()
-@click.option("--seed", "seeds", multiple=True, type=int, help="A seed to play; may be given many times.")
-@click.option("--seeds", "count", default=1, show_default=True, help="Without --seed: the seeds 1 to this.")
+@click.option(
+    "--seed", "seeds", multiple=True, type=int, help="A seed to play; may be given many times."
+)
+@click.option(
+    "--seeds", "count", default=1, show_default=True, help="Without --seed: the seeds 1 to this."
+)
 @click.option("--seconds", default=20.0, show_default=True, help="How long each runs.")
-@click.option("--processes", default=40, show_default=True, type=click.IntRange(10, 40), help="At most.")
-@click.option("--folder", default=None, type=click.Path(file_okay=False), help="Keep the records there.")
+@click.option(
+    "--processes", default=40, show_default=True, type=click.IntRange(10, 40), help="At most."
+)
+@click.option(
+    "--folder", default=None, type=click.Path(file_okay=False), help="Keep the records there."
+)
 @click.option("--bug", default="", help="Give the routers a seeded bug, which must be caught.")
-@click.option("--out", default=None, type=click.Path(dir_okay=False), help="Write the totals there as JSON.")
+@click.option(
+    "--out", default=None, type=click.Path(dir_okay=False), help="Write the totals there as JSON."
+)
 def soak(
-    seeds: tuple[int, ...], count: int, seconds: float, processes: int, folder: str | None, bug: str,
+    seeds: tuple[int, ...],
+    count: int,
+    seconds: float,
+    processes: int,
+    folder: str | None,
+    bug: str,
     out: str | None,
 ) -> None:
     """Play random overlapping faults on real processes; exit code 1 if an invariant was broken.
--- a/tansycrank/clock.py
+++ b/tansycrank/clock.py
@@ -17,7 +17,9 @@
 
 INSTALLED = "twisted.internet.reactor"  # where Twisted keeps the process's reactor
 STOOD_STILL = 0.05  # s by which a poll that ends late shows that this process stood still
-POLLS_AFTER = 3  # that bring what came meanwhile: an interrupted one, one that accepts, one that reads
+POLLS_AFTER = (
+    3  # that bring what came meanwhile: an interrupted one, one that accepts, one that reads
+)
 STEP_TOLERANCE = 0.2  # s: a smaller change against the monotonic clock is slewing, not a step
 
 
@@ -63,7 +65,9 @@
         installReactor(MonotonicReactor())
     reactor = sys.modules[INSTALLED]
     if not isinstance(reactor, MonotonicReactor):
-        raise RuntimeError(f"{type(reactor).__name__} is installed already; its timers follow the wall clock")
+        raise RuntimeError(
+            f"{type(reactor).__name__} is installed already; its timers follow the wall clock"
+        )
     return reactor
 
 
--- a/tansycrank/config.py
+++ b/tansycrank/config.py
@@ -285,7 +285,13 @@
         """The door's decisions, None where it is off."""
         door = self.door
         weights = tuple(c.section.weight for c in self.classes for _ in range(3))
-        bounds = door.max_queued, door.max_queued_bytes, door.max_tenants, door.max_places, door.horizon_ms
+        bounds = (
+            door.max_queued,
+            door.max_queued_bytes,
+            door.max_tenants,
+            door.max_places,
+            door.horizon_ms,
+        )
         useful = tuple(
             c.section.give_up_ms if c.section.late_worth > 0 else c.section.aim_ms
             for c in self.classes
@@ -379,9 +385,13 @@
     known = {f.name: f for f in msgspec.structs.fields(record)}
     for key, value in raw.items():
         if key not in known:
-            raise ConfigError(path, section, key, value, f"unknown key; allowed: {', '.join(known)}")
+            raise ConfigError(
+                path, section, key, value, f"unknown key; allowed: {', '.join(known)}"
+            )
         if record.__annotations__.get(key) == "bool":
-            raw[key] = {"yes": "true", "on": "true", "no": "false", "off": "false"}.get(value.lower(), value)
+            raw[key] = {"yes": "true", "on": "true", "no": "false", "off": "false"}.get(
+                value.lower(), value
+            )
     for key, field in known.items():
         if field.required and key not in raw:
             raise ConfigError(path, section, key, None, "a value is needed")
@@ -394,7 +404,12 @@
 
 
 def _checked(path: str, single: dict[str, Record], named: dict[str, dict[str, Record]]) -> Config:
-    router, store, rules, roster = single["router"], single["store"], single["rules"], single["roster"]
+    router, store, rules, roster = (
+        single["router"],
+        single["store"],
+        single["rules"],
+        single["roster"],
+    )
     zones = [z.strip() for z in router.zones.split(",") if z.strip()]
     if router.zone not in zones:
         raise ConfigError(
@@ -403,9 +418,13 @@
     if router.me >= router.routers:
         raise ConfigError(path, "router", "me", str(router.me), f"below routers ({router.routers})")
     if store.reach > store.cells:
-        raise ConfigError(path, "store", "reach", str(store.reach), f"at most cells ({store.cells})")
+        raise ConfigError(
+            path, "store", "reach", str(store.reach), f"at most cells ({store.cells})"
+        )
     try:
-        if store.schema.format(shard=1) == store.schema.format(shard=2) or not store.schema.format(shard=1):
+        if store.schema.format(shard=1) == store.schema.format(shard=2) or not store.schema.format(
+            shard=1
+        ):
             raise ValueError
     except (ValueError, KeyError, IndexError):
         raise ConfigError(
@@ -414,7 +433,9 @@
     budget = ("budget_floor", "budget_share", "budget_window_ms")
     if 0 < sum(getattr(rules, key) is not None for key in budget) < 3:
         missing = next(key for key in budget if getattr(rules, key) is None)
-        raise ConfigError(path, "rules", missing, None, f"a budget needs all of {', '.join(budget)}")
+        raise ConfigError(
+            path, "rules", missing, None, f"a budget needs all of {', '.join(budget)}"
+        )
     if bool(roster.feed) == bool(roster.file):
         raise ConfigError(
             path, "roster", "feed", roster.feed or None, "either feed (host:port) or file, not both"
@@ -425,7 +446,8 @@
         raise ConfigError(path, "class NAME", "section", None, "at least one class is needed")
     classes = tuple(_class(path, name, section) for name, section in named["class"].items())
     distributions = {
-        name: _distribution(path, name, d, store.shards) for name, d in named["distribution"].items()
+        name: _distribution(path, name, d, store.shards)
+        for name, d in named["distribution"].items()
     }
     tables = {name: _table(path, name, t, distributions) for name, t in named["table"].items()}
     rules_of_tenants = tuple(_tenant(path, name, t) for name, t in named["tenant"].items())
@@ -498,7 +520,9 @@
             raise ConfigError(path, where, key, text, f"a regular expression ({error})") from None
     networks = _networks(path, where, "networks", section.networks)
     if not networks and not any(patterns.values()):
-        raise ConfigError(path, where, "networks", None, "one of networks, users, databases, settings")
+        raise ConfigError(
+            path, where, "networks", None, "one of networks, users, databases, settings"
+        )
     tenant = section.tenant or name
     try:
         tenant.format(**dict.fromkeys(PLACES, "x"))
@@ -507,15 +531,29 @@
         raise ConfigError(path, where, "tenant", tenant, f"a name, with {allowed} in it") from None
     if section.min_share > 0 and "{" in tenant:
         raise ConfigError(
-            path, where, "min_share", str(section.min_share), "only for one tenant by name, without {places}"
+            path,
+            where,
+            "min_share",
+            str(section.min_share),
+            "only for one tenant by name, without {places}",
         )
     if section.min_share > section.max_share:
         raise ConfigError(
-            path, where, "min_share", str(section.min_share), f"at most max_share ({section.max_share:g})"
+            path,
+            where,
+            "min_share",
+            str(section.min_share),
+            f"at most max_share ({section.max_share:g})",
         )
     limits = Limits(section.weight, section.min_share, section.max_share, section.burst_ms)
     return Rule(
-        name, tenant, limits, networks, patterns["users"], patterns["databases"], patterns["settings"]
+        name,
+        tenant,
+        limits,
+        networks,
+        patterns["users"],
+        patterns["databases"],
+        patterns["settings"],
     )
 
 
@@ -523,7 +561,9 @@
     where = f"distribution {name}"
     oid = types.NAMES.get(section.type)
     if oid not in (types.INT2, types.INT4, types.INT8, types.TEXT, types.VARCHAR, types.UUID):
-        raise ConfigError(path, where, "type", section.type, "one of int2, int4, int8, text, varchar, uuid")
+        raise ConfigError(
+            path, where, "type", section.type, "one of int2, int4, int8, text, varchar, uuid"
+        )
     lists: dict[str, int] = {}
     for group in filter(str.strip, section.values.replace("\n", " ").split(";")):
         number, colon, members = group.partition(":")
@@ -542,7 +582,9 @@
     return Distribution(name, section.method, oid, lists)
 
 
-def _table(path: str, name: str, section: TableSection, distributions: dict[str, Distribution]) -> Table:
+def _table(
+    path: str, name: str, section: TableSection, distributions: dict[str, Distribution]
+) -> Table:
     where, columns = f"table {name}", {}
     for item in filter(None, map(str.strip, section.columns.replace("\n", " ").split(","))):
         column, _, kind = item.partition(" ")
@@ -553,18 +595,32 @@
             else types.NAMES.get(kind)
         )
         if oid is None or column in columns:
-            raise ConfigError(path, where, "columns", item, "NAME TYPE, each name once, of a supported type")
+            raise ConfigError(
+                path, where, "columns", item, "NAME TYPE, each name once, of a supported type"
+            )
         columns[column] = oid
     if section.kind == "reference":
         if section.distribution or section.column:
-            raise ConfigError(path, where, "column", section.column, "a reference table has no distribution")
+            raise ConfigError(
+                path, where, "column", section.column, "a reference table has no distribution"
+            )
         return Table(name, columns, "", "")
     if section.distribution not in distributions:
         known = ", ".join(distributions) or "none is defined"
-        raise ConfigError(path, where, "distribution", section.distribution or None, f"one of: {known}")
+        raise ConfigError(
+            path, where, "distribution", section.distribution or None, f"one of: {known}"
+        )
     if columns.get(section.column) is None:
-        raise ConfigError(path, where, "column", section.column or None, f"one of: {', '.join(columns)}")
+        raise ConfigError(
+            path, where, "column", section.column or None, f"one of: {', '.join(columns)}"
+        )
     ours, theirs = columns[section.column], distributions[section.distribution].oid
-    if ours != theirs and {ours, theirs} - {types.TEXT, types.VARCHAR} and {ours, theirs} - types.INTEGERS:
-        raise ConfigError(path, where, "column", section.column, f"of the type {types.type_name(theirs)}")
+    if (
+        ours != theirs
+        and {ours, theirs} - {types.TEXT, types.VARCHAR}
+        and {ours, theirs} - types.INTEGERS
+    ):
+        raise ConfigError(
+            path, where, "column", section.column, f"of the type {types.type_name(theirs)}"
+        )
     return Table(name, columns, section.distribution, section.column)
--- a/tansycrank/daemon.py
+++ b/tansycrank/daemon.py
@@ -39,8 +39,14 @@
     )
     return structlog.wrap_logger(
         structlog.PrintLogger(stream or sys.stderr),
-        processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso"), last],
-        wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, section.level.upper())),
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso"),
+            last,
+        ],
+        wrapper_class=structlog.make_filtering_bound_logger(
+            getattr(logging, section.level.upper())
+        ),
         cache_logger_on_first_use=True,
     )
 
@@ -66,7 +72,9 @@
         )
         merge = config.merge
         self.space = SpillSpace(merge.spill_dir, merge.spill_quota)
-        keeper = Keeper(merge.process_bytes, merge.query_bytes, self.space, lambda: reactor.seconds() * 1000)
+        keeper = Keeper(
+            merge.process_bytes, merge.query_bytes, self.space, lambda: reactor.seconds() * 1000
+        )
         self.coordinator = Coordinator(
             reactor,
             config.module_settings(),
@@ -98,7 +106,9 @@
         self._sweep = self.reactor.callLater(SWEEP, self._clean)
         number = self.port.getHost().port
         if self.log:
-            self.log.info("listening", host=self.config.listen.host, port=number, me=self.config.router.me)
+            self.log.info(
+                "listening", host=self.config.listen.host, port=number, me=self.config.router.me
+            )
         return number
 
     def _clean(self) -> None:
@@ -130,7 +140,9 @@
         if self.front.stopping:
             return
         if self.log:
-            self.log.info("stopping", sessions=len(self.front.sessions), queries=len(self.coordinator.jobs))
+            self.log.info(
+                "stopping", sessions=len(self.front.sessions), queries=len(self.coordinator.jobs)
+            )
         self.port.stopListening()
         self.front.stop_taking()
         self._wait(self.reactor.seconds() + self.config.router.stop_within_ms / 1000)
@@ -167,7 +179,9 @@
         if self.log:
             lifecycle = self.coordinator.lifecycle
             given_up = {reason.name.lower(): n for reason, n in self.coordinator.given_up.items()}
-            self.log.info("stopped", **self.coordinator.counts, **lifecycle.figures(), given_up=given_up)
+            self.log.info(
+                "stopped", **self.coordinator.counts, **lifecycle.figures(), given_up=given_up
+            )
         self.on_stopped()
 
 
--- a/tansycrank/door/fair.py
+++ b/tansycrank/door/fair.py
@@ -189,7 +189,9 @@
         self.size -= 1
         self.charge = max(self.charge - ticket.charge, 0.0) if self.size else 0.0
         if ticket.returning:
-            self.returning_charge = max(self.returning_charge - ticket.charge, 0.0) if self.returning else 0.0
+            self.returning_charge = (
+                max(self.returning_charge - ticket.charge, 0.0) if self.returning else 0.0
+            )
 
     def take(self) -> Ticket:
         """The query whose turn it is; something waits."""
@@ -239,4 +241,6 @@
         if len(self.returning.line) == self.size:
             return self.returning.last()
         client = max(self.children.values(), key=lambda c: c.size)
-        return max((lane for lane in client.children.values() if lane), key=lambda x: len(x.line)).last()
+        return max(
+            (lane for lane in client.children.values() if lane), key=lambda x: len(x.line)
+        ).last()
--- a/tansycrank/door/gate.py
+++ b/tansycrank/door/gate.py
@@ -12,7 +12,18 @@
 from typing import Any
 
 from tansycrank.door.identity import Asker
-from tansycrank.door.policy import Admit, Arrived, Changed, Ended, Left, Limits, Policy, Refuse, Tick, Wake
+from tansycrank.door.policy import (
+    Admit,
+    Arrived,
+    Changed,
+    Ended,
+    Left,
+    Limits,
+    Policy,
+    Refuse,
+    Tick,
+    Wake,
+)
 from tansycrank.pg.errors import FAILED, QUERY_CANCELED, REFUSED, PgError, cancelled, retry_after
 
 BEAT = 0.05  # seconds between two looks while anything is open
@@ -106,11 +117,19 @@
         return self.policy is not None and self.policy.pressed(tenant)
 
     def glance(
-        self, asker: Asker, query_class: int, time_left: float, mark: int, repeat: bool, session: int = 0
+        self,
+        asker: Asker,
+        query_class: int,
+        time_left: float,
+        mark: int,
+        repeat: bool,
+        session: int = 0,
     ) -> PgError | None:
         """The refusal of a query whose turn is too far off whatever it is, None where it may not be."""
         number, who = self._ids + 1, (asker.tenant, asker.client)
-        event = Arrived(number, *who, query_class, 1, time_left, 0, mark, 0, repeat, asker.limits, session)
+        event = Arrived(
+            number, *who, query_class, 1, time_left, 0, mark, 0, repeat, asker.limits, session
+        )
         if not self.policy.hopeless(self.now, event):
             return None
         self._ids += 1
--- a/tansycrank/door/identity.py
+++ b/tansycrank/door/identity.py
@@ -33,14 +33,18 @@
         length = network.prefixlen
         if (network.version, length) not in self._maps:
             self._maps[network.version, length] = {}
-            self._lengths[network.version] = sorted([*self._lengths[network.version], length], reverse=True)
+            self._lengths[network.version] = sorted(
+                [*self._lengths[network.version], length], reverse=True
+            )
         self._maps[network.version, length].setdefault(network.first, []).append(value)
 
     def groups(self, address: IPAddress) -> Iterable[list[object]]:
         """Values of each network the address is in, longest first."""
         number, bits = int(address), 32 if address.version == 4 else 128
         for length in self._lengths[address.version]:
-            found = self._maps[address.version, length].get(number >> (bits - length) << (bits - length))
+            found = self._maps[address.version, length].get(
+                number >> (bits - length) << (bits - length)
+            )
             if found:
                 yield found
 
@@ -165,7 +169,11 @@
 
     def _name(self, rule: Rule, caller: Caller, claimed: str, peer: IPAddress | None) -> str | None:
         found = {"user": caller.user, "database": caller.database, "setting": claimed}
-        for place, pattern in (("user", rule.user), ("database", rule.database), ("setting", rule.setting)):
+        for place, pattern in (
+            ("user", rule.user),
+            ("database", rule.database),
+            ("setting", rule.setting),
+        ):
             if pattern is None:
                 continue
             match = pattern.fullmatch(found[place])
--- a/tansycrank/door/limit.py
+++ b/tansycrank/door/limit.py
@@ -43,7 +43,9 @@
     def __init__(self) -> None:
         self.parts, self.rate = FIRST, 0.0
         self.wait = 0.0  # ms of a query's time inside that are waiting
-        self._paces: OrderedDict[int, Pace] = OrderedDict()  # of statements, the one last seen at the end
+        self._paces: OrderedDict[int, Pace] = (
+            OrderedDict()
+        )  # of statements, the one last seen at the end
         self._mean = 0.0  # ms of a query
         self._swift, self._young = True, True
         self._cut: tuple[float, float] | None = None  # limit and rate before a cut not judged yet
@@ -57,7 +59,9 @@
         self._times: dict[int, list[float]] = {}
         self._lags: list[float] = []
 
-    def ended(self, statement: int, parts: int, charge: float, took: float, kind: str, full: bool) -> None:
+    def ended(
+        self, statement: int, parts: int, charge: float, took: float, kind: str, full: bool
+    ) -> None:
         """A query has ended; `full` tells whether others wait for its room."""
         self._ends += 1
         self._full += full
@@ -102,13 +106,17 @@
         if self._cut is not None and full:
             before, pace = self._cut
             self._cut = None
-            if rate < pace * (1.0 - COSTS * (1.0 - self.parts / before)):  # what was cut was no waiting
+            if rate < pace * (
+                1.0 - COSTS * (1.0 - self.parts / before)
+            ):  # what was cut was no waiting
                 self.parts = before
                 self._stretch(RAISE)
                 return
         lost = self._refusals > LOST * self._ends
         if lost or (full and slow > 2.0):
-            if self._swift:  # what ends while the number inside doubles a span is the shorter, by this much
+            if (
+                self._swift
+            ):  # what ends while the number inside doubles a span is the shorter, by this much
                 self._swift = False
                 self._stretch(1 + math.log(2) / RUNS)
             pace, before = rate, self.parts
@@ -123,7 +131,11 @@
 
     def _mean_least(self) -> float:
         known = sum(len(t) for t in self._times.values())
-        return sum(self._paces[s].least * len(t) for s, t in self._times.items()) / known if known else 0.0
+        return (
+            sum(self._paces[s].least * len(t) for s, t in self._times.items()) / known
+            if known
+            else 0.0
+        )
 
     def _stretch(self, by: float) -> None:
         for pace in self._paces.values():
@@ -136,7 +148,9 @@
             pace = self._paces.setdefault(statement, Pace())
             self._paces.move_to_end(statement)
             now = sum(times) / len(times)
-            pace.mean += (now - pace.mean) * len(times) / (len(times) + FEW) if pace.mean > 0 else now
+            pace.mean += (
+                (now - pace.mean) * len(times) / (len(times) + FEW) if pace.mean > 0 else now
+            )
             known = pace.least if full else pace.least * FORGET
             pace.least = min(pace.mean, known) if known > 0 else pace.mean
             took += pace.mean * len(times)
--- a/tansycrank/door/policy.py
+++ b/tansycrank/door/policy.py
@@ -49,7 +49,9 @@
     """Bounds of the door: queries and bytes in line, tenants known, places kept, how far ahead (ms)."""
 
     classes: tuple[float, ...] = (1.0,)  # their weights within a client
-    useful: tuple[float, ...] = ()  # ms after which an answer of the class is worth nothing; () for never
+    useful: tuple[
+        float, ...
+    ] = ()  # ms after which an answer of the class is worth nothing; () for never
     queries: int = 1000
     bytes: int = 16 * 1024 * 1024
     tenants: int = 4096
@@ -346,7 +348,10 @@
         plain.sort(key=lambda item: item[0])
         levels = [item[0] for item in plain]
         weights = [0.0, *accumulate(item[1] for item in plain)]
-        wants = [0.0, *accumulate(0.0 if item[0] == math.inf else item[0] * item[1] for item in plain)]
+        wants = [
+            0.0,
+            *accumulate(0.0 if item[0] == math.inf else item[0] * item[1] for item in plain),
+        ]
         level, taken = drain, 0.0
         for _ in range(4):  # what the special take moves the level, and the level what they take
             left = max(drain - taken, 0.05 * drain)
@@ -503,7 +508,11 @@
         while heap:
             noted, key = heap[0]
             tenant = self.tenants.get(key)
-            now = -tenant.line.charge / tenant.limits.weight if tenant is not None and tenant.line else 0.0
+            now = (
+                -tenant.line.charge / tenant.limits.weight
+                if tenant is not None and tenant.line
+                else 0.0
+            )
             if now <= noted:
                 return tenant
             if now == 0.0:
@@ -611,19 +620,27 @@
 
     # --- refusals -----------------------------------------------------------------------
 
-    def _refuse(self, now: float, tenant: Tenant, ticket: Ticket, reason: str, hold_off: float = 0) -> None:
+    def _refuse(
+        self, now: float, tenant: Tenant, ticket: Ticket, reason: str, hold_off: float = 0
+    ) -> None:
         """Answer it at once, with the time at which its turn comes."""
         corrected = ticket.returning
         due = max(self._due(now, tenant, ticket), now + hold_off)
         due = self.book.slot(now, due, ticket.charge, min(self.drain, 1e9))
         mark = ticket.mark or -ticket.id
         place = tenant.account.places.get(mark, {}).get(ticket.session)
-        if place is not None and place.due > now:  # the same query of the same session, sent twice at once
+        if (
+            place is not None and place.due > now
+        ):  # the same query of the same session, sent twice at once
             due = place.due
         else:
-            if place is not None:  # danger: its twin waited beyond that time, and was told one gone by
+            if (
+                place is not None
+            ):  # danger: its twin waited beyond that time, and was told one gone by
                 self.book.drop(tenant.account, place)
-            self.book.keep(tenant.account, tenant.key, mark, ticket.session, now, due, ticket.charge)
+            self.book.keep(
+                tenant.account, tenant.key, mark, ticket.session, now, due, ticket.charge
+            )
         tenant.refused += 1
         tenant.corrected += corrected
         tenant.wait = due - now
@@ -638,7 +655,9 @@
                 tenant = self.tenants[ticket.tenant]
                 self._remove(tenant, ticket)
                 self._refuse(now, tenant, ticket, "late")
-        if len(self._expiry) > 2 * len(self.waiting) + 1024:  # danger: who was let in would stay in it
+        if (
+            len(self._expiry) > 2 * len(self.waiting) + 1024
+        ):  # danger: who was let in would stay in it
             self._expiry = [(t.leave_by, t.id) for t in self.waiting.values()]
             heapq.heapify(self._expiry)
         self.book.expire(now, self._account)
--- a/tansycrank/door/promises.py
+++ b/tansycrank/door/promises.py
@@ -40,7 +40,9 @@
         self.owed = 0.0  # charge of places kept
         self.unnamed = 0.0  # charge promised without a place; it runs off at the tenant's pace
         self.show = 1.0  # share of reservations that are taken up
-        self.places: dict[int, OrderedDict[int, Place]] = {}  # by query, then by session, the first due first
+        self.places: dict[
+            int, OrderedDict[int, Place]
+        ] = {}  # by query, then by session, the first due first
         self.count = 0
         self.touched = 0.0
 
@@ -80,7 +82,9 @@
             number = self._open(number)
             if number >= end or self._filled[number % self.pages] + charge <= room:
                 break
-            self._next[number] = number + 1  # closed: looking through full pages again and again costs time
+            self._next[number] = (
+                number + 1
+            )  # closed: looking through full pages again and again costs time
             number += 1
         if number >= end:
             return max(due, end * SPAN)
@@ -99,7 +103,14 @@
         return number
 
     def keep(
-        self, account: Account, tenant: str, mark: int, session: int, now: float, due: float, charge: float
+        self,
+        account: Account,
+        tenant: str,
+        mark: int,
+        session: int,
+        now: float,
+        due: float,
+        charge: float,
     ) -> bool:
         """Keep a place; False where the bound is reached or the time is too far."""
         if self.kept >= self.bound or due > now + self.pages * SPAN:
@@ -114,7 +125,9 @@
         heapq.heappush(self._expiry, (place.until, self._number, tenant, place))
         return True
 
-    def find(self, account: Account, mark: int, session: int, now: float) -> tuple[Place | None, bool]:
+    def find(
+        self, account: Account, mark: int, session: int, now: float
+    ) -> tuple[Place | None, bool]:
         """(the place of a query, whether it is due).
 
         A place that is due is for whoever asks the same of the same client, on whatever session: pools change
--- a/tansycrank/door/turns.py
+++ b/tansycrank/door/turns.py
@@ -27,7 +27,9 @@
 class Turns:
     """Fair turns of all sessions. `soon(f)` calls f in the next reactor turn; `clock()` tells seconds."""
 
-    def __init__(self, soon: Callable[[Callable[[], None]], object], clock: Callable[[], float]) -> None:
+    def __init__(
+        self, soon: Callable[[Callable[[], None]], object], clock: Callable[[], float]
+    ) -> None:
         self._soon, self._clock = soon, clock
         self._level = Level()
         self._used = 0.0
--- a/tansycrank/door/views.py
+++ b/tansycrank/door/views.py
@@ -29,7 +29,9 @@
     """One row a tenant; rate in parts a second, promised: places kept."""
     if gate.policy is None:
         return []
-    found = sorted(gate.policy.tenants.values(), key=lambda t: (-t.line.size, -t.inside, -t.refused, t.key))
+    found = sorted(
+        gate.policy.tenants.values(), key=lambda t: (-t.line.size, -t.inside, -t.refused, t.key)
+    )
     rows = []
     for t in found[:SHOWN]:
         limits = t.limits
@@ -77,7 +79,9 @@
         except msgspec.DecodeError:
             number = None
         if key not in KEYS or number is None or not BOUNDS[key][0] <= number <= BOUNDS[key][1]:
-            limits = ", ".join(f"{name} {low:g} to {high:g}" for name, (low, high) in BOUNDS.items())
+            limits = ", ".join(
+                f"{name} {low:g} to {high:g}" for name, (low, high) in BOUNDS.items()
+            )
             raise PgError(INVALID_PARAMETER, f"tansycrank.limits: {pair!r}: allowed are {limits}")
         changes[KEYS[key]] = number
     if not tenant or "=" in tenant or not changes:
@@ -94,8 +98,12 @@
     old = gate.policy.changed.get(tenant) or (known.limits if known is not None else Limits())
     new = replace(old, **changes)
     if new.min_share > new.max_share:
-        raise PgError(INVALID_PARAMETER, f"tansycrank.limits: min_share {new.min_share:g} above max_share")
-    total = new.min_share + sum(t.limits.min_share for t in gate.policy.tenants.values() if t.key != tenant)
+        raise PgError(
+            INVALID_PARAMETER, f"tansycrank.limits: min_share {new.min_share:g} above max_share"
+        )
+    total = new.min_share + sum(
+        t.limits.min_share for t in gate.policy.tenants.values() if t.key != tenant
+    )
     if total > MOST_PROMISED:
         raise PgError(
             INVALID_PARAMETER,
--- a/tansycrank/interface.py
+++ b/tansycrank/interface.py
@@ -70,7 +70,9 @@
 
     def __post_init__(self) -> None:
         _positive(self, "aim", "give_up", "whole_at")
-        _not_negative(self, "worth", "late_worth", "dedup_window", "floor", "short_worth", "follow_up")
+        _not_negative(
+            self, "worth", "late_worth", "dedup_window", "floor", "short_worth", "follow_up"
+        )
         if self.aim > self.give_up:
             raise ValueError(f"aim: {self.aim} is longer than give_up {self.give_up}")
         if self.floor > self.whole_at or self.whole_at > 1:
@@ -422,4 +424,17 @@
     text: str
 
 
-Action = Send | Cancel | Answer | Shed | Fail | Wake | Watch | FetchList | Probe | CloseIdle | TellPeer | Note
+Action = (
+    Send
+    | Cancel
+    | Answer
+    | Shed
+    | Fail
+    | Wake
+    | Watch
+    | FetchList
+    | Probe
+    | CloseIdle
+    | TellPeer
+    | Note
+)
--- a/tansycrank/lab/bulksite.py
+++ b/tansycrank/lab/bulksite.py
@@ -110,7 +110,9 @@
         for shard, process in enumerate(nodes):
             port = msgspec.json.decode(process.stdout.readline())["port"]
             self.node_ports.append(port)
-            roster.append(f"[node {shard + 1}]\nhost = 127.0.0.1\nport = {port}\ncell = {shard}\nzone = a\n")
+            roster.append(
+                f"[node {shard + 1}]\nhost = 127.0.0.1\nport = {port}\ncell = {shard}\nzone = a\n"
+            )
         (self.folder / "nodes.ini").write_text("".join(roster))
         (self.folder / "spill").mkdir(exist_ok=True)
         text = SETTINGS.format(
@@ -130,7 +132,12 @@
         """Start the router, or start it again."""
         log = open(self.folder / "router.log", "ab")  # noqa: SIM115
         self.router = self._python(
-            "tansycrank", "serve", "--config", str(self.folder / "router.ini"), "--announce", stderr=log
+            "tansycrank",
+            "serve",
+            "--config",
+            str(self.folder / "router.ini"),
+            "--announce",
+            stderr=log,
         )
         log.close()
         line = self.router.stdout.readline()
@@ -166,7 +173,9 @@
 
 def widths_of(kind: str) -> str:
     """The struct format of a row of this kind of answer."""
-    wide = {"export": (10, 8, 3), "sorted": (10, 8, 3), "direct": (10, 8, 3), "distinct": (8, 3)}[kind]
+    wide = {"export": (10, 8, 3), "sorted": (10, 8, 3), "direct": (10, 8, 3), "distinct": (8, 3)}[
+        kind
+    ]
     return "!7x" + "".join(f"4x{w}s" for w in wide)
 
 
@@ -254,7 +263,9 @@
             total = wanted * GROUP_BASE + wanted * (wanted - 1) // 2
         else:
             wanted = sum(layout.rows)
-            total = sum(n * (ID_BASE + s) + STEP * n * (n - 1) // 2 for s, n in enumerate(layout.rows))
+            total = sum(
+                n * (ID_BASE + s) + STEP * n * (n - 1) // 2 for s, n in enumerate(layout.rows)
+            )
         if self.rows != wanted:
             return self.fault or f"{self.rows} rows, {wanted} wanted"
         return self.fault or ("" if self.ids == total else "the sum of keys is wrong")
--- a/tansycrank/lab/checkers.py
+++ b/tansycrank/lab/checkers.py
@@ -117,7 +117,9 @@
             )
 
 
-def _rule_2(verdict: Verdict, query: dict, sends: list[dict], applied: int, figures: Figures) -> None:
+def _rule_2(
+    verdict: Verdict, query: dict, sends: list[dict], applied: int, figures: Figures
+) -> None:
     tag, effect = query["tag"], query["effect"]
     if effect == "safe":
         return
@@ -125,9 +127,13 @@
         verdict.breaks[2].append(f"{tag}: took effect {applied} times")
     if effect == "unsafe":
         if len(sends) > 1:
-            verdict.breaks[2].append(f"{tag}: unsafe, and sent to nodes {[e['node'] for e in sends]}")
+            verdict.breaks[2].append(
+                f"{tag}: unsafe, and sent to nodes {[e['node'] for e in sends]}"
+            )
         if query["outcome"] == REFUSED and sends:
-            verdict.breaks[2].append(f"{tag}: called harmless to repeat, but node {sends[0]['node']} had it")
+            verdict.breaks[2].append(
+                f"{tag}: called harmless to repeat, but node {sends[0]['node']} had it"
+            )
     elif len(sends) > 1 and sends[-1]["t"] - sends[0]["t"] > figures.dedup_window + SLACK:
         late = sends[-1]["t"] - sends[0]["t"]
         verdict.breaks[2].append(f"{tag}: keyed, and sent again {late:.0f} ms after its first send")
@@ -152,7 +158,9 @@
                     )
 
 
-def _rule_6(verdict: Verdict, queries: list[dict], sends: dict[str, list[dict]], budget: tuple) -> None:
+def _rule_6(
+    verdict: Verdict, queries: list[dict], sends: dict[str, list[dict]], budget: tuple
+) -> None:
     """Per router, in any window: attempts beyond a part's first, against the queries and parts it took."""
     floor, share, window = budget
     taken: dict[str, list[tuple[float, int]]] = defaultdict(list)
@@ -174,7 +182,9 @@
             while times[start] <= at - window + SLACK:  # a narrower window for what was sent
                 start += 1
             number = index - start + 1
-            allowed = floor + share * sum(n for t, n in taken[app] if at - window - SLACK < t <= at + SLACK)
+            allowed = floor + share * sum(
+                n for t, n in taken[app] if at - window - SLACK < t <= at + SLACK
+            )
             if number > allowed + 1e-9:
                 verdict.breaks[6].append(
                     f"{app}: {number} further attempts in {window:.0f} ms, {allowed:.1f} allowed"
--- a/tansycrank/lab/demo.py
+++ b/tansycrank/lab/demo.py
@@ -25,8 +25,14 @@
         "SELECT c.plate, count(*) AS n FROM trips t JOIN cabs c ON "
         "c.district = t.district AND c.id = t.cab_id GROUP BY c.plate ORDER BY n DESC, 1 LIMIT 3",
     ),
-    ("a write to one shard", "INSERT INTO trips (id, district, fare) VALUES (900001, 'San Bay', 55.50)"),
-    ("what can't be merged exactly is refused", "SELECT id, rank() OVER (ORDER BY fare) FROM trips"),
+    (
+        "a write to one shard",
+        "INSERT INTO trips (id, district, fare) VALUES (900001, 'San Bay', 55.50)",
+    ),
+    (
+        "what can't be merged exactly is refused",
+        "SELECT id, rank() OVER (ORDER BY fare) FROM trips",
+    ),
     ("EXPLAIN", "EXPLAIN SELECT avg(fare) FROM trips WHERE district IN ('San Bay', 'Thu Duc')"),
 )
 
--- a/tansycrank/lab/doorlab.py
+++ b/tansycrank/lab/doorlab.py
@@ -107,7 +107,9 @@
             self.routers.append(SimRouter(self.clock, mine, scene.seed + me, self.nodes, policy))
         self.tallies = {load.name: Tally() for load in scene.loads}
         self.promises: list[Promise] = []
-        self.limits: list[tuple[float, float, float]] = []  # second, limit, drain of the first router
+        self.limits: list[
+            tuple[float, float, float]
+        ] = []  # second, limit, drain of the first router
         self._marks = 0
         self.wall = 0.0
 
@@ -244,4 +246,3 @@
     """Jain's index: 1 where all got the same, 1/n where one got all."""
     total, squares = sum(got), sum(x * x for x in got)
     return total * total / (len(got) * squares) if squares else 0.0
-
--- a/tansycrank/lab/drills.py
+++ b/tansycrank/lab/drills.py
@@ -66,7 +66,9 @@
     """A process of clients, as this user; its notes come to the file named."""
     out = site.folder / f"{name}.jsonl"
     spec = LoadSpec(
-        dsns=tuple(site.dsn(me) + (f" user={user}" if user else "") for me in range(site.layout.routers)),
+        dsns=tuple(
+            site.dsn(me) + (f" user={user}" if user else "") for me in range(site.layout.routers)
+        ),
         out=str(out),
         config=str(site.folder / "router-0.ini"),
         scale=site.layout.scale,
@@ -99,7 +101,13 @@
         budget=BUDGET,
         scale=0.25,
         rules_more=TENANT_RULES + CONSOLES,
-        nature={"work_ms": 6.0, "cold_from": 0.2, "multiple": 2.0, "window_ms": 1500.0, "one_way_ms": 0.3},
+        nature={
+            "work_ms": 6.0,
+            "cold_from": 0.2,
+            "multiple": 2.0,
+            "window_ms": 1500.0,
+            "one_way_ms": 0.3,
+        },
     )
 
 
@@ -162,7 +170,9 @@
         report["held"] = caught
         say(f"rule {broken} broken on purpose: {'caught' if caught else 'NOT caught'}")
     else:
-        report["held"] = verdict.kept and report["routers alive"] and all(report["exercised"].values())
+        report["held"] = (
+            verdict.kept and report["routers alive"] and all(report["exercised"].values())
+        )
     return report
 
 
@@ -188,7 +198,9 @@
     shard_0 = [1, 2, 3]  # cells 0, 1, 2
     quarter = [4, 8, 12]
     script.at(
-        1.5 * unit, "all three nodes of shard 0 are slow (x 40)", lambda: site.faults(shard_0, slow=40.0)
+        1.5 * unit,
+        "all three nodes of shard 0 are slow (x 40)",
+        lambda: site.faults(shard_0, slow=40.0),
     )
     script.at(5.0 * unit, "they are well again", lambda: site.faults(shard_0, slow=1.0))
     script.at(
@@ -197,9 +209,15 @@
         lambda: [script.kill(n, 1200) for n in quarter],
     )
     script.at(11.0 * unit, "they come back cold", lambda: [script.revive(n) for n in quarter])
-    script.at(13.0 * unit, "node 7 answers router 0 alone", lambda: site.faults([7], deaf_to="tansycrank-1"))
+    script.at(
+        13.0 * unit,
+        "node 7 answers router 0 alone",
+        lambda: site.faults([7], deaf_to="tansycrank-1"),
+    )
     script.at(15.0 * unit, "node 7 answers both again", lambda: site.faults([7], deaf_to=""))
-    script.at(16.0 * unit, "node 6 takes all and answers nothing", lambda: site.faults([6], hang=True))
+    script.at(
+        16.0 * unit, "node 6 takes all and answers nothing", lambda: site.faults([6], hang=True)
+    )
     script.at(18.5 * unit, "node 6 answers again", lambda: site.faults([6], hang=False))
     script.at(
         19.0 * unit,
@@ -214,16 +232,24 @@
             script.tell(5, "draining"),
         ),
     )
-    script.at(23.5 * unit, "node 5 is gone", lambda: (script.tell(5, "gone"), stays or site.kill(5)))
+    script.at(
+        23.5 * unit, "node 5 is gone", lambda: (script.tell(5, "gone"), stays or site.kill(5))
+    )
     script.at(
         24.0 * unit,
         "the roster falls silent; node 9 dies and stays on the list",
         lambda: (site.roster_silent(True), site.kill(9)),
     )
     script.at(
-        27.0 * unit, "the roster speaks again, from a new life", lambda: site.roster_silent(False, True)
+        27.0 * unit,
+        "the roster speaks again, from a new life",
+        lambda: site.roster_silent(False, True),
+    )
+    script.at(
+        27.5 * unit,
+        "some answers are lost at node 3",
+        lambda: site.faults([3], lose=0.3, errors=0.1),
     )
-    script.at(27.5 * unit, "some answers are lost at node 3", lambda: site.faults([3], lose=0.3, errors=0.1))
 
 
 def _seeded(rule: int) -> Callable[..., dict]:
--- a/tansycrank/lab/engine.py
+++ b/tansycrank/lab/engine.py
@@ -135,7 +135,9 @@
 def from_engine(oid: int, value: object) -> object:
     """A value of the engine as `pg.types` has it."""
     if isinstance(value, list):
-        return [None if v is None else from_engine(types.ARRAYS.get(oid, types.TEXT), v) for v in value]
+        return [
+            None if v is None else from_engine(types.ARRAYS.get(oid, types.TEXT), v) for v in value
+        ]
     if isinstance(value, dt.datetime):
         if value.tzinfo is not None:
             value = value.astimezone(dt.UTC).replace(tzinfo=None)
@@ -159,7 +161,9 @@
 class Engine:
     """One embedded database. `shards` of None makes the unsharded reference in the schema `main`."""
 
-    def __init__(self, config: Config, seed: int, shards: tuple[int, ...] | None, scale: float = 1.0) -> None:
+    def __init__(
+        self, config: Config, seed: int, shards: tuple[int, ...] | None, scale: float = 1.0
+    ) -> None:
         self.config, self.db = config, duckdb.connect(":memory:", config={"threads": 1})
         self.db.execute("SET default_null_order='nulls_last_on_asc_first_on_desc'")
         self.db.execute("SET integer_division=true")
@@ -275,4 +279,7 @@
 
 def _state(problem: duckdb.Error) -> str:
     text = str(problem)
-    return next((state for words, state in STATES if words in text), "42601" if "Parser" in text else "22000")
+    return next(
+        (state for words, state in STATES if words in text),
+        "42601" if "Parser" in text else "22000",
+    )
--- a/tansycrank/lab/fleet.py
+++ b/tansycrank/lab/fleet.py
@@ -48,7 +48,9 @@
     def __init__(self, settings: io.Settings, seed: int, work: float, cores: int = 2) -> None:
         self.settings, self.work, self.now = settings, work, 0.0
         self.chance = random.Random(seed)
-        self.nodes = {cell + 1: Node(cell + 1, cell, cores, free=cores) for cell in range(settings.cells)}
+        self.nodes = {
+            cell + 1: Node(cell + 1, cell, cores, free=cores) for cell in range(settings.cells)
+        }
         self.routers: dict[int, Router] = {}
         self.asked: list[Asked] = []
         self.watches: list[tuple[float, int]] = []  # when each router asked discovery for its watch
@@ -85,8 +87,10 @@
     def listed(self, ids: Iterable[int]) -> list[io.Listed]:
         """Nodes as discovery names them."""
         zones = self.settings.zones
-        return [io.Listed(node.id, node.cell, node.cell % zones, io.Status.READY, node.came_up)
-                for node in (self.nodes[id] for id in ids)]
+        return [
+            io.Listed(node.id, node.cell, node.cell % zones, io.Status.READY, node.came_up)
+            for node in (self.nodes[id] for id in ids)
+        ]
 
     def tell(self, ids: Iterable[int]) -> None:
         """Discovery's word of these nodes reaches all routers."""
@@ -121,9 +125,9 @@
         events: list[io.Event] = [io.QueryArrived(query, query, query_class, time_left, parts)]
         for index in range(parts):
             self._ids += 1
-            events.append(io.PartArrived(
-                self._ids, query, (first + index) % self.settings.shards, 1 / parts
-            ))
+            events.append(
+                io.PartArrived(self._ids, query, (first + index) % self.settings.shards, 1 / parts)
+            )
         self._open[number, query] = asked = Asked(number, query_class, self.now)
         self.asked.append(asked)
         self.hear(number, *events)
@@ -145,8 +149,13 @@
         """The share of a class's queries, of those asked since, that were answered by their aim."""
         aim = self.settings.classes[query_class].aim
         found = [one for one in self.asked if one.query_class == query_class and one.born >= since]
-        good = [one for one in found if one.ended and isinstance(one.ended[0][1], io.Answer)
-                and one.ended[0][0] <= one.born + aim]
+        good = [
+            one
+            for one in found
+            if one.ended
+            and isinstance(one.ended[0][1], io.Answer)
+            and one.ended[0][0] <= one.born + aim
+        ]
         return len(good) / len(found)
 
     # --- nodes ------------------------------------------------------------------------
@@ -165,7 +174,9 @@
         if not node.came_up:
             return 1.0
         cfg = self.settings
-        return min(cfg.cold_from + (1 - cfg.cold_from) * max(at - node.came_up, 0.0) / cfg.cold_time, 1.0)
+        return min(
+            cfg.cold_from + (1 - cfg.cold_from) * max(at - node.came_up, 0.0) / cfg.cold_time, 1.0
+        )
 
     def load_of_rule_4(self, node: Node, end: float) -> float:
         """Parts sent in the window that ends then, as a share of what rule 4 lets all routers send in it."""
--- a/tansycrank/lab/load.py
+++ b/tansycrank/lab/load.py
@@ -64,7 +64,10 @@
             )
         )
         found.append(
-            (f"SELECT id, plate, lat FROM cabs WHERE district = '{district}' AND free ORDER BY id LIMIT 8", 1)
+            (
+                f"SELECT id, plate, lat FROM cabs WHERE district = '{district}' AND free ORDER BY id LIMIT 8",
+                1,
+            )
         )
     for a, b, c in zip(DISTRICTS[::5], DISTRICTS[1::5], DISTRICTS[2::5], strict=False):
         names = f"'{a}', '{b}', '{c}'"
@@ -77,7 +80,10 @@
         )
     found.append((f"SELECT count(*), sum(fare), max(started) FROM trips WHERE {below}", shards))
     found.append(
-        (f"SELECT stars, count(*) AS n, min(note) FROM trips WHERE {below} GROUP BY stars ORDER BY 1", shards)
+        (
+            f"SELECT stars, count(*) AS n, min(note) FROM trips WHERE {below} GROUP BY stars ORDER BY 1",
+            shards,
+        )
     )
     found.append(
         (
@@ -86,8 +92,12 @@
             shards,
         )
     )
-    found.append((f"SELECT id, district, fare, note, ref FROM trips WHERE {below} ORDER BY id", shards))
-    return [Question(sql, tuple(reference.db.execute(sql).fetchall()), parts) for sql, parts in found]
+    found.append(
+        (f"SELECT id, district, fare, note, ref FROM trips WHERE {below} ORDER BY id", shards)
+    )
+    return [
+        Question(sql, tuple(reference.db.execute(sql).fetchall()), parts) for sql, parts in found
+    ]
 
 
 def same_rows(got: list, wanted: tuple) -> bool:
@@ -95,7 +105,9 @@
     if len(got) != len(wanted):
         return False
     return all(
-        math.isclose(a, b, rel_tol=1e-9) if isinstance(a, float) and isinstance(b, float) else a == b
+        math.isclose(a, b, rel_tol=1e-9)
+        if isinstance(a, float) and isinstance(b, float)
+        else a == b
         for mine, theirs in zip(got, wanted, strict=True)
         for a, b in zip(mine, theirs, strict=True)
     )
@@ -109,7 +121,9 @@
 class Client:
     """One client of one router."""
 
-    def __init__(self, spec: LoadSpec, number: int, asked: list[Question], notes: list[dict]) -> None:
+    def __init__(
+        self, spec: LoadSpec, number: int, asked: list[Question], notes: list[dict]
+    ) -> None:
         self.spec, self.number, self.notes = spec, number, notes
         self.asked = asked[-1:] if number < REPORTERS else asked[:-1]
         self.chance = random.Random(spec.seed * 10_000 + number)
@@ -120,7 +134,9 @@
     async def connect(self) -> bool:
         """A session with its deadline set; False while the router is away."""
         try:
-            self.link = await psycopg.AsyncConnection.connect(self.spec.dsns[self.router], autocommit=True)
+            self.link = await psycopg.AsyncConnection.connect(
+                self.spec.dsns[self.router], autocommit=True
+            )
             self.link.prepare_threshold = None if self.number % 2 else 2
             await self.link.execute(f"SET tansycrank.deadline = {self.spec.deadline_ms:.0f}")
             return True
--- a/tansycrank/lab/measure_door.py
+++ b/tansycrank/lab/measure_door.py
@@ -46,14 +46,21 @@
             spec = TenantsSpec(site.ports[0], group, tuple(DISTRICTS), seconds, seed=seed + number)
             players.append(
                 subprocess.Popen(
-                    [sys.executable, "-m", "tansycrank.lab.tenants", msgspec.json.encode(spec).decode()],
+                    [
+                        sys.executable,
+                        "-m",
+                        "tansycrank.lab.tenants",
+                        msgspec.json.encode(spec).decode(),
+                    ],
                     stdout=subprocess.PIPE,
                     cwd=ROOT,
                 )  # fmt: skip
             )
         told: dict = {}
         for player in players:
-            for name, found in msgspec.json.decode(player.communicate(timeout=seconds + 30)[0]).items():
+            for name, found in msgspec.json.decode(
+                player.communicate(timeout=seconds + 30)[0]
+            ).items():
                 _merge(told.setdefault(name, found), found)
         used = cpu_seconds(site.routers[0].pid) - cpu
     return {"tenants": told, "router_cpu": round(used / seconds, 2), "seconds": seconds}
@@ -91,14 +98,21 @@
     """One tenant at a hundred times its share beside ten others, on real sockets."""
     seconds = 6.0 if quick else 12.0
     base = 0.6 * SHARE
-    floods = [(TenantSpec("t_big", 25 * SHARE, 40, "never"),)] * 4  # four processes: 100 shares in all
+    floods = [
+        (TenantSpec("t_big", 25 * SHARE, 40, "never"),)
+    ] * 4  # four processes: 100 shares in all
     phases = {
         "without the flood": (True, [_small(base)]),
         "full load, no flood": (True, [_small(2 * SHARE)]),
         "with the flood": (True, [_small(base), *floods]),
         "with the flood, door off": (False, [_small(base), *floods]),
     }
-    report: dict = {"measure": "fairness", "seed": seed, "machine": machine(), "share a second": SHARE}
+    report: dict = {
+        "measure": "fairness",
+        "seed": seed,
+        "machine": machine(),
+        "share a second": SHARE,
+    }
     report["flood a second"] = 100 * SHARE
     for name, (door, groups) in phases.items():
         found = _phase(seed, seconds, door, groups)
@@ -108,10 +122,14 @@
     report["service beside the flood"] = round(
         mixed["service of the others"] / calm["service of the others"], 4
     )
-    report["goodput beside full load"] = round(mixed["goodput a second"] / full["goodput a second"], 4)
+    report["goodput beside full load"] = round(
+        mixed["goodput a second"] / full["goodput a second"], 4
+    )
     report["aims"] = {
-        "service of the others at least 0.95 of that without": report["service beside the flood"] >= 0.95,
-        "goodput at least 0.95 of full load without flood": report["goodput beside full load"] >= 0.95,
+        "service of the others at least 0.95 of that without": report["service beside the flood"]
+        >= 0.95,
+        "goodput at least 0.95 of full load without flood": report["goodput beside full load"]
+        >= 0.95,
     }
     report["held"] = all(report["aims"].values())
     return report
@@ -120,7 +138,9 @@
 # --- on the policy alone -------------------------------------------------------------------
 
 
-def _churn(policy: Policy, tenants: int, queries: int, clock: list[float], sample: Callable) -> None:
+def _churn(
+    policy: Policy, tenants: int, queries: int, clock: list[float], sample: Callable
+) -> None:
     """So many queries from so many names, into a router that does a thousand a second."""
     inside: deque[tuple[int, float]] = deque()  # a thousand a second are done, in their order
     every = max(queries // 40, 1)
@@ -178,7 +198,10 @@
 
 
 def _honest_scene(seed: int, seconds: float, faults=(), manner: str = "patient") -> Scene:
-    loads = [Load(f"t{n}", 60.0, manner if n % 2 else "patient", limits=Limits(1 + n % 3)) for n in range(10)]
+    loads = [
+        Load(f"t{n}", 60.0, manner if n % 2 else "patient", limits=Limits(1 + n % 3))
+        for n in range(10)
+    ]
     return Scene(loads, seconds=seconds, nodes=8, slots=2, shards=8, seed=seed, faults=faults)
 
 
@@ -187,7 +210,12 @@
     seconds = 12.0 if quick else 40.0
     third = seconds / 3
     faults = ((third, "die", 0.5), (2 * third, "back", 0.5))
-    report: dict = {"measure": "door-honesty", "seed": seed, "simulated": True, "machine": machine()}
+    report: dict = {
+        "measure": "door-honesty",
+        "seed": seed,
+        "simulated": True,
+        "machine": machine(),
+    }
     for name, scene, since in (
         ("steady overload", _honest_scene(seed, seconds), 3.0),
         ("half never come back", _honest_scene(seed, seconds, manner="never"), 3.0),
@@ -203,7 +231,9 @@
                     since=begin, until=begin + third - (begin == since) * since
                 )
             report[name]["limit and drain"] = play.limits[::10]
-        say(f"{name}: { {k: v for k, v in report[name].items() if k not in ('errors', 'limit and drain')} }")
+        say(
+            f"{name}: { {k: v for k, v in report[name].items() if k not in ('errors', 'limit and drain')} }"
+        )
     runs = [v for v in report.values() if isinstance(v, dict) and "errors" in v]
     report["aims"] = {
         "median error under 0.2": all(r["median error"] < 0.2 for r in runs),
@@ -216,7 +246,9 @@
 
 def _spread(play: Play, since: float) -> list[float]:
     errors = sorted(
-        (p.wait - p.took) / max(p.took, 1.0) for p in play.promises if p.took >= 0 and p.at / 1000 >= since
+        (p.wait - p.took) / max(p.took, 1.0)
+        for p in play.promises
+        if p.took >= 0 and p.at / 1000 >= since
     )
     return [round(errors[int(len(errors) * q / 100)], 4) for q in range(0, 100)] if errors else []
 
--- a/tansycrank/lab/measure_merge.py
+++ b/tansycrank/lab/measure_merge.py
@@ -69,7 +69,9 @@
     with BulkSite(layout) as site:
         command = [sys.executable, "-m", "tansycrank.lab.hammer"]
 
-        def hammer(statements: tuple[str, ...], connections: int, span: float, port=0) -> subprocess.Popen:
+        def hammer(
+            statements: tuple[str, ...], connections: int, span: float, port=0
+        ) -> subprocess.Popen:
             spec = HammerSpec(port or site.port, statements, connections, span)
             return subprocess.Popen(
                 [*command, msgspec.json.encode(spec).decode()], stdout=subprocess.PIPE, cwd=ROOT
@@ -82,7 +84,9 @@
         node = site.node_ports[0]
         report["alone"] = told(hammer(lookups, 4, seconds))
         report["node alone"] = told(hammer(straight, 4, seconds / 2, node))
-        running = [hammer((KINDS["sorted"], KINDS["export"]), large // 3, seconds + 30) for _ in range(3)]
+        running = [
+            hammer((KINDS["sorted"], KINDS["export"]), large // 3, seconds + 30) for _ in range(3)
+        ]
         time.sleep(2.0)
         site.reset_peak()
         report["beside"] = told(hammer(lookups, 4, seconds))
@@ -98,7 +102,13 @@
 def merge(seed: int = 1, quick: bool = False, say: Callable[[str], None] = print) -> dict:
     """Large answers: exact, in bounded memory at every size, at a share of a direct connection's rate."""
     sizes = (300_000, 600_000) if quick else (1_000_000, 5_000_000, 20_000_000)
-    report: dict = {"measure": "merge", "seed": seed, "machine": machine(), "groups": GROUPS, "sizes": {}}
+    report: dict = {
+        "measure": "merge",
+        "seed": seed,
+        "machine": machine(),
+        "groups": GROUPS,
+        "sizes": {},
+    }
     bound = BulkLayout(rows=[]).process
     for size in sizes:
         layout = BulkLayout(rows=skewed(size), groups=GROUPS if not quick else 50_000)
@@ -118,14 +128,18 @@
     report["many groups"] = {str(many): found}
     say(f"{many:>10,} groups    {found['grouped']}")
     wide = BulkLayout(
-        rows=skewed(sizes[0]), groups=GROUPS if not quick else 50_000, process=8 << 30, query=8 << 30
+        rows=skewed(sizes[0]),
+        groups=GROUPS if not quick else 50_000,
+        process=8 << 30,
+        query=8 << 30,
     )
     with BulkSite(wide) as site:
         report["all in memory"] = {kind: one(site, kind) for kind in ("distinct", "grouped")}
     report["small beside large"] = small_beside_large(3.0 if quick else 6.0, 30)
     last = report["sizes"][str(sizes[-1])]
     shares = {
-        kind: last[kind]["rows_in_a_second"] / last["direct rows a second"] for kind in ("export", "sorted")
+        kind: last[kind]["rows_in_a_second"] / last["direct rows a second"]
+        for kind in ("export", "sorted")
     }
     report["share of direct"] = {kind: round(share, 3) for kind, share in shares.items()}
     report["bound_mib"] = bound // MIB
@@ -158,7 +172,9 @@
             if kind in found
         ]
         axes.plot(*zip(*points, strict=True), marker="o", label=kind)
-    axes.axhline(report["bound_mib"] + 45, color="grey", linestyle="--", label="bound and interpreter")
+    axes.axhline(
+        report["bound_mib"] + 45, color="grey", linestyle="--", label="bound and interpreter"
+    )
     axes.set_xscale("log")
     axes.set_xlabel("rows read from 8 shards, one a hundred times the others (millions)")
     axes.set_ylabel("peak memory of the router (MiB)")
--- a/tansycrank/lab/measures.py
+++ b/tansycrank/lab/measures.py
@@ -85,7 +85,9 @@
         return (time.perf_counter() - began) * 1000
 
 
-def paired(direct: RawClient, routed: RawClient, straight: bytes, through: bytes, rounds: int) -> dict:
+def paired(
+    direct: RawClient, routed: RawClient, straight: bytes, through: bytes, rounds: int
+) -> dict:
     """The same client, in turns straight at the node and through the router."""
     for _ in range(60):
         direct.ask(straight)
@@ -108,7 +110,9 @@
     """Answers a second in all, and a second of the router's own CPU."""
     spec = HammerSpec(port, tuple(statements), connections, seconds)
     command = [sys.executable, "-m", "tansycrank.lab.hammer", msgspec.json.encode(spec).decode()]
-    running = [subprocess.Popen(command, stdout=subprocess.PIPE, cwd=ROOT) for _ in range(processes)]
+    running = [
+        subprocess.Popen(command, stdout=subprocess.PIPE, cwd=ROOT) for _ in range(processes)
+    ]
     time.sleep(0.8)
     before, at = cpu_seconds(pid), time.perf_counter()
     time.sleep(seconds - 0.8)
@@ -159,14 +163,32 @@
         say("rates ...")
         ones = [
             one.replace("Quan 1", name)
-            for name in ("Quan 1", "Quan 3", "Quan 4", "Quan 5", "Quan 6", "Quan 7", "Quan 8", "Quan 10")
+            for name in (
+                "Quan 1",
+                "Quan 3",
+                "Quan 4",
+                "Quan 5",
+                "Quan 6",
+                "Quan 7",
+                "Quan 8",
+                "Quan 10",
+            )
+        ]
+        report["rate, one part"] = [
+            rate(site.ports[0], pid, ones, seconds, 2, 6) for _ in range(repeats)
         ]
-        report["rate, one part"] = [rate(site.ports[0], pid, ones, seconds, 2, 6) for _ in range(repeats)]
         report["rate, eight parts"] = [
             rate(site.ports[0], pid, [eight], seconds, 2, 4) for _ in range(repeats)
         ]
         report["rate, direct"] = [
-            rate(holder.port, holder.process.pid, [one.replace("trips", "s0000.trips")], seconds / 2, 1, 6)
+            rate(
+                holder.port,
+                holder.process.pid,
+                [one.replace("trips", "s0000.trips")],
+                seconds / 2,
+                1,
+                6,
+            )
         ]
         say("idle sessions ...")
         before = memory(pid)
@@ -176,8 +198,12 @@
             link.close()
     one_rate = statistics.median(r["answers_a_cpu_second"] for r in report["rate, one part"])
     eight_rate = statistics.median(r["answers_a_cpu_second"] for r in report["rate, eight parts"])
-    report["spread, one part"] = spread([r["answers_a_cpu_second"] for r in report["rate, one part"]])
-    report["spread, eight parts"] = spread([r["answers_a_cpu_second"] for r in report["rate, eight parts"]])
+    report["spread, one part"] = spread(
+        [r["answers_a_cpu_second"] for r in report["rate, one part"]]
+    )
+    report["spread, eight parts"] = spread(
+        [r["answers_a_cpu_second"] for r in report["rate, eight parts"]]
+    )
     report["aims"] = {
         "one part: at most 1.5 ms added at p50": report["one part"]["added_p50"] <= AIM_ADDED_MS,
         "one part: 1,000 a second on a core": one_rate >= AIM_ONE,
--- a/tansycrank/lab/model.py
+++ b/tansycrank/lab/model.py
@@ -39,7 +39,9 @@
     reset_rows: float = 0.0  # share of answers cut after half of their rows
     lose: float = 0.0  # share of answers that never leave, though the statement ran
     reset_before: float = 0.0  # share of statements whose connection breaks before they run
-    reset_after: float = 0.0  # share of statements that run and whose connection breaks before any answer
+    reset_after: float = (
+        0.0  # share of statements that run and whose connection breaks before any answer
+    )
     deaf_to: str = ""  # statements of the router with this application name get no answer
     pause_until: float = 0.0
 
--- a/tansycrank/lab/node.py
+++ b/tansycrank/lab/node.py
@@ -170,7 +170,11 @@
             if known is not None and self.now - known[0] < self.spec.dedup_ms:
                 return known[1]
             if mine and not self._claim(key):
-                return "INSERT 0 1" if write["sql"].lstrip().upper().startswith("INSERT") else "UPDATE 1"
+                return (
+                    "INSERT 0 1"
+                    if write["sql"].lstrip().upper().startswith("INSERT")
+                    else "UPDATE 1"
+                )
         values = [
             to_engine(oid, types.decode(oid, 0, v.encode()) if v is not None else None)
             for oid, v in zip(write["oids"], write["values"], strict=True)
@@ -184,7 +188,9 @@
     def replicate(self, write: dict) -> None:
         """Tell the other holders of the shard."""
         for port in self.spec.peers.get(write["shard"], ()):
-            reactor.connectTCP("127.0.0.1", port, _OneLine(msgspec.json.encode({"apply": write})), timeout=1)
+            reactor.connectTCP(
+                "127.0.0.1", port, _OneLine(msgspec.json.encode({"apply": write})), timeout=1
+            )
 
     def shard_of_sql(self, sql: str) -> int:
         """The shard whose schema a statement names, -1 for none."""
@@ -303,7 +309,9 @@
             return
         if model.happens(faults.errors):
             self.node.note("error", self, state="58000")
-            self._send(pg.error_response(PgError("58000", "stand-in: told to fail")) + pg.ready("I"))
+            self._send(
+                pg.error_response(PgError("58000", "stand-in: told to fail")) + pg.ready("I")
+            )
             return
         comment = split_comment(sql)[0]
         weight = 0.0 if not runs else 1.0
@@ -321,9 +329,7 @@
         if self.node.drop(self.job):
             self.job = None
             self.node.counts["cancelled"] += 1
-            self._send(
-                pg.error_response(cancelled()) + pg.ready("I")
-            )
+            self._send(pg.error_response(cancelled()) + pg.ready("I"))
             self._next()
 
     def _send(self, data: bytes) -> None:
@@ -339,9 +345,7 @@
         self.job = None
         faults, model = self.node.model.faults, self.node.model
         if self.cancelled:
-            self._send(
-                pg.error_response(cancelled()) + pg.ready("I")
-            )
+            self._send(pg.error_response(cancelled()) + pg.ready("I"))
             self._next()
             return
         out, rows, tag = self._kept(batch)
@@ -406,7 +410,11 @@
                             out.append(pg.command_complete("SET"))
                             continue
                         result = self._run(statement, oids, bound, key)
-                        head = pg.NO_DATA if result.fields is None else pg.row_description(result.fields)
+                        head = (
+                            pg.NO_DATA
+                            if result.fields is None
+                            else pg.row_description(result.fields)
+                        )
                         if out and out[-1] is None:
                             out[-1] = head
                         out += [*result.frames, pg.command_complete(result.tag)]
@@ -454,7 +462,12 @@
         tag = self.node.apply(write, mine=True)
         self.node.counts["writes"] += len(self.node.writes) - before
         self.node.note(
-            "write", self, key=key, applied=len(self.node.writes) > before, sql=sql[:300], values=texts[:9]
+            "write",
+            self,
+            key=key,
+            applied=len(self.node.writes) > before,
+            sql=sql[:300],
+            values=texts[:9],
         )
         if len(self.node.writes) > before:
             self.node.replicate(write)
@@ -472,7 +485,10 @@
     def buildProtocol(self, addr):  # noqa: N802
         protocol = LineOnlyReceiver()
         protocol.delimiter = b"\n"
-        protocol.connectionMade = lambda: (protocol.sendLine(self.line), protocol.transport.loseConnection())
+        protocol.connectionMade = lambda: (
+            protocol.sendLine(self.line),
+            protocol.transport.loseConnection(),
+        )
         protocol.lineReceived = lambda line: None
         return protocol
 
@@ -492,7 +508,9 @@
             was = self.node.model.faults.vanish
             for name, value in order["faults"].items():
                 setattr(self.node.model.faults, name, value)
-            if was and not self.node.model.faults.vanish:  # it comes back having lost its connections
+            if (
+                was and not self.node.model.faults.vanish
+            ):  # it comes back having lost its connections
                 for session in list(self.node.sessions.values()):
                     session.transport.abortConnection()
             self.node.pump()
--- a/tansycrank/lab/preload/__init__.py
+++ b/tansycrank/lab/preload/__init__.py
@@ -92,7 +92,9 @@
     """System calls that fail in the process that is started with `environment`."""
 
     _SEED = struct.Struct("=Q")
-    _COUNTS = struct.Struct(f"={len(CallFailure)}I")  # rates in a million calls, then what was injected
+    _COUNTS = struct.Struct(
+        f"={len(CallFailure)}I"
+    )  # rates in a million calls, then what was injected
 
     def __init__(self, folder: Path, name: str = "failing-calls", seed: int = 0) -> None:
         self._library = build("failing_calls", folder)
--- a/tansycrank/lab/roster.py
+++ b/tansycrank/lab/roster.py
@@ -70,12 +70,20 @@
         if order["op"] == "watch":
             roster.watchers.add(self)
             missed = [(v, n) for v, n in roster.changes if v > order["version"]]
-            follows = missed and missed[0][0] == order["version"] + 1 or order["version"] == roster.version
+            follows = (
+                missed
+                and missed[0][0] == order["version"] + 1
+                or order["version"] == roster.version
+            )
             if order["epoch"] == roster.epoch and follows:
                 for version, node in missed:
-                    self.sendLine(msgspec.json.encode(FeedLine("changes", version, roster.epoch, (node,))))
+                    self.sendLine(
+                        msgspec.json.encode(FeedLine("changes", version, roster.epoch, (node,)))
+                    )
                 if not missed:
-                    self.sendLine(msgspec.json.encode(FeedLine("beat", roster.version, roster.epoch)))
+                    self.sendLine(
+                        msgspec.json.encode(FeedLine("beat", roster.version, roster.epoch))
+                    )
                 return
         self.sendLine(msgspec.json.encode(roster.whole()))
 
--- a/tansycrank/lab/sabotage.py
+++ b/tansycrank/lab/sabotage.py
@@ -31,7 +31,9 @@
         """One of them; its rows are dropped."""
         memory = self.keeper.open(False)
         stream = PartStream(memory, request.shard)
-        self.pools.send(server, request, stream, time_out, lambda ended: memory.close(), _Unchecked())
+        self.pools.send(
+            server, request, stream, time_out, lambda ended: memory.close(), _Unchecked()
+        )
 
 
 class SendsAfterTheEnd(_Extra):
@@ -42,7 +44,9 @@
         super()._forget(job, answer)
         for part in parts[:1]:
             if part.attempts:
-                self.reactor.callLater(0.8, self.extra, part.attempts[0].server, part.request, 500.0)
+                self.reactor.callLater(
+                    0.8, self.extra, part.attempts[0].server, part.request, 500.0
+                )
 
 
 class RepeatsUnsafe(coordinator.Coordinator):
@@ -67,7 +71,9 @@
 
     def heard_list(self, event) -> None:
         self.cold = getattr(self, "cold", set()) | {e.server for e in event.entries if e.came_up}
-        super().heard_list(io.ServerList(event.kind, tuple(replace(e, came_up=0.0) for e in event.entries)))
+        super().heard_list(
+            io.ServerList(event.kind, tuple(replace(e, came_up=0.0) for e in event.entries))
+        )
 
     def _send(self, action) -> None:
         super()._send(action)
--- a/tansycrank/lab/simulated.py
+++ b/tansycrank/lab/simulated.py
@@ -81,7 +81,9 @@
         self.clock, self.number, self.slots, self.chance = clock, number, slots, chance
         self.alive, self.free = True, slots
         self.line: deque[SimSending] = deque()
-        self.running: dict[SimSending, None] = {}  # in the order they began: a set's would differ by run
+        self.running: dict[
+            SimSending, None
+        ] = {}  # in the order they began: a set's would differ by run
         self.done_work = 0.0
 
     def take(self, sending: SimSending) -> None:
@@ -156,7 +158,12 @@
         self.clock, self.nodes, self.later = clock, nodes, None
 
     def send(
-        self, server: int, request: PartRequest, stream, time_out: float, done: Callable[[Ended], None],
+        self,
+        server: int,
+        request: PartRequest,
+        stream,
+        time_out: float,
+        done: Callable[[Ended], None],
         attempt: Attempt,
     ) -> SimSending:
         """As `Pools.send`."""
@@ -166,7 +173,9 @@
             return sending
         sending = SimSending(server, stream, done, float(request.sql))
         if time_out > 0:
-            sending.timer = self.clock.callLater(time_out / 1000, sending.finish, Ended(io.Outcome.TIMED_OUT))
+            sending.timer = self.clock.callLater(
+                time_out / 1000, sending.finish, Ended(io.Outcome.TIMED_OUT)
+            )
         self.clock.callLater(0.0002, self.nodes[server].take, sending)
         return sending
 
--- a/tansycrank/lab/site.py
+++ b/tansycrank/lab/site.py
@@ -128,7 +128,9 @@
     districts = "; ".join(f"{i}: {', '.join(g)}" for i, g in enumerate(groups) if g)
     budget = ""
     if layout.budget:
-        budget = "budget_floor = {}\nbudget_share = {}\nbudget_window_ms = {}".format(*layout.budget)
+        budget = "budget_floor = {}\nbudget_share = {}\nbudget_window_ms = {}".format(
+            *layout.budget
+        )
     return SETTINGS.format(
         me=me,
         routers=layout.routers,
@@ -251,7 +253,11 @@
     def _launch(self, node: NodeProcess) -> None:
         layout = self.layout
         peers = {
-            s: [n.control for n in self.nodes.values() if n is not node and s in n.shards and n.control]
+            s: [
+                n.control
+                for n in self.nodes.values()
+                if n is not node and s in n.shards and n.control
+            ]
             for s in node.shards
         }
         spec = {
@@ -306,7 +312,9 @@
     def start_router(self, me: int = 0) -> None:
         """Start a router, or start it again on its port."""
         path = self.folder / f"router-{me}.ini"
-        path.write_text(settings_text(self.layout, f"127.0.0.1:{self.roster_port}", me, self.ports[me]))
+        path.write_text(
+            settings_text(self.layout, f"127.0.0.1:{self.roster_port}", me, self.ports[me])
+        )
         log = open(self.folder / f"router-{me}.log", "ab")  # noqa: SIM115
         process = self._python(*self.serve, "--config", str(path), "--announce", stderr=log)
         log.close()
@@ -359,7 +367,11 @@
         self._launch(one)
         self._ports(one)
         for peer in self.nodes.values():  # what was written while it was away
-            if peer is not one and set(peer.shards) & set(one.shards) and peer.process.poll() is None:
+            if (
+                peer is not one
+                and set(peer.shards) & set(one.shards)
+                and peer.process.poll() is None
+            ):
                 for write in control(peer.control, {"log": True})["writes"]:
                     if write["shard"] in one.shards:
                         control(one.control, {"apply": write})
--- a/tansycrank/lab/soak/clients.py
+++ b/tansycrank/lab/soak/clients.py
@@ -71,7 +71,9 @@
         """End it, with FIN or RST."""
         if reset:
             linger = struct.pack("ii", 1, 0)
-            self.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
+            self.writer.get_extra_info("socket").setsockopt(
+                socket.SOL_SOCKET, socket.SO_LINGER, linger
+            )
         self.writer.close()
 
     async def answer(self) -> tuple[int, dict[str, str], bytes]:
@@ -157,18 +159,24 @@
         if connection := await self.connect(router):
             await self.exchange(router, connection, kept)
 
-    async def exchange(self, router: int, connection: Connection, kept: dict[int, Connection]) -> Ending:
+    async def exchange(
+        self, router: int, connection: Connection, kept: dict[int, Connection]
+    ) -> Ending:
         """Send a request, hear its answer, keep the connection if it goes on; how that ended."""
         name, shards = self.chance.choice(list(EFFECTS)), self.some_shards()
         self.numbers += 1
         id = f"{self.spec.name}-{router}-{self.numbers}"
         deadline = int(self.chance.choice(DEADLINES) * self.spec.give_up)
-        record = ClientRecord(id, router, EFFECTS[name], shards, 0.0, deadline, 0.0, Ending.NO_ANSWER)
+        record = ClientRecord(
+            id, router, EFFECTS[name], shards, 0.0, deadline, 0.0, Ending.NO_ANSWER
+        )
         leaves = self.chance.random() < LEAVES
         try:
             await self.send(connection, request_bytes(id, name, shards, deadline))
             record.sent = monotonic_ms()
-            wait = self.chance.uniform(0.0, LEAVES_WITHIN) if leaves else deadline / 1000 + LONG_AFTER
+            wait = (
+                self.chance.uniform(0.0, LEAVES_WITHIN) if leaves else deadline / 1000 + LONG_AFTER
+            )
             status, headers, body = await asyncio.wait_for(connection.answer(), wait)
             record.ending, record.detail = judge(id, shards, status, body)
             if headers.get("connection", "").lower() != "close":
--- a/tansycrank/lab/soak/discovery.py
+++ b/tansycrank/lab/soak/discovery.py
@@ -66,12 +66,16 @@
 
     # --- connections ------------------------------------------------------------------
 
-    async def serve(self, router: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(
+        self, router: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         """Requests of one router, one after another."""
         while head := await reader.readuntil(b"\r\n\r\n"):
             await asyncio.sleep(EOF_BEHIND)
             if reader.at_eof():
-                return None  # it left while this process hung, say: nobody is told what is written now
+                return (
+                    None  # it left while this process hung, say: nobody is told what is written now
+                )
             if self.crowded:
                 writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
                 await writer.drain()
@@ -91,7 +95,9 @@
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.watches.add(writer)
         try:
-            known = self.version  # the first word: changes after what is held, or else the whole list
+            known = (
+                self.version
+            )  # the first word: changes after what is held, or else the whole list
             if after < self.first:  # changes before this process's start are not known here
                 first = self.listing(router, known, list(self.entries.values()), True)
             else:
--- a/tansycrank/lab/soak/fleet.py
+++ b/tansycrank/lab/soak/fleet.py
@@ -31,7 +31,9 @@
 ROOT = Path(__file__).parents[3]
 STARTS_WITHIN = 30.0  # s for a process to say that it stands
 NO_NEW_CONNECTIONS = 0.3  # s after SIGTERM from which on clients make none to that router
-KILL_AFTER = 0.8  # s, on top of the longest deadline, from SIGTERM to SIGKILL: 0.7 and time for an exit
+KILL_AFTER = (
+    0.8  # s, on top of the longest deadline, from SIGTERM to SIGKILL: 0.7 and time for an exit
+)
 TOLD_AFTER = 0.3  # s until discovery knows that a node died
 SETTLE = 1.0  # s after the last request, for what nodes still have to note
 
@@ -63,7 +65,8 @@
     """A stand-in process, and what it announced."""
     process = subprocess.Popen(
         [sys.executable, "-m", f"tansycrank.lab.soak.{module}", msgspec.json.encode(spec).decode()],
-        stdout=subprocess.PIPE, cwd=ROOT,
+        stdout=subprocess.PIPE,
+        cwd=ROOT,
     )
     return process, announced(process, module)
 
@@ -104,21 +107,33 @@
         settings["zone"] = self.number % len(ZONES)
         known = {"version": fleet.version, "full": True, "servers": list(fleet.entries.values())}
         ports = fleet.discovery_ports[self.number]
-        self.config.write_text(json.dumps({
-            "name": f"n{self.number}", "listen": f"127.0.0.1:{self.port}",
-            "discovery": f"127.0.0.1:{ports[self.discovery_at]}", "seed": f"{fleet.plan.seed + 1:016x}",
-            "limits": {"cores": 1.0, "memory_mb": 128, "sockets": 256}, "known": known, "settings": settings,
-        }))
+        self.config.write_text(
+            json.dumps(
+                {
+                    "name": f"n{self.number}",
+                    "listen": f"127.0.0.1:{self.port}",
+                    "discovery": f"127.0.0.1:{ports[self.discovery_at]}",
+                    "seed": f"{fleet.plan.seed + 1:016x}",
+                    "limits": {"cores": 1.0, "memory_mb": 128, "sockets": 256},
+                    "known": known,
+                    "settings": settings,
+                }
+            )
+        )
 
     def start(self) -> None:
         """Start its process and wait until it is ready. Raises StartFailed."""
         self.write_config()
         states = {id: entry["state"] for id, entry in self.fleet.entries.items()}
-        self.fleet.lives.append(Told(clock.monotonic_ms(), self.number, self.fleet.version, states, True))
+        self.fleet.lives.append(
+            Told(clock.monotonic_ms(), self.number, self.fleet.version, states, True)
+        )
         variables = os.environ | {"NODE_CONFIG": str(self.config), "PYTHONPATH": str(ROOT)}
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", *self.fleet.program], cwd=self.fleet.folder, stderr=log,
+                [sys.executable, "-m", *self.fleet.program],
+                cwd=self.fleet.folder,
+                stderr=log,
                 env=variables | environment(self.wall_clock, self.failing_calls),
             )
         until = time.monotonic() + STARTS_WITHIN
@@ -154,7 +169,10 @@
     def start(self, cold: bool) -> None:
         """Start its process, on the port it had."""
         spec = NodeSpec(
-            self.name, str(self.journal), self.fleet.plan.seed * 100 + self.number, self.port,
+            self.name,
+            str(self.journal),
+            self.fleet.plan.seed * 100 + self.number,
+            self.port,
             clock.monotonic_ms() if cold else 0.0,
         )
         self.process, told = start_module("node", spec)
@@ -164,8 +182,13 @@
     def entry(self, state: str) -> dict:
         """As discovery lists it."""
         return {
-            "id": self.name, "addr": f"127.0.0.1:{self.port}", "zone": ZONES[self.number % len(ZONES)],
-            "kind": "k", "cell": self.number % SHARDS, "state": state, "weight": 1.0,
+            "id": self.name,
+            "addr": f"127.0.0.1:{self.port}",
+            "zone": ZONES[self.number % len(ZONES)],
+            "kind": "k",
+            "cell": self.number % SHARDS,
+            "state": state,
+            "weight": 1.0,
             "started_ms": self.started_ms,
         }
 
@@ -206,8 +229,12 @@
         self._together([router.start for router in self.routers])
         for number in range(self.plan.client_processes):
             spec = ClientsSpec(
-                f"c{number}", str(self.folder), self.plan.seed * 10 + number, self.plan.clients,
-                [router.port for router in self.routers], self.plan.give_up,
+                f"c{number}",
+                str(self.folder),
+                self.plan.seed * 10 + number,
+                self.plan.clients,
+                [router.port for router in self.routers],
+                self.plan.give_up,
             )
             process, told = start_module("clients", spec)
             self.clients.append(process)
@@ -217,8 +244,11 @@
     def start_discovery(self) -> None:
         """Start discovery, or start it again on its ports, with the list as it is."""
         spec = DiscoverySpec(
-            str(self.folder / "discovery.jsonl"), self.version, list(self.entries.values()),
-            self.discovery_ports, self.discovery_control,
+            str(self.folder / "discovery.jsonl"),
+            self.version,
+            list(self.entries.values()),
+            self.discovery_ports,
+            self.discovery_control,
         )
         self.discovery, told = start_module("discovery", spec)
         self.discovery_ports, self.discovery_control = told["ports"], told["control"]
@@ -283,7 +313,9 @@
         for node in self.nodes:
             events += records.read(node.journal, NodeEvent)
         told = records.read(self.folder / "discovery.jsonl", Told)
-        return Evidence(self.plan, asked, halves, events, told, self.changes, self.lives, self.faults)
+        return Evidence(
+            self.plan, asked, halves, events, told, self.changes, self.lives, self.faults
+        )
 
     def router_logs(self) -> list[dict]:
         """The events of all routers' logs."""
@@ -299,12 +331,16 @@
         """How many system calls of the routers were made to fail, by kind."""
         total: Counter[str] = Counter()
         for router in self.routers:
-            total.update({kind.name.lower(): n for kind, n in router.failing_calls.injected.items()})
+            total.update(
+                {kind.name.lower(): n for kind, n in router.failing_calls.injected.items()}
+            )
         return total
 
     def close(self) -> None:
         """End all processes that this fleet started."""
-        processes = [node.process for node in self.nodes] + [router.process for router in self.routers]
+        processes = [node.process for node in self.nodes] + [
+            router.process for router in self.routers
+        ]
         for process in filter(None, [*processes, *self.clients, self.discovery]):
             if process.poll() is None:
                 process.kill()
--- a/tansycrank/lab/soak/node.py
+++ b/tansycrank/lab/soak/node.py
@@ -123,7 +123,9 @@
         if task := running.pop(id, None):
             task.cancel()
 
-    def call(self, rest: bytes, writer: asyncio.StreamWriter, running: dict[str, asyncio.Task]) -> None:
+    def call(
+        self, rest: bytes, writer: asyncio.StreamWriter, running: dict[str, asyncio.Task]
+    ) -> None:
         """The sub-requests of one frame."""
         while rest:
             line, _, rest = rest.partition(b"\n")
@@ -132,7 +134,10 @@
             options = dict(pair.split("=", 1) for pair in told.split(","))
             request = id.rpartition(".")[0]
             self.note(
-                NodeEventKind.CALL, request=request, shard=int(shard), wait=float(options["d"]),
+                NodeEventKind.CALL,
+                request=request,
+                shard=int(shard),
+                wait=float(options["d"]),
                 key=options.get("k", ""),
             )
             self.count_arrival()
--- a/tansycrank/lab/soak/oracle.py
+++ b/tansycrank/lab/soak/oracle.py
@@ -116,7 +116,8 @@
     def _hung(self, event: NodeEvent) -> bool:
         """Whether its node read this late: it may have come while the node hung."""
         return any(
-            fault.at - READING <= event.at <= fault.until + READING for fault in self.hangs[event.node]
+            fault.at - READING <= event.at <= fault.until + READING
+            for fault in self.hangs[event.node]
         )
 
     def _router_killed(self, router: int, start: float, end: float) -> bool:
@@ -135,7 +136,10 @@
         if not request:
             return []
         lines = [
-            (event.at, f"node {event.node}: {event.kind.value} shard {event.shard} wait {event.wait:.0f}")
+            (
+                event.at,
+                f"node {event.node}: {event.kind.value} shard {event.shard} wait {event.wait:.0f}",
+            )
             for event in self.events[request]
         ]
         for record in self.evidence.asked:
@@ -148,12 +152,16 @@
     # --- requests ---------------------------------------------------------------------
 
     def _answered(self, record: ClientRecord) -> None:
-        if record.ending is Ending.LEFT or self._router_killed(record.router, record.sent, record.ended):
+        if record.ending is Ending.LEFT or self._router_killed(
+            record.router, record.sent, record.ended
+        ):
             return
         self.verdict.exercised[Invariant.ANSWERED] += 1
         if record.ending is Ending.CROSSED:
             if self._calls(record.request):
-                text = f"{record.request}: read and forwarded, its connection closed without an answer"
+                text = (
+                    f"{record.request}: read and forwarded, its connection closed without an answer"
+                )
                 self._violate(Invariant.ANSWERED, text, record.request)
         elif record.ending is Ending.NO_ANSWER:
             text = f"{record.request}: no answer within {record.ended - record.sent:.0f} ms: {record.detail}"
@@ -169,8 +177,12 @@
             self.verdict.exercised[Invariant.NOTHING_AFTER_END] += 1
             late = event.at - record.ended
             if late > AFTER_END + READING and not self._hung(event):
-                text = f"{record.request}: reached node {event.node} {late:.0f} ms after it had ended"
-                self._violate(Invariant.NOTHING_AFTER_END, f"{text} ({record.ending.value})", record.request)
+                text = (
+                    f"{record.request}: reached node {event.node} {late:.0f} ms after it had ended"
+                )
+                self._violate(
+                    Invariant.NOTHING_AFTER_END, f"{text} ({record.ending.value})", record.request
+                )
 
     def _effects(self, record: ClientRecord) -> None:
         if record.effect == SAFE:
@@ -182,7 +194,9 @@
             late = calls[-1].at - calls[0].at - self.plan.dedup_window
             if record.effect == UNSAFE and len(calls) > 1:
                 nodes = [call.node for call in calls]
-                text = f"{record.request}: shard {shard} reached nodes {nodes}, which may run it twice"
+                text = (
+                    f"{record.request}: shard {shard} reached nodes {nodes}, which may run it twice"
+                )
                 self._violate(Invariant.NO_DOUBLE_EFFECT, text, record.request)
             if record.effect == KEYED and late > READING and not self._hung(calls[-1]):
                 text = f"{record.request}: shard {shard} repeated {late:.0f} ms after its window"
@@ -206,7 +220,9 @@
         for (shard, _), events in calls.items():
             found[shard] += events
         return {
-            shard: sorted(events, key=lambda event: event.at) for shard, events in found.items() if events
+            shard: sorted(events, key=lambda event: event.at)
+            for shard, events in found.items()
+            if events
         }
 
     def _values(self, record: ClientRecord) -> None:
@@ -222,7 +238,9 @@
             left = record.sent + record.deadline - event.at
             if event.wait > left + WAIT_SLACK + READING and not self._hung(event):
                 text = f"{record.request}: node {event.node} was told {event.wait:.0f} ms"
-                self._violate(Invariant.DEADLINE_PASSED_ON, f"{text}, {left:.0f} were left", record.request)
+                self._violate(
+                    Invariant.DEADLINE_PASSED_ON, f"{text}, {left:.0f} were left", record.request
+                )
 
     # --- draining ---------------------------------------------------------------------
 
@@ -243,7 +261,9 @@
             if start < event.at < end:
                 late = event.at - start - self.plan.drain_grace
                 if late > READING and not self._hung(event):
-                    text = f"{event.request}: reached node {event.node} {late:.0f} ms after the grace"
+                    text = (
+                        f"{event.request}: reached node {event.node} {late:.0f} ms after the grace"
+                    )
                     self._violate(Invariant.NOTHING_TO_DRAINING, text, event.request)
 
     def _closed_spans(self, router: int) -> dict[str, list[tuple[float, float]]]:
@@ -276,7 +296,8 @@
         """When a change counts as told, whoever it was written to: discovery stood for so long on end."""
         due = at + TOLD_LATEST
         away = sorted(
-            (fault.at, fault.until) for fault in self.evidence.faults
+            (fault.at, fault.until)
+            for fault in self.evidence.faults
             if fault.kind in (FaultKind.DISCOVERY_HANG.name, FaultKind.DISCOVERY_CRASH.name)
         )
         for start, end in away:
@@ -313,7 +334,9 @@
                 while times[first] <= at - window + READING:  # a narrower window for what arrived
                     first += 1
                 self.verdict.exercised[Invariant.BUDGET] += 1
-                around = sum(n for t, n in taken[router] if at - window - READING < t <= at + READING)
+                around = sum(
+                    n for t, n in taken[router] if at - window - READING < t <= at + READING
+                )
                 if index - first + 1 > floor + share * around:
                     text = f"router {router}: {index - first + 1} repeats in {window:.0f} ms"
                     self._violate(Invariant.BUDGET, f"{text}, {floor + share * around:.1f} allowed")
--- a/tansycrank/lab/soak/plan.py
+++ b/tansycrank/lab/soak/plan.py
@@ -120,29 +120,60 @@
         count = len(EFFECTS)
         return {
             "caps": {
-                "attemptsCap": 3, "cancel": True, "maxRetryAfter": 500.0, "mayProbe": False, "openCap": 200,
-                "peers": False, "retryAfter": True, "secondCopies": True, "streamsPerConn": 8,
-                "connectTimeout": 250.0, "connIdle": 4_000.0,
+                "attemptsCap": 3,
+                "cancel": True,
+                "maxRetryAfter": 500.0,
+                "mayProbe": False,
+                "openCap": 200,
+                "peers": False,
+                "retryAfter": True,
+                "secondCopies": True,
+                "streamsPerConn": 8,
+                "connectTimeout": 250.0,
+                "connIdle": 4_000.0,
             },
             "clients": {"marksRetry": True},
             "discovery": "push" if self.pushed else "ask",
             "workload": "fanout",
             "familyInfo": {
-                "bundleMax": 4, "followUp": [0] * count, "inARow": 3, "minShare": [1.0] * count,
-                "perCallWork": 0.0, "positions": SHARDS, "shortWorth": [0.0] * count, "slabs": SHARDS,
+                "bundleMax": 4,
+                "followUp": [0] * count,
+                "inARow": 3,
+                "minShare": [1.0] * count,
+                "perCallWork": 0.0,
+                "positions": SHARDS,
+                "shortWorth": [0.0] * count,
+                "slabs": SHARDS,
                 "wholeAt": [1.0] * count,
             },
             "localities": list(ZONES),
-            "me": 0, "replicasOfMe": self.routers, "step": 5.0, "zone": 0,
+            "me": 0,
+            "replicasOfMe": self.routers,
+            "step": 5.0,
+            "zone": 0,
             "prices": {"crossZone": 0.0, "lateFail": 0.0, "probe": 0.0, "waste": 0.0},
             "rules": {
-                "askEvery": 8_000.0, "cold": 4_000.0, "coldFrom": 0.3, "fall": 1_000.0, "graceToAnswer": 20.0,
-                "overloadFactor": 2.0, "stopSendingWithin": self.drain_grace,
-                "extraFloor": 10.0, "repeatRatio": 0.2, "countedOver": 2_000.0,
+                "askEvery": 8_000.0,
+                "cold": 4_000.0,
+                "coldFrom": 0.3,
+                "fall": 1_000.0,
+                "graceToAnswer": 20.0,
+                "overloadFactor": 2.0,
+                "stopSendingWithin": self.drain_grace,
+                "extraFloor": 10.0,
+                "repeatRatio": 0.2,
+                "countedOver": 2_000.0,
             },
             "services": [
-                {"aim": self.give_up / 2, "effect": effect, "giveUp": self.give_up, "lateWorth": 0.5,
-                 "name": name, "points": 1.0, "window": self.dedup_window}
+                {
+                    "aim": self.give_up / 2,
+                    "effect": effect,
+                    "giveUp": self.give_up,
+                    "lateWorth": 0.5,
+                    "name": name,
+                    "points": 1.0,
+                    "window": self.dedup_window,
+                }
                 for name, effect in EFFECTS.items()
             ],
         }
@@ -162,17 +193,28 @@
         faults.append(_fault(chance, at, routers, nodes))
         at += chance.expovariate(1 / chance.choice((0.2, 0.5, 1.0)))
     return Plan(
-        seed, seconds, routers, nodes, client_processes, clients=chance.randint(4, 12),
-        wrong_from_the_start=wrong, give_up=chance.choice((800.0, 1_500.0, 2_000.0)),
-        dedup_window=chance.choice((150.0, 400.0, 1_000.0)), drain_grace=chance.choice((250.0, 500.0)),
-        pushed=chance.random() < 0.5, faults=tuple(faults),
+        seed,
+        seconds,
+        routers,
+        nodes,
+        client_processes,
+        clients=chance.randint(4, 12),
+        wrong_from_the_start=wrong,
+        give_up=chance.choice((800.0, 1_500.0, 2_000.0)),
+        dedup_window=chance.choice((150.0, 400.0, 1_000.0)),
+        drain_grace=chance.choice((250.0, 500.0)),
+        pushed=chance.random() < 0.5,
+        faults=tuple(faults),
     )
 
 
 def _fault(chance: random.Random, at: float, routers: int, nodes: int) -> Fault:
     kind = chance.choices(list(WEIGHTS), list(WEIGHTS.values()))[0]
     is_router = kind in (
-        FaultKind.WALL_CLOCK, FaultKind.ROUTER_PAUSE, FaultKind.ROUTER_RESTART, FaultKind.ROUTER_CRASH,
+        FaultKind.WALL_CLOCK,
+        FaultKind.ROUTER_PAUSE,
+        FaultKind.ROUTER_RESTART,
+        FaultKind.ROUTER_CRASH,
         FaultKind.ROUTER_CALLS,
     )
     target = chance.randrange(routers if is_router else nodes)
--- a/tansycrank/lab/soak/run.py
+++ b/tansycrank/lab/soak/run.py
@@ -58,7 +58,11 @@
 
 
 def soak(
-    seed: int, seconds: float = 20.0, most_processes: int = 40, folder: Path | None = None, bug: str = ""
+    seed: int,
+    seconds: float = 20.0,
+    most_processes: int = 40,
+    folder: Path | None = None,
+    bug: str = "",
 ) -> Report:
     """Play the plan of one seed; see `play`."""
     return play(draw(seed, seconds, most_processes), folder, bug)
@@ -85,7 +89,9 @@
     verdict = Oracle(evidence).judge()
     problems = fleet.problems + _told_by_routers(logs)
     faults = Counter(fault.kind for fault in fleet.faults)
-    return Report(plan, verdict, problems, faults, _checks(logs), failed_calls, time.monotonic() - began)
+    return Report(
+        plan, verdict, problems, faults, _checks(logs), failed_calls, time.monotonic() - began
+    )
 
 
 def _told_by_routers(logs: list[dict]) -> list[str]:
@@ -96,7 +102,9 @@
             text = f"router {event['router']}: {event['invariant']}: {event['detail']}"
             found.append(f"{text}; {event['request']}: {' | '.join(event['history'])}")
         elif "traceback" in event:
-            found.append(f"router {event['router']}: {event['event']}: {event['error']} {event['traceback']}")
+            found.append(
+                f"router {event['router']}: {event['event']}: {event['error']} {event['traceback']}"
+            )
     return found
 
 
@@ -126,7 +134,9 @@
         endings.update(report.verdict.endings)
         checks.update(report.router_checks)
         failed_calls.update(report.failed_calls)
-        exercised.update({kind.name.lower(): number for kind, number in report.verdict.exercised.items()})
+        exercised.update(
+            {kind.name.lower(): number for kind, number in report.verdict.exercised.items()}
+        )
     violations = Counter(v.invariant.name.lower() for r in reports for v in r.verdict.violations)
     return {
         "seeds": [report.plan.seed for report in reports],
--- a/tansycrank/lab/soak/seeded_bugs.py
+++ b/tansycrank/lab/soak/seeded_bugs.py
@@ -38,8 +38,15 @@
         if part.attempts:
             server = next(iter(self.pool.nodes))
             self.loop.reactor.callLater(
-                0.8, self.pool.send, part.name, server, part.shard, query.request.text, 500.0,
-                lambda *_: None, _Unchecked(),
+                0.8,
+                self.pool.send,
+                part.name,
+                server,
+                part.shard,
+                query.request.text,
+                500.0,
+                lambda *_: None,
+                _Unchecked(),
             )
 
     Coordinator._conclude = concluded
@@ -51,8 +58,15 @@
 
     def as_in_service(self: Coordinator, event: io.ServerList) -> None:
         entries = tuple(
-            io.Listed(one.server, one.cell, one.zone, io.Status.READY, one.came_up, one.size_hint,
-                      one.incarnation)
+            io.Listed(
+                one.server,
+                one.cell,
+                one.zone,
+                io.Status.READY,
+                one.came_up,
+                one.size_hint,
+                one.incarnation,
+            )
             for one in event.entries
         )
         heard(self, io.ServerList(event.kind, entries))
@@ -69,7 +83,9 @@
     """A request that may have run is called harmless to repeat."""
     answer = Lifecycle.answer
 
-    def refused(self: Lifecycle, request, kind: Answer, now: float, missing: int = 0) -> Answer | None:
+    def refused(
+        self: Lifecycle, request, kind: Answer, now: float, missing: int = 0
+    ) -> Answer | None:
         allowed = answer(self, request, kind, now, missing)
         return Answer.REFUSED if allowed is Answer.FAILED else allowed
 
@@ -117,14 +133,24 @@
     from tansycrank.platform import frames
 
     call = frames.call
-    frames.call = lambda parts: call((id, shard, wait + 5_000, *rest) for id, shard, wait, *rest in parts)
+    frames.call = lambda parts: call(
+        (id, shard, wait + 5_000, *rest) for id, shard, wait, *rest in parts
+    )
 
 
 BUGS: dict[str, Callable[[], None]] = {
     bug.__name__.replace("_", "-"): bug
     for bug in (
-        wall_clock, sends_after_the_end, deaf_to_drains, repeats_unsafe, refuses_what_ran, swaps_values,
-        never_gives_up, waits_for_halves, drops_at_the_end, tells_long_waits,
+        wall_clock,
+        sends_after_the_end,
+        deaf_to_drains,
+        repeats_unsafe,
+        refuses_what_ran,
+        swaps_values,
+        never_gives_up,
+        waits_for_halves,
+        drops_at_the_end,
+        tells_long_waits,
     )
 }
 
--- a/tansycrank/lab/tenants.py
+++ b/tansycrank/lab/tenants.py
@@ -157,7 +157,9 @@
             tenant.histogram.record_value(max(int(took * 1000), 1))
             if query.wait >= 0:
                 at = (now - self.start) * 1000
-                tenant.promises.append((query.first, query.wait, at - query.first, query.tries == 1))
+                tenant.promises.append(
+                    (query.first, query.wait, at - query.first, query.tries == 1)
+                )
             return
         _, mark, rest = data.partition(b"retry_after_ms=")
         if not mark:
--- a/tansycrank/lifecycle.py
+++ b/tansycrank/lifecycle.py
@@ -17,7 +17,9 @@
 from tansycrank.interface import Effect, ListKind, Outcome, ServerList, Settings, Status
 from tansycrank.state import SlidingSum
 
-LATE = 500.0  # ms after its deadline up to which an answer is merely worth nothing; later it is lost
+LATE = (
+    500.0  # ms after its deadline up to which an answer is merely worth nothing; later it is lost
+)
 HISTORY = 32  # events kept of one request
 
 
@@ -129,7 +131,9 @@
     window: float
     deadline: float
     state: RequestState = RequestState.OPEN
-    attempts: dict[Hashable, list[Attempt]] = field(default_factory=dict)  # by sub-request, in order
+    attempts: dict[Hashable, list[Attempt]] = field(
+        default_factory=dict
+    )  # by sub-request, in order
     answered: set[Hashable] = field(default_factory=set)  # sub-requests that have their answer
     history: deque[str] = field(default_factory=lambda: deque(maxlen=HISTORY))
 
@@ -141,7 +145,9 @@
     @property
     def may_have_run(self) -> bool:
         """Whether any of its attempts may have run."""
-        return any(attempt.may_have_run for attempts in self.attempts.values() for attempt in attempts)
+        return any(
+            attempt.may_have_run for attempts in self.attempts.values() for attempt in attempts
+        )
 
     def note(self, now: float, event: str) -> None:
         """Keep this for the case of a violation."""
@@ -188,7 +194,13 @@
     # --- requests -----------------------------------------------------------------------
 
     def take(
-        self, name: str, effect: Effect, window: float, deadline: float, sub_requests: int, now: float
+        self,
+        name: str,
+        effect: Effect,
+        window: float,
+        deadline: float,
+        sub_requests: int,
+        now: float,
     ) -> Request:
         """A request is taken: from now on its final answer is owed, until `deadline`."""
         request = Request(name, effect, window, deadline)
@@ -204,7 +216,9 @@
         """
         self.checked[Invariant.ONE_ANSWER] += 1
         if not request.open:
-            self._violate(Invariant.ONE_ANSWER, f"{kind.value} after {request.state.value}", request, now)
+            self._violate(
+                Invariant.ONE_ANSWER, f"{kind.value} after {request.state.value}", request, now
+            )
             return None
         self.checked[Invariant.ANSWER_IN_TIME] += 1
         if now > request.deadline + LATE:
@@ -230,7 +244,9 @@
         self.checked[Invariant.ANSWER_OWED] += 1
         for request in requests:
             if request.open:
-                self._violate(Invariant.ANSWER_OWED, f"its connection closes: {reason}", request, now)
+                self._violate(
+                    Invariant.ANSWER_OWED, f"its connection closes: {reason}", request, now
+                )
 
     def _close(self, request: Request, state: RequestState, event: str, now: float) -> None:
         request.state = state
@@ -240,7 +256,12 @@
     # --- attempts -----------------------------------------------------------------------
 
     def choose(
-        self, request: Request, sub_request: Hashable, endpoint: int, time_out: float, start_within: float,
+        self,
+        request: Request,
+        sub_request: Hashable,
+        endpoint: int,
+        time_out: float,
+        start_within: float,
         now: float,
     ) -> Attempt:
         """The policy wants an attempt; raises NotAllowed where none may be made.
@@ -273,7 +294,9 @@
                 self._repeated.add(now)
         if reason is not None:
             self.refused[reason] += 1
-            request.note(now, f"{attempt.sub_request}: not started at {attempt.endpoint}, {reason.value}")
+            request.note(
+                now, f"{attempt.sub_request}: not started at {attempt.endpoint}, {reason.value}"
+            )
             return reason
         attempt.started_at = now
         request.note(now, f"{attempt.sub_request}: started at {attempt.endpoint}")
@@ -318,7 +341,11 @@
 
     @staticmethod
     def _others(attempt: Attempt) -> list[Attempt]:
-        return [one for one in attempt.request.attempts.get(attempt.sub_request, ()) if one is not attempt]
+        return [
+            one
+            for one in attempt.request.attempts.get(attempt.sub_request, ())
+            if one is not attempt
+        ]
 
     def _is_repeat(self, attempt: Attempt) -> bool:
         """Whether another attempt of the same sub-request has left this process before."""
--- a/tansycrank/merge/blocks.py
+++ b/tansycrank/merge/blocks.py
@@ -163,7 +163,12 @@
     def settle(self, stream: PartStream | None = None) -> None:
         """Carry the mode out: commit, hold back, or spill."""
         for one in [stream] if stream is not None else list(self.streams):
-            if self.mode == "stream" and one.held and not one.committed and one.state in ("open", "whole"):
+            if (
+                self.mode == "stream"
+                and one.held
+                and not one.committed
+                and one.state in ("open", "whole")
+            ):
                 self.on_began(one)
             if self.mode in ("stream", "wait") and self.over(one):
                 one.hold_back(True)
@@ -222,7 +227,9 @@
 class Keeper:
     """All queries' memory: hears the governor and carries out what it says."""
 
-    def __init__(self, process: int, query: int, space: SpillSpace, now: Callable[[], float]) -> None:
+    def __init__(
+        self, process: int, query: int, space: SpillSpace, now: Callable[[], float]
+    ) -> None:
         self.governor, self.space, self.now = gov.Governor(process, query), space, now
         self.total = self.peak = 0
         self.queries: dict[int, Memory] = {}
--- a/tansycrank/merge/collected.py
+++ b/tansycrank/merge/collected.py
@@ -57,7 +57,9 @@
 
         return distinct
     if spec.kind in LISTED:
-        keys = [(k, types.order_key(fields[k.column].oid, fields[k.column].format)) for k in spec.order]
+        keys = [
+            (k, types.order_key(fields[k.column].oid, fields[k.column].format)) for k in spec.order
+        ]
 
         def listed(state, row):
             raw = row[column]
@@ -163,7 +165,9 @@
     if spec.kind == "array_agg":
         if field.oid not in types.ARRAY_OF:
             raise unsupported(f"array_agg() of type {types.type_name(field.oid)}")
-        return types.ARRAY_OF[field.oid], [None if r is None else decode(r) for r in raws] if raws else None
+        return types.ARRAY_OF[field.oid], [
+            None if r is None else decode(r) for r in raws
+        ] if raws else None
     if spec.kind == "string_agg":
         if field.oid not in types.TEXTUAL:
             raise unsupported(f"string_agg() of type {types.type_name(field.oid)}")
--- a/tansycrank/merge/governor.py
+++ b/tansycrank/merge/governor.py
@@ -15,7 +15,9 @@
 SMALL = MIB // 2  # bytes a query may hold before it counts as large
 RESERVE = 0.25  # of the bound, kept for small queries
 LEAST = 4 * MIB  # the least share with which a merge still goes on at a useful pace
-WORKING = 0.5  # of a share may be rows held back; the rest is for tables, runs and what is on its way out
+WORKING = (
+    0.5  # of a share may be rows held back; the rest is for tables, runs and what is on its way out
+)
 LINE = 64  # large queries that may wait
 KEPT_TIMES = 16  # durations of past large queries, for the time to come back
 GUESS = 2_000.0  # ms a large query takes, before one has been seen
@@ -110,7 +112,9 @@
     process: int
     query: int
     queries: dict[int, _Query] = field(default_factory=dict)
-    large: OrderedDict[int, None] = field(default_factory=OrderedDict)  # in the order of their start
+    large: OrderedDict[int, None] = field(
+        default_factory=OrderedDict
+    )  # in the order of their start
     line: deque[int] = field(default_factory=deque)
     times: deque[float] = field(default_factory=lambda: deque(maxlen=KEPT_TIMES))
 
@@ -144,7 +148,9 @@
 
     def _room_for(self, number: int) -> bool:
         """Whether one more large query finds its least share; the first always may (it waits for nobody)."""
-        return not self.large or self._pool(number) // (len(self.large) + 1) >= min(LEAST, self.query)
+        return not self.large or self._pool(number) // (len(self.large) + 1) >= min(
+            LEAST, self.query
+        )
 
     def _holds(self, now: float, number: int, held: int, actions: list) -> None:
         one = self.queries[number]
--- a/tansycrank/merge/operators.py
+++ b/tansycrank/merge/operators.py
@@ -116,7 +116,9 @@
 
     __slots__ = ("read", "over", "key", "frames", "keys", "at", "last", "name")
 
-    def __init__(self, read: Callable[[], bytes | None], over: Callable[[], bool], key, name: str) -> None:
+    def __init__(
+        self, read: Callable[[], bytes | None], over: Callable[[], bool], key, name: str
+    ) -> None:
         self.read, self.over, self.key, self.name = read, over, key, name
         self.frames: list[bytes] = []
         self.keys: list = []
@@ -152,7 +154,9 @@
 
 def run_source(run: Run, key) -> Source:
     """The rows of a sorted run."""
-    return Source(lambda: run.read() if run.left else None, lambda: not run.left, key, "a spilled run")
+    return Source(
+        lambda: run.read() if run.left else None, lambda: not run.left, key, "a spilled run"
+    )
 
 
 def list_source(pairs: list[tuple]) -> Source:
@@ -282,12 +286,16 @@
                 held = []
             if size >= memory.room:
                 held.sort(key=first)
-                yield from _spilled(runs, merge_sorted([list_source(one) for one in [*lists, held]]), memory)
+                yield from _spilled(
+                    runs, merge_sorted([list_source(one) for one in [*lists, held]]), memory
+                )
                 memory.table(-size)
                 lists, held, size = [], [], 0
                 if len(runs) >= FAN_IN:
                     old = runs[:]
-                    yield from _spilled(runs, merge_sorted([run_source(run, key) for run in old]), memory)
+                    yield from _spilled(
+                        runs, merge_sorted([run_source(run, key) for run in old]), memory
+                    )
                     for run in old:
                         run.close()
                     del runs[: len(old)]
@@ -404,7 +412,9 @@
                     size += table.cost(frame)
                 else:
                     aside.put(name, frame)
-            if retains and size >= memory.room:  # values seen before cost nothing: count what is really held
+            if (
+                retains and size >= memory.room
+            ):  # values seen before cost nothing: count what is really held
                 size = table.measured()
             memory.table(size - counted)
             counted = size
@@ -450,7 +460,9 @@
     def split(self, frame: bytes) -> tuple[tuple, bytes]:
         """(what tells the row apart, the row)."""
         row = read_row(frame)
-        return tuple([None if v is None else o(v) for o, v in zip(self.orders, row, strict=True)]), frame
+        return tuple(
+            [None if v is None else o(v) for o, v in zip(self.orders, row, strict=True)]
+        ), frame
 
     def add(self, key: tuple, frame: bytes) -> None:
         """A row of this key."""
--- a/tansycrank/merge/pipeline.py
+++ b/tansycrank/merge/pipeline.py
@@ -29,7 +29,9 @@
         return fields, op.concat(parts)
     shapes = {tuple((f.oid, f.format) for f in part.fields or ()) for part in parts}
     if len(shapes) != 1:
-        raise PgError("XX000", "shards answer with different columns", hint="are their tables alike?")
+        raise PgError(
+            "XX000", "shards answer with different columns", hint="are their tables alike?"
+        )
     limit, offset = scalar(plan.limit, params, "LIMIT"), scalar(plan.offset, params, "OFFSET") or 0
     rows = op.concat(parts)
     if plan.kind == "grouped":
@@ -53,7 +55,12 @@
 
 def streams(plan: MergePlan | None) -> bool:
     """Whether rows may leave before the parts are whole: nothing has to be seen to its end first."""
-    return plan is None or plan.kind != "grouped" and not plan.distinct and (not plan.sort or plan.presorted)
+    return (
+        plan is None
+        or plan.kind != "grouped"
+        and not plan.distinct
+        and (not plan.sort or plan.presorted)
+    )
 
 
 def explain(plan: MergePlan | None, memory_share: int, quota: int) -> list[str]:
@@ -67,7 +74,11 @@
         lines.append("Limit: stops the parts early")
     if plan.sort and plan.presorted:
         lines.append("Merge Sorted Parts: a block a part in memory; parts ahead are held back")
-    elif plan.sort and plan.limit.value is not None and plan.limit.value + (plan.offset.value or 0) <= TOP:
+    elif (
+        plan.sort
+        and plan.limit.value is not None
+        and plan.limit.value + (plan.offset.value or 0) <= TOP
+    ):
         lines.append(f"Top {plan.limit.value + (plan.offset.value or 0)}: {share}, no spill")
     elif plan.sort:
         lines.append(f"External Sort: {share}, runs to disk (quota {quota // 2**20} MB)")
--- a/tansycrank/merge/rows.py
+++ b/tansycrank/merge/rows.py
@@ -33,7 +33,9 @@
     fields: tuple[Field, ...] | None
     rows: Sequence[bytes]
     tag: str
-    stream: object = None  # a RowStream in the place of `rows`, for answers too large to be made at once
+    stream: object = (
+        None  # a RowStream in the place of `rows`, for answers too large to be made at once
+    )
     memory: object = None  # what is held for it until it has been written out
 
 
@@ -75,7 +77,9 @@
     limit, offset = scalar(plan.limit, params, "LIMIT"), scalar(plan.offset, params, "OFFSET") or 0
     shapes = {tuple((f.oid, f.format) for f in part.fields) for part in parts}
     if len(shapes) != 1:
-        raise PgError("XX000", "shards answer with different columns", hint="are their tables alike?")
+        raise PgError(
+            "XX000", "shards answer with different columns", hint="are their tables alike?"
+        )
     if plan.kind == "grouped":
         return _grouped(plan, parts, params, oids, results, limit, offset, told)
     return _plain(plan, parts, limit, offset)
@@ -115,7 +119,9 @@
         orders = [types.order_key(f.oid, f.format) for f in visible]
         seen: dict[tuple, tuple] = {}
         for row in rows:
-            key = tuple(None if v is None else order(v) for order, v in zip(orders, row[1:], strict=False))
+            key = tuple(
+                None if v is None else order(v) for order, v in zip(orders, row[1:], strict=False)
+            )
             seen.setdefault(key, row)
         rows = list(seen.values())
     rows = _cut(sort_rows(rows, plan.sort, fields, 1), limit, offset)
@@ -216,7 +222,9 @@
         row = read_row(frame)
         if len(self._orders) == 1:
             return None if row[0] is None else self._orders[0](row[0]), row
-        return tuple([None if v is None else o(v) for o, v in zip(self._orders, row, strict=False)]), row
+        return tuple(
+            [None if v is None else o(v) for o, v in zip(self._orders, row, strict=False)]
+        ), row
 
     def add(self, key: object, row: list) -> None:
         """A part's row of this group."""
@@ -232,7 +240,9 @@
 
     def measured(self) -> int:
         """Bytes its groups take, about, where they hold values."""
-        held = sum(len(v) for entry in self.groups.values() for v in entry if isinstance(v, list | dict))
+        held = sum(
+            len(v) for entry in self.groups.values() for v in entry if isinstance(v, list | dict)
+        )
         return held * VALUE_COST + len(self.groups) * self.cost(b"")
 
     def _values(self, heads: list[tuple], totals: list[tuple]) -> list[tuple]:
@@ -255,7 +265,9 @@
         for entry in self.groups.values():
             if self._plain is not None:
                 values = [entry[at] for at in self._plain]
-                out.append(data_row([str(_int8(v)).encode() if type(v) is int else v for v in values]))
+                out.append(
+                    data_row([str(_int8(v)).encode() if type(v) is int else v for v in values])
+                )
             else:
                 heads = [
                     (f.oid, None if v is None else types.decode(f.oid, f.format, v))
@@ -298,7 +310,9 @@
     rows = [tuple(read_row(frame)) for frames in table.result() for frame in frames]
     rows = _cut(sort_rows(rows, plan.sort, table.fields), limit, offset)
     visible = len(plan.outputs) - plan.hidden
-    return Result(table.fields[:visible], [data_row(row[:visible]) for row in rows], f"SELECT {len(rows)}")
+    return Result(
+        table.fields[:visible], [data_row(row[:visible]) for row in rows], f"SELECT {len(rows)}"
+    )
 
 
 def _told(told: tuple[Field, ...] | None, values: list[tuple]) -> list[tuple]:
--- a/tansycrank/merge/spill.py
+++ b/tansycrank/merge/spill.py
@@ -29,7 +29,9 @@
     def __init__(self, directory: str, quota: int) -> None:
         self.quota, self.used, self.peak, self.total, self.runs = quota, 0, 0, 0, 0
         self._directory = (
-            Path(directory) if directory else Path(tempfile.gettempdir()) / f"tansycrank-{os.getuid()}"
+            Path(directory)
+            if directory
+            else Path(tempfile.gettempdir()) / f"tansycrank-{os.getuid()}"
         )
         self._ready = False
 
@@ -76,7 +78,10 @@
     def __init__(self, space: SpillSpace, handle: int) -> None:
         self.space, self.size, self.raw = space, 0, 0
         self._handle, self._read_at, self._open = handle, 0, True
-        self._packer, self._unpacker = zstandard.ZstdCompressor(level=LEVEL), zstandard.ZstdDecompressor()
+        self._packer, self._unpacker = (
+            zstandard.ZstdCompressor(level=LEVEL),
+            zstandard.ZstdDecompressor(),
+        )
 
     def append(self, block: bytes) -> None:
         """Write a block. Raises PgError 53100 or 58030; the run is to be closed then."""
--- a/tansycrank/merge/values.py
+++ b/tansycrank/merge/values.py
@@ -12,9 +12,15 @@
 from tansycrank.sql.plan import Expression
 
 EXACT = decimal.Context(prec=20_000, rounding=decimal.ROUND_HALF_UP, Emax=999_999, Emin=-999_999)
-MIN_SIGNIFICANT, DIGITS_A_GROUP, MAX_SCALE = 16, 4, 1000  # numeric.c: NUMERIC_MIN_SIG_DIGITS, DEC_DIGITS, ...
+MIN_SIGNIFICANT, DIGITS_A_GROUP, MAX_SCALE = (
+    16,
+    4,
+    1000,
+)  # numeric.c: NUMERIC_MIN_SIG_DIGITS, DEC_DIGITS, ...
 
-Typed = tuple  # (oid, value); a value of None is NULL, an oid of 0 a literal whose type is still open
+Typed = (
+    tuple  # (oid, value); a value of None is NULL, an oid of 0 a literal whose type is still open
+)
 
 
 def add(left: object, right: object) -> object:
@@ -22,7 +28,11 @@
     if isinstance(left, Decimal):
         return EXACT.add(left, right)
     total = left + right
-    if isinstance(total, float) and math.isinf(total) and not (math.isinf(left) or math.isinf(right)):
+    if (
+        isinstance(total, float)
+        and math.isinf(total)
+        and not (math.isinf(left) or math.isinf(right))
+    ):
         raise PgError(OUT_OF_RANGE, "value out of range: overflow")
     return total
 
@@ -71,11 +81,16 @@
     below = Decimal(count * (count - 1) if sample else count * count)
     unit = Decimal(1).scaleb(-div_scale(above, below))
     variance = EXACT.divide(above, below).quantize(unit, context=EXACT)
-    return variance if kind.startswith("var") else EXACT.sqrt(variance).quantize(unit, context=EXACT)
+    return (
+        variance if kind.startswith("var") else EXACT.sqrt(variance).quantize(unit, context=EXACT)
+    )
 
 
 def evaluate(
-    expression: Expression, groups: Sequence[Typed], aggregates: Sequence[Typed], params: Sequence[Typed]
+    expression: Expression,
+    groups: Sequence[Typed],
+    aggregates: Sequence[Typed],
+    params: Sequence[Typed],
 ) -> Typed:
     """The value of an expression of a merge plan, three-valued logic included."""
     kind, *args = expression
@@ -144,7 +159,9 @@
         return check_range(oid, typed[1])
     if oid in (types.FLOAT4, types.FLOAT8) and isinstance(typed[1], int | Decimal):
         return float(typed[1])
-    raise unsupported(f"mixing types {types.type_name(typed[0])} and {types.type_name(oid)} over aggregates")
+    raise unsupported(
+        f"mixing types {types.type_name(typed[0])} and {types.type_name(oid)} over aggregates"
+    )
 
 
 def as_told(oid: int, typed: Typed) -> Typed:
@@ -182,7 +199,11 @@
     return {"=": a == b, "<>": a != b, "<": a < b, ">": a > b, "<=": a <= b, ">=": a >= b}[sign]
 
 
-SUMS = {types.INT2: types.INT8, types.INT4: types.INT8, types.INT8: types.NUMERIC}  # else the type itself
+SUMS = {
+    types.INT2: types.INT8,
+    types.INT4: types.INT8,
+    types.INT8: types.NUMERIC,
+}  # else the type itself
 
 
 def sum_type(oid: int) -> int:
--- a/tansycrank/merge/work.py
+++ b/tansycrank/merge/work.py
@@ -58,7 +58,9 @@
             self._fail(problem)
             return False
         except Exception as problem:  # a fault of an operator ends this query alone
-            self._fail(PgError(INTERNAL, f"merging the parts failed: {type(problem).__name__}: {problem}"))
+            self._fail(
+                PgError(INTERNAL, f"merging the parts failed: {type(problem).__name__}: {problem}")
+            )
             return False
         if block is None:
             return False
--- a/tansycrank/pg/copy.py
+++ b/tansycrank/pg/copy.py
@@ -90,7 +90,9 @@
     given = {name.lower(): value for name, value in options}
     kind = str(given.pop("format", "text")).lower()
     if kind not in ("text", "csv", "binary"):
-        raise PgError(INVALID_PARAMETER, f"COPY format {kind!r} not recognized", hint="text, csv or binary")
+        raise PgError(
+            INVALID_PARAMETER, f"COPY format {kind!r} not recognized", hint="text, csv or binary"
+        )
     delimiter = str(given.pop("delimiter", "," if kind == "csv" else "\t")).encode()
     null = str(given.pop("null", "" if kind == "csv" else "\\N")).encode()
     header = str(given.pop("header", "false")).lower() in ("true", "on", "1", "match")
--- a/tansycrank/pg/errors.py
+++ b/tansycrank/pg/errors.py
@@ -42,7 +42,9 @@
 class PgError(Exception):
     """An error for a client: SQLSTATE, message, and the optional fields of ErrorResponse."""
 
-    def __init__(self, state: str, message: str, detail: str = "", hint: str = "", severity: str = "ERROR"):
+    def __init__(
+        self, state: str, message: str, detail: str = "", hint: str = "", severity: str = "ERROR"
+    ):
         super().__init__(message)
         self.state, self.message, self.detail, self.hint = state, message, detail, hint
         self.severity = severity
@@ -71,7 +73,9 @@
 
 def unsupported(construct: str, hint: str = "") -> PgError:
     """The refusal of a statement whose parts can't be merged exactly; it names the construct."""
-    return PgError(FEATURE_NOT_SUPPORTED, f"not supported over several shards: {construct}", hint=hint)
+    return PgError(
+        FEATURE_NOT_SUPPORTED, f"not supported over several shards: {construct}", hint=hint
+    )
 
 
 class ProtocolError(PgError):
--- a/tansycrank/pg/messages.py
+++ b/tansycrank/pg/messages.py
@@ -16,7 +16,11 @@
 PROTOCOL_3 = 196608
 CANCEL_CODE, SSL_CODE, GSS_CODE = 80877102, 80877103, 80877104
 INT, SHORT, HEAD = struct.Struct("!i"), struct.Struct("!h"), struct.Struct("!ci")
-SYNC_FRAME, FLUSH_FRAME, TERMINATE_FRAME = b"S\x00\x00\x00\x04", b"H\x00\x00\x00\x04", b"X\x00\x00\x00\x04"
+SYNC_FRAME, FLUSH_FRAME, TERMINATE_FRAME = (
+    b"S\x00\x00\x00\x04",
+    b"H\x00\x00\x00\x04",
+    b"X\x00\x00\x00\x04",
+)
 FRONTEND_TYPES = frozenset(b"BCDEFHPQSXcdfp")
 
 
@@ -90,7 +94,9 @@
                     continue
             length = unpack(data, at + 1)[0]
             if length < 4 or length > self._limit or data[at] == 0x44 and length < 6:
-                raise ProtocolError(f"message of type {chr(data[at])!r} says {length} bytes", "54000")
+                raise ProtocolError(
+                    f"message of type {chr(data[at])!r} says {length} bytes", "54000"
+                )
             end = at + 1 + length
             if end > size:
                 break
@@ -145,7 +151,9 @@
     def end(self) -> None:
         """Nothing may follow."""
         if self.at != len(self.body):
-            raise ProtocolError(f"{len(self.body) - self.at} bytes too many at the end of a message")
+            raise ProtocolError(
+                f"{len(self.body) - self.at} bytes too many at the end of a message"
+            )
 
 
 # --- from clients ---------------------------------------------------------------
@@ -256,7 +264,9 @@
         reader.end()
         return cancel
     if code >> 16 != 3:
-        raise ProtocolError(f"protocol {code >> 16}.{code & 0xFFFF} is not supported; 3.0 is", "0A000")
+        raise ProtocolError(
+            f"protocol {code >> 16}.{code & 0xFFFF} is not supported; 3.0 is", "0A000"
+        )
     parameters = {}
     while True:
         name = reader.text()
@@ -367,7 +377,8 @@
     body = [SHORT.pack(len(fields))]
     for f in fields:
         body.append(
-            _z(f.name) + struct.pack("!IhIhih", f.table, f.column, f.oid, f.size, f.modifier, f.format)
+            _z(f.name)
+            + struct.pack("!IhIhih", f.table, f.column, f.oid, f.size, f.modifier, f.format)
         )
     return frame(b"T", b"".join(body))
 
@@ -423,7 +434,12 @@
 
 def cancel_request(pid: int, secret: int) -> bytes:
     """A CancelRequest, to be sent on a connection of its own."""
-    return INT.pack(16) + INT.pack(CANCEL_CODE) + INT.pack(pid) + struct.pack("!I", secret & 0xFFFFFFFF)
+    return (
+        INT.pack(16)
+        + INT.pack(CANCEL_CODE)
+        + INT.pack(pid)
+        + struct.pack("!I", secret & 0xFFFFFFFF)
+    )
 
 
 def query(sql: str) -> bytes:
--- a/tansycrank/pg/server.py
+++ b/tansycrank/pg/server.py
@@ -213,7 +213,9 @@
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
         self.factory.opened(self)
-        self._login = self.factory.reactor.callLater(self.limits.login_timeout_ms / 1000, self._too_late)
+        self._login = self.factory.reactor.callLater(
+            self.limits.login_timeout_ms / 1000, self._too_late
+        )
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
         try:
@@ -241,7 +243,9 @@
         self.advance()
 
     def _tenant(self) -> str:
-        return self.service.identity.who(self.caller, self.settings.get("tansycrank.tenant", "")).tenant
+        return self.service.identity.who(
+            self.caller, self.settings.get("tansycrank.tenant", "")
+        ).tenant
 
     def connectionLost(self, reason=None) -> None:  # noqa: N802
         self.state = "closed"
@@ -280,7 +284,9 @@
         stop = self._blocked or self._queued > self.limits.max_pending
         if stop != self._paused and self.state != "closed":
             self._paused = stop
-            transport = getattr(self.transport, "pauseProducing" if stop else "resumeProducing", None)
+            transport = getattr(
+                self.transport, "pauseProducing" if stop else "resumeProducing", None
+            )
             if transport is not None:
                 transport()
 
@@ -291,7 +297,9 @@
         while self.state == "startup" and len(self._startup) >= 4:
             size = pg.INT.unpack_from(self._startup)[0]
             if not 8 <= size <= STARTUP_LIMIT:
-                raise ProtocolError(f"startup packet says {size} bytes; allowed 8 to {STARTUP_LIMIT}")
+                raise ProtocolError(
+                    f"startup packet says {size} bytes; allowed 8 to {STARTUP_LIMIT}"
+                )
             if len(self._startup) < size:
                 return b""
             body, self._startup = self._startup[4:size], self._startup[size:]
@@ -304,7 +312,9 @@
                     self.hang_up()
                 case pg.Startup(parameters):
                     self._start(parameters)
-        rest, self._startup = (self._startup, b"") if self.state == "ready" else (b"", self._startup)
+        rest, self._startup = (
+            (self._startup, b"") if self.state == "ready" else (b"", self._startup)
+        )
         return rest
 
     def _start(self, parameters: dict[str, str]) -> None:
@@ -344,7 +354,9 @@
             if equals:
                 yield name.replace("-", "_"), value
         for name, value in parameters.items():
-            if name not in ("user", "database", "options", "replication") and not name.startswith("_pq_."):
+            if name not in ("user", "database", "options", "replication") and not name.startswith(
+                "_pq_."
+            ):
                 yield name, value
 
     def shut(self) -> None:
@@ -354,7 +366,9 @@
     def _too_late(self) -> None:
         self._fatal(
             PgError(
-                "57P05", f"no startup packet within {self.limits.login_timeout_ms:.0f} ms", severity="FATAL"
+                "57P05",
+                f"no startup packet within {self.limits.login_timeout_ms:.0f} ms",
+                severity="FATAL",
             )
         )
 
@@ -366,13 +380,17 @@
             return
         self._advancing = True
         try:
-            while self.state == "ready" and not self._busy and not self._blocked and not self._ending:
+            while (
+                self.state == "ready" and not self._busy and not self._blocked and not self._ending
+            ):
                 if self._write is not None and self._queue:
                     self._deferred_write()
                     continue
                 if self._describe is not None and self._queue:
                     following = self._queue[0][0]
-                    if not (isinstance(following, pg.Execute) and following.portal == self._describe):
+                    if not (
+                        isinstance(following, pg.Execute) and following.portal == self._describe
+                    ):
                         name, self._describe = self._describe, None
                         self._describe_portal(name)
                         continue
@@ -449,7 +467,9 @@
             running, self._running = self._running, None
             self.service.cancel(running, left=True)
         if self.factory.log:
-            self.factory.log.info("session ended", pid=self.pid, state=problem.state, reason=problem.message)
+            self.factory.log.info(
+                "session ended", pid=self.pid, state=problem.state, reason=problem.message
+            )
 
     def hang_up(self) -> None:
         """Close once what is written has gone out; a client that reads nothing gets a bounded time for it."""
@@ -541,7 +561,9 @@
                 hint="blocks are read-only here; write in autocommit mode, one shard a statement",
             )
 
-    def _wait_for(self, start: Callable[[Callable], Running | None], done: Callable[[object], None]) -> None:
+    def _wait_for(
+        self, start: Callable[[Callable], Running | None], done: Callable[[object], None]
+    ) -> None:
         """Begin what takes its time; `done` hears its outcome once, unless the client leaves before."""
         self._busy, over = True, False
 
@@ -601,12 +623,18 @@
                 if not command.name:
                     self.statements.clear()
                 elif self.statements.pop(command.name, None) is None:
-                    raise PgError(NO_SUCH_STATEMENT, f"prepared statement {command.name!r} does not exist")
+                    raise PgError(
+                        NO_SUCH_STATEMENT, f"prepared statement {command.name!r} does not exist"
+                    )
             case "begin":
                 if self.block != "I":
                     out.append(
                         pg.notice_response(
-                            PgError("25001", "there is already a transaction in progress", severity="WARNING")
+                            PgError(
+                                "25001",
+                                "there is already a transaction in progress",
+                                severity="WARNING",
+                            )
                         )
                     )
                 else:
@@ -619,7 +647,9 @@
                 if self.block == "I":
                     out.append(
                         pg.notice_response(
-                            PgError("25P01", "there is no transaction in progress", severity="WARNING")
+                            PgError(
+                                "25P01", "there is no transaction in progress", severity="WARNING"
+                            )
                         )
                     )
                 if self.block == "E":
@@ -675,7 +705,9 @@
             return []
         if low == "datestyle":
             if not value.strip().lower().startswith("iso"):
-                raise PgError(INVALID_PARAMETER, f"DateStyle can't be {value!r} here", hint="allowed: ISO")
+                raise PgError(
+                    INVALID_PARAMETER, f"DateStyle can't be {value!r} here", hint="allowed: ISO"
+                )
             return []
         if low == "statement_timeout":
             self.settings[low] = duration(low, value)
@@ -687,7 +719,9 @@
         self.settings[low] = value
         return [pg.parameter_status(REPORTED[low], value)] if low in REPORTED else []
 
-    def _local_fields(self, prepared: Prepared, results: tuple[int, ...] = ()) -> tuple[pg.Field, ...] | None:
+    def _local_fields(
+        self, prepared: Prepared, results: tuple[int, ...] = ()
+    ) -> tuple[pg.Field, ...] | None:
         local = prepared.local
         if local.command == "show":
             view = self.service.view(local.name.lower(), self.caller)
@@ -729,7 +763,8 @@
     def _check_size(self, sql: str) -> tuple[str, str]:
         if len(sql) > self.limits.max_statement:
             raise PgError(
-                TOO_LARGE, f"the statement has {len(sql)} characters; allowed {self.limits.max_statement}"
+                TOO_LARGE,
+                f"the statement has {len(sql)} characters; allowed {self.limits.max_statement}",
             )
         return split_comment(sql)
 
@@ -760,7 +795,9 @@
                 self.transport.write(pg.command_complete(tag))
                 self._next_simple(rest, comment)
 
-            request = Request(prepared, comment=comment, settings=dict(self.settings), caller=self.caller)
+            request = Request(
+                prepared, comment=comment, settings=dict(self.settings), caller=self.caller
+            )
             try:
                 self._answer(request, True, then)
             except PgError as problem:
@@ -788,7 +825,9 @@
             if isinstance(outcome, PgError):
                 then(None, outcome)
             elif command == "declare":
-                self.cursors[prepared.local.name] = Cursor(outcome, used=self.factory.reactor.seconds())
+                self.cursors[prepared.local.name] = Cursor(
+                    outcome, used=self.factory.reactor.seconds()
+                )
                 self.factory.watch_cursors()
                 then("DECLARE CURSOR", None)
             else:
@@ -830,12 +869,15 @@
             raise PgError("42P03", f"cursor {name!r} already exists")
         if len(self.cursors) >= self.service.config.merge.max_cursors:
             raise PgError(
-                LIMIT_EXCEEDED, f"more than {self.service.config.merge.max_cursors} cursors in a session"
+                LIMIT_EXCEEDED,
+                f"more than {self.service.config.merge.max_cursors} cursors in a session",
             )
 
     def _cursor(self, name: str) -> Cursor:
         if name not in self.cursors:
-            raise PgError(NO_SUCH_PORTAL, f"cursor {name!r} does not exist, or was idle for too long")
+            raise PgError(
+                NO_SUCH_PORTAL, f"cursor {name!r} does not exist, or was idle for too long"
+            )
         return self.cursors[name]
 
     def _fetch(self, command: Local, described: bool, then: Callable) -> None:
@@ -862,10 +904,13 @@
 
     def _parse(self, message: pg.Parse) -> None:
         if message.name and message.name in self.statements:
-            raise PgError(DUPLICATE_STATEMENT, f"prepared statement {message.name!r} already exists")
+            raise PgError(
+                DUPLICATE_STATEMENT, f"prepared statement {message.name!r} already exists"
+            )
         if message.name not in self.statements and len(self.statements) >= self.limits.max_prepared:
             raise PgError(
-                LIMIT_EXCEEDED, f"more than {self.limits.max_prepared} prepared statements in a session"
+                LIMIT_EXCEEDED,
+                f"more than {self.limits.max_prepared} prepared statements in a session",
             )
         comment, rest = self._check_size(message.sql)
         statements = self.service.prepare(rest, message.oids)
@@ -893,7 +938,9 @@
         if message.portal and message.portal in self.portals:
             raise PgError(DUPLICATE_PORTAL, f"portal {message.portal!r} already exists")
         if len(self.portals) >= self.limits.max_portals and message.portal not in self.portals:
-            raise PgError(LIMIT_EXCEEDED, f"more than {self.limits.max_portals} portals in a session")
+            raise PgError(
+                LIMIT_EXCEEDED, f"more than {self.limits.max_portals} portals in a session"
+            )
         wanted = len(statement.prepared.oids) if statement.prepared else 0
         if len(message.values) != wanted:
             raise PgError(
@@ -929,7 +976,9 @@
                 done(found)
 
         settings = dict(self.settings)
-        self._wait_for(lambda done: self.service.describe(prepared, settings, done, self.caller), told)
+        self._wait_for(
+            lambda done: self.service.describe(prepared, settings, done, self.caller), told
+        )
 
     def _describe_statement(self, name: str) -> None:
         statement = self._statement(name)
@@ -939,13 +988,17 @@
         if statement.prepared.local is not None:
             fields = self._local_fields(statement.prepared)
             head = pg.parameter_description(statement.prepared.oids)
-            self.transport.write(head + (pg.NO_DATA if fields is None else pg.row_description(fields)))
+            self.transport.write(
+                head + (pg.NO_DATA if fields is None else pg.row_description(fields))
+            )
             return
 
         def told(found: tuple) -> None:
             oids, fields = found
             tail = pg.NO_DATA if fields is None else pg.row_description(_with_formats(fields, ()))
-            self.transport.write(pg.parameter_description([oid or types.TEXT for oid in oids]) + tail)
+            self.transport.write(
+                pg.parameter_description([oid or types.TEXT for oid in oids]) + tail
+            )
 
         self._asked(statement.prepared, told)
 
@@ -965,7 +1018,9 @@
             def told(found: tuple) -> None:
                 fields = found[1]
                 self.transport.write(
-                    pg.NO_DATA if fields is None else pg.row_description(_with_formats(fields, results))
+                    pg.NO_DATA
+                    if fields is None
+                    else pg.row_description(_with_formats(fields, results))
                 )
 
             self._asked(prepared, told)
@@ -997,7 +1052,13 @@
             if prepared.compute is not None:
                 values = self.service.decoded(prepared, portal.bind.values, portal.bind.formats)
                 local = prepared.compute(values)
-            head = b"" if not described else pg.NO_DATA if fields is None else pg.row_description(fields)
+            head = (
+                b""
+                if not described
+                else pg.NO_DATA
+                if fields is None
+                else pg.row_description(fields)
+            )
             answer = self._local(local)
             if fields is not None and any(f.format for f in fields):
                 answer = _as_binary(fields, answer)
@@ -1101,7 +1162,9 @@
         out.append(
             pg.data_row(
                 [
-                    v if v is None or not f.format else types.encode(f.oid, 1, types.decode(f.oid, 0, v))
+                    v
+                    if v is None or not f.format
+                    else types.encode(f.oid, 1, types.decode(f.oid, 0, v))
                     for v, f in zip(values, fields, strict=True)
                 ]
             )
@@ -1132,7 +1195,9 @@
         """A connection came."""
         self.accepted += 1
         self.sessions.add(session)
-        if len(self.sessions) > 2 * self.limits.max_sessions:  # danger: connections that never log in
+        if (
+            len(self.sessions) > 2 * self.limits.max_sessions
+        ):  # danger: connections that never log in
             session.transport.abortConnection()
 
     def closed(self, session: Session) -> None:
@@ -1146,7 +1211,9 @@
             return PgError(CANNOT_CONNECT_NOW, "the router is shutting down", severity="FATAL")
         if len(self._keys) >= self.limits.max_sessions:
             return PgError(
-                TOO_MANY_CONNECTIONS, f"more than {self.limits.max_sessions} sessions", severity="FATAL"
+                TOO_MANY_CONNECTIONS,
+                f"more than {self.limits.max_sessions} sessions",
+                severity="FATAL",
             )
         return None
 
--- a/tansycrank/pg/types.py
+++ b/tansycrank/pg/types.py
@@ -136,7 +136,9 @@
         weight -= 1
     while groups and groups[-1] == 0:
         groups.pop()
-    head = struct.pack("!hhHh", len(groups), weight if groups else 0, 0x4000 if sign and groups else 0, scale)
+    head = struct.pack(
+        "!hhHh", len(groups), weight if groups else 0, 0x4000 if sign and groups else 0, scale
+    )
     return head + struct.pack(f"!{len(groups)}h", *groups)
 
 
@@ -233,7 +235,9 @@
         else:
             text = encode(element, 0, value).decode()
             plain = text and text.upper() != "NULL" and not re.search(r'[{}",\\\s]', text)
-            parts.append(text if plain else '"' + text.replace("\\", "\\\\").replace('"', '\\"') + '"')
+            parts.append(
+                text if plain else '"' + text.replace("\\", "\\\\").replace('"', '\\"') + '"'
+            )
     return "{" + ",".join(parts) + "}"
 
 
@@ -289,7 +293,9 @@
     if text.startswith("\\x"):
         return bytes.fromhex(text[2:])
     return re.sub(
-        rb"\\(\\|[0-7]{3})", lambda m: b"\\" if m[1] == b"\\" else bytes([int(m[1], 8)]), text.encode()
+        rb"\\(\\|[0-7]{3})",
+        lambda m: b"\\" if m[1] == b"\\" else bytes([int(m[1], 8)]),
+        text.encode(),
     )
 
 
@@ -359,7 +365,11 @@
         if oid in (FLOAT4, FLOAT8):
             return _float_out(float(value), oid).encode()
         if oid == NUMERIC:
-            return format(Decimal(value), "f").encode() if Decimal(value).is_finite() else str(value).encode()
+            return (
+                format(Decimal(value), "f").encode()
+                if Decimal(value).is_finite()
+                else str(value).encode()
+            )
         if oid == DATE:
             return _stamp_out(value * DAY, False).split(" ")[0].encode()
         if oid in (TIMESTAMP, TIMESTAMPTZ):
@@ -435,7 +445,9 @@
 
         def number(data: bytes) -> tuple:
             value = decode(oid, code, data)
-            return (1, 0) if value != value else (0, value)  # danger: NaN equals itself and is the greatest
+            return (
+                (1, 0) if value != value else (0, value)
+            )  # danger: NaN equals itself and is the greatest
 
         return number
     return decoder(oid, code)
--- a/tansycrank/platform/client_connection.py
+++ b/tansycrank/platform/client_connection.py
@@ -82,7 +82,9 @@
             self.server.read_on(self)
         if self.closing or self.fault is not None:
             self.dropped += len(data)
-            if self.dropped > MAX_DROPPED:  # danger: reading on what is of no use, 60 MB at full speed
+            if (
+                self.dropped > MAX_DROPPED
+            ):  # danger: reading on what is of no use, 60 MB at full speed
                 self.transport.pauseProducing()
                 self._give_back()
         elif self.unread_since is not None:
@@ -181,9 +183,16 @@
             raise Refused(405, "a query is a POST")
         settings = server.settings
         slot.told = codec.read(
-            path, url.query or b"", self.headers, bytes(self.body), settings.classes, settings.module.shards
+            path,
+            url.query or b"",
+            self.headers,
+            bytes(self.body),
+            settings.classes,
+            settings.module.shards,
         )
-        self.read_at = server.now - server.overslept()  # danger: nodes are told time that its client lacks
+        self.read_at = (
+            server.now - server.overslept()
+        )  # danger: nodes are told time that its client lacks
         server.settle(self)
 
     def admit(self) -> None:
@@ -200,7 +209,9 @@
                 slot.query = self.server.coordinator.take(told, reply, waited)
             except Refused as refused:
                 self._unusable(slot, refused)
-            except Exception as error:  # danger: one query's fault, and those read with it are never taken
+            except (
+                Exception
+            ) as error:  # danger: one query's fault, and those read with it are never taken
                 self.server.log("a query could not be taken", error=repr(error), traceback=True)
                 self._unusable(slot, Refused(503, "it could not be taken"))
         self.flush()
@@ -240,7 +251,10 @@
     def _refuse(self, status: int, words: str) -> None:
         """The connection cannot go on: an error and a close."""
         self.server.counts["unreadable"] += 1
-        self.fault = (status, words)  # danger: what follows would be refused anew, a place in line each time
+        self.fault = (
+            status,
+            words,
+        )  # danger: what follows would be refused anew, a place in line each time
         if self.slots:  # answers before it are still owed; the close follows the last of them
             self.slots.append(Slot(False, (status, codec.words(words), ())))
             self.in_message = False
@@ -315,4 +329,6 @@
             if slot.query is not None:
                 self.server.coordinator.abandon(slot.query)
         self.slots.clear()
-        self.parser = None  # it holds this connection's methods: a ring that only the collector would find
+        self.parser = (
+            None  # it holds this connection's methods: a ring that only the collector would find
+        )
--- a/tansycrank/platform/connection_pool.py
+++ b/tansycrank/platform/connection_pool.py
@@ -32,12 +32,23 @@
     """The links of this router: at most `max_links`, at most `streams` parts on each, `call_parts` a call."""
 
     def __init__(
-        self, reactor, streams: int, call_parts: int, connect_timeout: float, idle: float, max_links: int,
-        log: Callable[..., None], drain_grace: float = float("inf"),
+        self,
+        reactor,
+        streams: int,
+        call_parts: int,
+        connect_timeout: float,
+        idle: float,
+        max_links: int,
+        log: Callable[..., None],
+        drain_grace: float = float("inf"),
     ) -> None:
         """`connect_timeout`, `idle` (after which nodes close unused connections) and `drain_grace` are ms."""
         self.reactor, self.streams, self.call_parts, self.log = reactor, streams, call_parts, log
-        self.connect_timeout, self.idle, self.max_links = connect_timeout / 1000, idle / 1000, max_links
+        self.connect_timeout, self.idle, self.max_links = (
+            connect_timeout / 1000,
+            idle / 1000,
+            max_links,
+        )
         self.untaken = min(UNTAKEN, drain_grace / 2000)
         self.nodes: dict[int, Node] = {}
         self.links: set[NodeConnection] = set()  # those of nodes that are gone too
@@ -101,8 +112,17 @@
     # --- sends ------------------------------------------------------------------------
 
     def send(
-        self, id: bytes, server: int, shard: int, text: bytes, time_out: float, done: Done, attempt: Attempt,
-        connect_within: float = 0.0, once: bytes = b"", leave_within: float = 0.0,
+        self,
+        id: bytes,
+        server: int,
+        shard: int,
+        text: bytes,
+        time_out: float,
+        done: Done,
+        attempt: Attempt,
+        connect_within: float = 0.0,
+        once: bytes = b"",
+        leave_within: float = 0.0,
     ) -> Sending:
         """Send a part, with the others of this step to its node; times are ms.
 
@@ -116,7 +136,9 @@
         if node is None:
             self.reactor.callLater(0, sending.finish, Outcome.UNCONNECTED)
             return sending
-        sending.timer = self.reactor.callLater(time_out / 1000, self._stop, sending, Outcome.TIMED_OUT)
+        sending.timer = self.reactor.callLater(
+            time_out / 1000, self._stop, sending, Outcome.TIMED_OUT
+        )
         if not node.pending:
             self._pending.append(node)
         node.pending.append(sending)
@@ -148,7 +170,9 @@
         if sending.out:
             sending.link.give_up(sending, outcome)
         else:  # it waits for its connection, or behind another frame
-            sending.finish(Outcome.NOT_SENT if outcome is Outcome.CANCELLED else Outcome.UNCONNECTED)
+            sending.finish(
+                Outcome.NOT_SENT if outcome is Outcome.CANCELLED else Outcome.UNCONNECTED
+            )
 
     def _call(self, node: Node, call: list[Sending]) -> None:
         """An unused link, else a new one, else the least loaded.
@@ -156,11 +180,20 @@
         Danger: calls that share a link share its fate, when one answer on it is spoilt or it falls silent.
         """
         ids = {sending.id for sending in call}
-        fit = [link for link in node.links
-               if not link.retired and link.load + len(call) <= max(self.streams, len(call))
-               and not ids & link.out.keys() and not ids & link.past.keys()]
+        fit = [
+            link
+            for link in node.links
+            if not link.retired
+            and link.load + len(call) <= max(self.streams, len(call))
+            and not ids & link.out.keys()
+            and not ids & link.past.keys()
+        ]
         link = min(fit, key=lambda link: (link.load, not link.up, -link.used), default=None)
-        if link is None or link.load and len(node.links) < max(self.max_links // len(self.nodes), 1):
+        if (
+            link is None
+            or link.load
+            and len(node.links) < max(self.max_links // len(self.nodes), 1)
+        ):
             link = self._open(node) or link
         if link is None:
             for sending in call:
@@ -173,7 +206,9 @@
                         sending.connect_within, self._take_back, sending
                     )
                 if sending.leave_within:
-                    sending.leaving = self.reactor.callLater(sending.leave_within, self._too_late, sending)
+                    sending.leaving = self.reactor.callLater(
+                        sending.leave_within, self._too_late, sending
+                    )
 
     def _take_back(self, sending: Sending) -> None:
         """Danger: a machine that is cut off costs half an aim until the connection to it fails."""
--- a/tansycrank/platform/coordinator.py
+++ b/tansycrank/platform/coordinator.py
@@ -53,8 +53,14 @@
     """Holds at most the queries and parts that the settings' open_cap allows."""
 
     def __init__(
-        self, reactor, settings: io.Settings, seed: int, pool: ConnectionPool, log: Callable[..., None],
-        on_watch: Callable[[bool], None], on_fetch: Callable[[], None],
+        self,
+        reactor,
+        settings: io.Settings,
+        seed: int,
+        pool: ConnectionPool,
+        log: Callable[..., None],
+        on_watch: Callable[[bool], None],
+        on_fetch: Callable[[], None],
     ) -> None:
         self.settings, self.pool, self.log = settings, pool, log
         self.lifecycle = Lifecycle(settings, self._violated)
@@ -63,7 +69,9 @@
         self._parts: dict[int, tuple[Query, Part]] = {}
         self._ids = 0
         self.held = 0  # queries and parts open
-        self.until = float("inf")  # ms: this router ends then; what it takes has to be answered before
+        self.until = float(
+            "inf"
+        )  # ms: this router ends then; what it takes has to be answered before
         self.counts = dict.fromkeys(
             ("taken", "answered", "refused", "failed", "left", "turned_away", "sends", "cancels"), 0
         )
@@ -97,7 +105,9 @@
             raise Refused(503, "too many requests are open")
         cls = self.settings.classes[request.query_class]
         if cls.effect is io.Effect.KEYED and not request.once:
-            raise Refused(400, "Idempotency-Key: this class needs one, by which nodes know a repeat")
+            raise Refused(
+                400, "Idempotency-Key: this class needs one, by which nodes know a repeat"
+            )
         give_up = cls.give_up
         late = waited if waited > self.settings.tick else 0.0  # less is within what the clock tells
         time_left = min(request.deadline - late, give_up - late, self.until - self.loop.now)
@@ -106,13 +116,25 @@
         self._ids += 1
         now = self.loop.now
         life = self.lifecycle.take(
-            request.id.decode(), cls.effect, cls.dedup_window, now + time_left, len(request.parts), now
+            request.id.decode(),
+            cls.effect,
+            cls.dedup_window,
+            now + time_left,
+            len(request.parts),
+            now,
         )
         query = Query(self._ids, request, reply, life)
-        events: list[io.Event] = [io.QueryArrived(
-            query.id, query.id, request.query_class, time_left, len(request.parts), request.key,
-            request.repeat,
-        )]
+        events: list[io.Event] = [
+            io.QueryArrived(
+                query.id,
+                query.id,
+                request.query_class,
+                time_left,
+                len(request.parts),
+                request.key,
+                request.repeat,
+            )
+        ]
         for shard, weight, key in request.parts:
             self._ids += 1
             part = Part(self._ids, b"%b.%d" % (request.id, shard), shard)
@@ -156,7 +178,9 @@
         try:
             act(action)
         except Exception as error:
-            self.log("an action failed", action=type(action).__name__, error=repr(error), traceback=True)
+            self.log(
+                "an action failed", action=type(action).__name__, error=repr(error), traceback=True
+            )
             query, part = self._parts.get(getattr(action, "part", 0), (None, None))
             query = query or self._by_number.get(getattr(action, "query", 0))
             if isinstance(action, io.Send):  # the module waits for its end
@@ -186,17 +210,27 @@
                 part.value = value
                 self._withdraw(part)
             took = self.loop.now - began
-            self.loop.hear(io.AttemptEnded(
-                part.id, number, action.server, outcome, took, query.ended, load
-            ))
+            self.loop.hear(
+                io.AttemptEnded(part.id, number, action.server, outcome, took, query.ended, load)
+            )
             if query.ended:
                 self._forget(part)
 
         time_out = attempt.deadline - began
-        part.attempts.append(self.pool.send(
-            part.name, action.server, part.shard, query.request.text, time_out, ended, attempt,
-            action.connect_within, query.request.once, action.leave_within,
-        ))
+        part.attempts.append(
+            self.pool.send(
+                part.name,
+                action.server,
+                part.shard,
+                query.request.text,
+                time_out,
+                ended,
+                attempt,
+                action.connect_within,
+                query.request.once,
+                action.leave_within,
+            )
+        )
 
     def _never_sent(self, action: io.Send, part: Part | None) -> None:
         """End a send that never was one; the policy counts it among the attempts of its part."""
@@ -205,9 +239,9 @@
             number = len(part.attempts)
             part.attempts.append(Sending.never(part.name, part.shard))
         self.outcomes[io.Outcome.NOT_SENT.value] += 1
-        self.loop.hear(io.AttemptEnded(
-            action.part, number, action.server, io.Outcome.NOT_SENT, 0.0, False, ()
-        ))
+        self.loop.hear(
+            io.AttemptEnded(action.part, number, action.server, io.Outcome.NOT_SENT, 0.0, False, ())
+        )
 
     def _cancel(self, action: io.Cancel) -> None:
         if action.part in self._parts:
@@ -231,7 +265,11 @@
             self._conclude(query, Answer.FAILED, reason=action.reason)
 
     def _conclude(
-        self, query: Query, kind: Answer, missing: int = 0, hold_off: float = 0.0,
+        self,
+        query: Query,
+        kind: Answer,
+        missing: int = 0,
+        hold_off: float = 0.0,
         reason: GiveUpReason = GiveUpReason.FAULT,
     ) -> None:
         """The one final answer of a query, as far as its life allows it; `reason` is why it is given up."""
@@ -262,8 +300,13 @@
         self.loop.hear(event)
 
     def _violated(self, violation: Violation) -> None:
-        self.log("invariant violated", invariant=violation.invariant.value, detail=violation.detail,
-                 request=violation.request, history=violation.history)
+        self.log(
+            "invariant violated",
+            invariant=violation.invariant.value,
+            detail=violation.detail,
+            request=violation.request,
+            history=violation.history,
+        )
 
     def _end(self, query: Query) -> None:
         del self.queries[query.request.id], self._by_number[query.id]
--- a/tansycrank/platform/daemon.py
+++ b/tansycrank/platform/daemon.py
@@ -48,22 +48,40 @@
     """Puts the parts together. `stop` is called once, when nothing is owed any more."""
 
     def __init__(
-        self, reactor, settings: Settings, environ: Mapping[str, str],
+        self,
+        reactor,
+        settings: Settings,
+        environ: Mapping[str, str],
         overslept: Callable[[], float] = lambda: 0.0,
     ) -> None:
         """`overslept` tells for how many seconds what is read now may have lain unread."""
         self.reactor, self.settings, self.environ = reactor, settings, environ
         self.names = Names(settings.zones)
         self.pool = ConnectionPool(
-            reactor, settings.streams, settings.module.call_parts, settings.connect_timeout, settings.idle,
-            settings.max_links, log, settings.module.drain_grace,
+            reactor,
+            settings.streams,
+            settings.module.call_parts,
+            settings.connect_timeout,
+            settings.idle,
+            settings.max_links,
+            log,
+            settings.module.drain_grace,
         )
         self.discovery = Discovery(
-            reactor, *settings.discovery, lambda: self.names.version, self.heard,
-            lambda: self.names.unchanged(self.coordinator.loop.now), self.failed,
+            reactor,
+            *settings.discovery,
+            lambda: self.names.version,
+            self.heard,
+            lambda: self.names.unchanged(self.coordinator.loop.now),
+            self.failed,
         )
         self.coordinator = Coordinator(
-            reactor, settings.module, settings.seed, self.pool, log, self.discovery.set_watch,
+            reactor,
+            settings.module,
+            settings.seed,
+            self.pool,
+            log,
+            self.discovery.set_watch,
             self.discovery.fetch,
         )
         self.server = HttpServer(reactor, settings, self.coordinator, log, overslept)
@@ -83,12 +101,20 @@
         self._take(self.settings.known, io.ListKind.CACHED)
         if self.settings.module.must_ask:
             self._listen()
-        self.reactor.callLater(READY_WITHIN if self.settings.module.must_ask else PUSHED_WITHIN, self._ready)
+        self.reactor.callLater(
+            READY_WITHIN if self.settings.module.must_ask else PUSHED_WITHIN, self._ready
+        )
         self._swept = self.reactor.seconds()
         for call, every in zip(self._calls, (SWEEP, TELL, BEAT), strict=True):
             call.start(every, now=False)
-        log("started", name=self.settings.name, cores=self.settings.cores, idle_ms=self.settings.idle,
-            memory_mb=self.settings.memory_mb, sockets=self.settings.sockets)
+        log(
+            "started",
+            name=self.settings.name,
+            cores=self.settings.cores,
+            idle_ms=self.settings.idle,
+            memory_mb=self.settings.memory_mb,
+            sockets=self.settings.sockets,
+        )
 
     def _listen(self) -> None:
         self._again = None
@@ -96,8 +122,12 @@
             return
         host, port = self.settings.listen
         try:
-            self.server.port = self.reactor.listenTCP(port, self.server, backlog=1024, interface=host)
-        except CannotListenError as problem:  # danger: the process before is not gone yet, this one deaf
+            self.server.port = self.reactor.listenTCP(
+                port, self.server, backlog=1024, interface=host
+            )
+        except (
+            CannotListenError
+        ) as problem:  # danger: the process before is not gone yet, this one deaf
             log("the address cannot be listened on yet", host=host, port=port, problem=str(problem))
             self._again = self.reactor.callLater(LISTEN_AGAIN, self._listen)
             return
@@ -132,7 +162,11 @@
             empty = listing.full and not listing.servers and len(self.names) > 0
             if empty and not self._doubted:
                 self._doubted = True
-                log("a list of no nodes is asked for again", version=listing.version, nodes=len(self.names))
+                log(
+                    "a list of no nodes is asked for again",
+                    version=listing.version,
+                    nodes=len(self.names),
+                )
                 self.discovery.fetch()
             else:
                 self._doubted = False
@@ -172,8 +206,11 @@
         except ConfigError as problem:
             log("the new configuration is refused, the old one stays", problem=str(problem))
             return
-        kept = [what for what in ("listen", "module", "sockets", "zones", "classes")
-                if getattr(new, what) != getattr(self.settings, what)]
+        kept = [
+            what
+            for what in ("listen", "module", "sockets", "zones", "classes")
+            if getattr(new, what) != getattr(self.settings, what)
+        ]
         log("reloaded", discovery=list(new.discovery), only_after_a_restart=kept)
         self.discovery.move(*new.discovery)
 
@@ -218,8 +255,12 @@
             self.stopped = True
             lifecycle = self.coordinator.lifecycle
             lifecycle.stop(self.coordinator.loop.now)
-            log("stopped", **self.coordinator.counts, **lifecycle.figures(),
-                given_up=self.coordinator.given_up.figures())
+            log(
+                "stopped",
+                **self.coordinator.counts,
+                **lifecycle.figures(),
+                given_up=self.coordinator.given_up.figures(),
+            )
             self.coordinator.loop.stop()
             self.discovery.stop()
             self.pool.close()
@@ -251,14 +292,24 @@
         usage = resource.getrusage(resource.RUSAGE_SELF)
         loop = self.coordinator.loop
         log(
-            "state", **self.coordinator.counts, **self.server.counts, outcomes=self.coordinator.outcomes,
-            **self.coordinator.lifecycle.figures(), closed=self.server.closed,
+            "state",
+            **self.coordinator.counts,
+            **self.server.counts,
+            outcomes=self.coordinator.outcomes,
+            **self.coordinator.lifecycle.figures(),
+            closed=self.server.closed,
             given_up=self.coordinator.given_up.figures(),
-            open=len(self.coordinator.queries), clients=len(self.server.connections), links=self.pool.count,
-            links_opened=self.pool.opened, nodes=len(self.names), steps=loop.steps,
+            open=len(self.coordinator.queries),
+            clients=len(self.server.connections),
+            links=self.pool.count,
+            links_opened=self.pool.opened,
+            nodes=len(self.names),
+            steps=loop.steps,
             discovery_failures=self.discovery_failures,
-            unusable_last=self.server.latest, late_ms=round(loop.latest, 1),
-            cpu_s=round(usage.ru_utime + usage.ru_stime, 2), rss_mb=round(usage.ru_maxrss / 1024, 1),
+            unusable_last=self.server.latest,
+            late_ms=round(loop.latest, 1),
+            cpu_s=round(usage.ru_utime + usage.ru_stime, 2),
+            rss_mb=round(usage.ru_maxrss / 1024, 1),
         )
         loop.latest = 0.0
 
