--- a/tansycrank/platform/discovery.py
+++ b/tansycrank/platform/discovery.py
@@ -14,7 +14,9 @@
 from tansycrank.router.connecting import OneConnection
 
 _LISTING = msgspec.json.Decoder(Listing)
-_MARKS = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')  # a string, whose brackets do not count, or a bracket
+_MARKS = re.compile(
+    rb'"(?:[^"\\]|\\.)*"|[{}\[\]]'
+)  # a string, whose brackets do not count, or a bracket
 
 
 class Objects:
@@ -62,7 +64,13 @@
     """
 
     def __init__(
-        self, request: bytes, watch: bool, reactor, on_line: Callable, on_beat: Callable, on_end: Callable
+        self,
+        request: bytes,
+        watch: bool,
+        reactor,
+        on_line: Callable,
+        on_beat: Callable,
+        on_end: Callable,
     ) -> None:
         self.request, self.watch, self.reactor = request, watch, reactor
         self.on_line, self.on_beat, self.on_end = on_line, on_beat, on_end
@@ -101,7 +109,9 @@
             *lines, self.buffer = self.buffer.split(b"\n")
             for line in lines:
                 if not self.ended:
-                    self.timer.reset(BEAT)  # danger: a trickle without an end of line is silence too
+                    self.timer.reset(
+                        BEAT
+                    )  # danger: a trickle without an end of line is silence too
                     self._line(line, self.objects.feed)
         if len(self.buffer) > MAX_LIST:
             self.end(False)
@@ -145,8 +155,14 @@
     """
 
     def __init__(
-        self, reactor, host: str, port: int, version: Callable[[], int],
-        heard: Callable[[Listing], None], unchanged: Callable[[], None], failed: Callable[[], None],
+        self,
+        reactor,
+        host: str,
+        port: int,
+        version: Callable[[], int],
+        heard: Callable[[Listing], None],
+        unchanged: Callable[[], None],
+        failed: Callable[[], None],
     ) -> None:
         self.reactor, self.host, self.port = reactor, host, port
         self.version, self.heard, self.unchanged, self.failed = version, heard, unchanged, failed
--- a/tansycrank/platform/frames.py
+++ b/tansycrank/platform/frames.py
@@ -42,10 +42,14 @@
 
 def call(parts: Iterable[tuple[bytes, int, int, bytes, bytes]]) -> bytes:
     """One call of (id, shard, ms that will be waited, text, the client's Idempotency-Key or b"") each."""
-    return _frame(b"Q", b"".join(
-        b"%b %d d=%d%b %d\n%b" % (id, shard, wait, b",k=" + once if once else b"", len(text), text)
-        for id, shard, wait, text, once in parts
-    ))
+    return _frame(
+        b"Q",
+        b"".join(
+            b"%b %d d=%d%b %d\n%b"
+            % (id, shard, wait, b",k=" + once if once else b"", len(text), text)
+            for id, shard, wait, text, once in parts
+        ),
+    )
 
 
 def give_up(id: bytes) -> bytes:
@@ -78,12 +82,18 @@
             if letter not in b"AE":
                 raise FrameError(f"unknown letter {letter!r}")
             if len(self._buffer) < 4 + size:
-                if letter == b"A" and len(self._buffer) > 5 + MAX_LINE and b"\n" not in self._buffer[5:]:
+                if (
+                    letter == b"A"
+                    and len(self._buffer) > 5 + MAX_LINE
+                    and b"\n" not in self._buffer[5:]
+                ):
                     raise FrameError("a line without an end")
                 return
             rest = bytes(self._buffer[5 : 4 + size])
             del self._buffer[: 4 + size]
-            yield _answer(rest) if letter == b"A" else Unusable(rest[:200].decode("utf-8", "replace"))
+            yield (
+                _answer(rest) if letter == b"A" else Unusable(rest[:200].decode("utf-8", "replace"))
+            )
 
 
 def _answer(rest: bytes) -> Answer:
@@ -102,6 +112,8 @@
 def _load(report: bytes) -> tuple[float, ...]:
     """A load report that cannot be read is none: the answer it came with is good all the same."""
     try:
-        return tuple(float(figure.partition(b"=")[2]) for figure in report.split(b",")[:MAX_FIGURES])
+        return tuple(
+            float(figure.partition(b"=")[2]) for figure in report.split(b",")[:MAX_FIGURES]
+        )
     except ValueError:
         return ()
--- a/tansycrank/platform/given_up_log.py
+++ b/tansycrank/platform/given_up_log.py
@@ -8,7 +8,9 @@
 from tansycrank.interface import GiveUpReason
 from tansycrank.lifecycle import Answer, Request
 
-LINES_A_SECOND = 5  # of each kind of answer: an overload refuses hundreds a second, a log must not add to it
+LINES_A_SECOND = (
+    5  # of each kind of answer: an overload refuses hundreds a second, a log must not add to it
+)
 SECOND = 1000.0  # ms
 
 
@@ -30,8 +32,13 @@
             self._lines.clear()
         if self._lines[answer] < LINES_A_SECOND:
             self._lines[answer] += 1
-            self._log("given up", request=request.name, answer=answer.value, reason=reason.value,
-                      history=list(request.history))
+            self._log(
+                "given up",
+                request=request.name,
+                answer=answer.value,
+                reason=reason.value,
+                history=list(request.history),
+            )
 
     def figures(self) -> dict[str, int]:
         """For the log: how many were given up, by reason."""
--- a/tansycrank/platform/http_server.py
+++ b/tansycrank/platform/http_server.py
@@ -18,14 +18,25 @@
     noisy = False
 
     def __init__(
-        self, reactor, settings: Settings, coordinator: Coordinator, log: Callable[..., None],
+        self,
+        reactor,
+        settings: Settings,
+        coordinator: Coordinator,
+        log: Callable[..., None],
         overslept: Callable[[], float],
     ) -> None:
         """`overslept` tells for how many seconds what is read now may have lain unread."""
         self.overslept = overslept
-        self.reactor, self.settings, self.coordinator, self.log = reactor, settings, coordinator, log
+        self.reactor, self.settings, self.coordinator, self.log = (
+            reactor,
+            settings,
+            coordinator,
+            log,
+        )
         self.connections: dict[ClientConnection, None] = {}  # oldest first
-        self.unused: dict[ClientConnection, None] = {}  # after a query, no other open; longest unused first
+        self.unused: dict[
+            ClientConnection, None
+        ] = {}  # after a query, no other open; longest unused first
         # with requests read and not taken: turns of the reactor until they are
         self.settling: dict[ClientConnection, int] = {}
         self._look = None
@@ -88,8 +99,11 @@
         """
         now = self.now
         unused = [
-            one for one in self.connections
-            if one.idle and one.unread_since is None and now - one.since >= (RESTED if one.spoke else SILENT)
+            one
+            for one in self.connections
+            if one.idle
+            and one.unread_since is None
+            and now - one.since >= (RESTED if one.spoke else SILENT)
         ]
         victim = min(unused, key=lambda one: (one.spoke, one.since), default=None)
         if victim is None:
@@ -148,4 +162,3 @@
         for connection in list(self.connections):
             if connection.idle and (connection.spoke or now - connection.since >= SILENT):
                 connection.close("leaving")
-
--- a/tansycrank/platform/names.py
+++ b/tansycrank/platform/names.py
@@ -13,9 +13,13 @@
     "terminating": io.Status.DRAINING,
     "terminated": io.Status.GONE,
 }
-UNKNOWN = io.Status.DRAINING  # a state that the protocol does not name: it may not want anything new
+UNKNOWN = (
+    io.Status.DRAINING
+)  # a state that the protocol does not name: it may not want anything new
 NO_START = Start(LONG_AGO, FIRST)  # of a node that is gone: it gets nothing
-FORGET = 60_000.0  # ms a node that is gone keeps its number, so that one that comes back is the same
+FORGET = (
+    60_000.0  # ms a node that is gone keeps its number, so that one that comes back is the same
+)
 
 
 class Names:
@@ -54,9 +58,13 @@
             found["named_twice"] = f"{len(twice)}, {twice[0][:40]!r}"
         return found
 
-    def heard(self, listing: Listing, kind: io.ListKind, now: float) -> tuple[io.ServerList, dict[int, str]]:
+    def heard(
+        self, listing: Listing, kind: io.ListKind, now: float
+    ) -> tuple[io.ServerList, dict[int, str]]:
         """The event for the module, and the addresses told, "" for a node that is gone."""
-        entries = list({entry.id: entry for entry in listing.servers}.values())  # the last of a name counts
+        entries = list(
+            {entry.id: entry for entry in listing.servers}.values()
+        )  # the last of a name counts
         if kind is not io.ListKind.CHANGES:
             standing = {entry.id for entry in entries}
             entries += [Entry(id, "terminated") for id in self._numbers if id not in standing]
@@ -64,7 +72,8 @@
         starts = self._starts.listed(started, now, cached=kind is io.ListKind.CACHED)
         places = {}
         listed = [
-            self._dated(id, start) for id, start in starts.items()
+            self._dated(id, start)
+            for id, start in starts.items()
             if id not in started and id not in self._gone
         ]
         for entry in entries:
@@ -83,7 +92,9 @@
                 places[number] = entry.addr
             zone = self._zones.get(entry.zone, len(self._zones))
             start = starts.get(entry.id, NO_START)
-            told = io.Listed(number, entry.cell, zone, status, start.at, entry.weight, start.incarnation)
+            told = io.Listed(
+                number, entry.cell, zone, status, start.at, entry.weight, start.incarnation
+            )
             self._listed[entry.id] = told
             listed.append(told)
         forgotten = [id for id, went in self._gone.items() if now - went >= FORGET]
--- a/tansycrank/platform/node_connection.py
+++ b/tansycrank/platform/node_connection.py
@@ -38,7 +38,9 @@
         self.taken = False  # whether the system has all that the socket was given
         self.doubt = None  # the timer of a frame that may not begin any more
         self.out: dict[bytes, Sending] = {}
-        self.past: OrderedDict[bytes, None] = OrderedDict()  # ids whose answers may still come, or come again
+        self.past: OrderedDict[bytes, None] = (
+            OrderedDict()
+        )  # ids whose answers may still come, or come again
         self.reader = frames.Reader()
         self.used = self.half_since = pool.now
         self.heard = float("-inf")  # when bytes last came
@@ -86,7 +88,8 @@
                     continue
                 self.out.update((sending.id, sending) for sending in call)
                 data = frames.call(
-                    (s.id, s.shard, max(int((s.until - now) * 1000), 1), s.text, s.once) for s in call
+                    (s.id, s.shard, max(int((s.until - now) * 1000), 1), s.text, s.once)
+                    for s in call
                 )
             self.used, self.taken, self.going = now, False, call
             self.transport.write(data)
@@ -125,7 +128,9 @@
                     self._answered(last)
                     last = None
                 if isinstance(record, frames.Unusable):
-                    self.pool.log("node could not use a frame", node=self.node.server, words=record.words)
+                    self.pool.log(
+                        "node could not use a frame", node=self.node.server, words=record.words
+                    )
                     return self.close()
                 if record.id not in self.out and record.id not in self.past:
                     raise frames.FrameError(f"an answer to {record.id[:60]!r}, which is not out")
@@ -181,7 +186,9 @@
 
     def spoilt(self, problem: frames.FrameError) -> None:
         """The stream is of no further use: what is out may have run."""
-        self.pool.log("spoilt answer", node=self.node.server, problem=str(problem), out=len(self.out))
+        self.pool.log(
+            "spoilt answer", node=self.node.server, problem=str(problem), out=len(self.out)
+        )
         self.close()
 
     def close(self) -> None:
--- a/tansycrank/platform/request.py
+++ b/tansycrank/platform/request.py
@@ -10,14 +10,23 @@
 import msgspec
 
 ID = re.compile(r"[0-9A-Za-z_-]{1,64}")
-ONCE = re.compile(r"[0-9A-Za-z._~+/=-]{1,128}")  # no comma, no blank: it becomes an entry of a part's list
+ONCE = re.compile(
+    r"[0-9A-Za-z._~+/=-]{1,128}"
+)  # no comma, no blank: it becomes an entry of a part's list
 KEY = re.compile(r"[0-9a-fA-F]{16}")
 DEADLINE = re.compile(r"[0-9]{1,7}")  # ms: up to some hours
 WEIGHT_SLACK = 0.01  # weights are rounded decimals
 REASONS = {
-    200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
-    409: "Conflict", 413: "Content Too Large", 431: "Request Header Fields Too Large",
-    503: "Service Unavailable", 504: "Gateway Timeout",
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    431: "Request Header Fields Too Large",
+    503: "Service Unavailable",
+    504: "Gateway Timeout",
 }
 
 
@@ -95,8 +104,9 @@
     # Danger: 44 weights of 0.022727 add up to 0.999988, and all parts in would not make the answer whole.
     parts = tuple((part.shard, part.weight / total, int(part.key, 16)) for part in told.shards)
     key = int(keys[0], 16) if KEY.fullmatch(keys[0]) else 0
-    return QueryRequest(id.encode(), classes[name], float(deadline), key, repeat == b"1", parts, text,
-                        once.encode())
+    return QueryRequest(
+        id.encode(), classes[name], float(deadline), key, repeat == b"1", parts, text, once.encode()
+    )
 
 
 def _check_parts(parts: list[_Part], shards: int) -> float:
--- a/tansycrank/platform/sending.py
+++ b/tansycrank/platform/sending.py
@@ -33,7 +33,9 @@
     timer: object = None
     connect_within: float = 0.0  # s that it waits for a connection; 0: as long as that is tried
     connecting: object = None  # the timer of that
-    leave_within: float = 0.0  # s until which its last byte may leave; 0: as long as it is waited for
+    leave_within: float = (
+        0.0  # s until which its last byte may leave; 0: as long as it is waited for
+    )
     leaving: object = None  # the timer of that
 
     @classmethod
--- a/tansycrank/platform/settings.py
+++ b/tansycrank/platform/settings.py
@@ -28,11 +28,17 @@
 IDLE_CLIENT = 3.0  # s a client's connection may lie unused
 UNREAD = 5.0  # s a client may leave its answers unread
 LINGER = 0.25  # s between an error that ends a connection and its close
-LOOKS = 2  # turns of the reactor from reading a request to taking it: the poll between shows who left
-MAX_DROPPED = 256 * 1024  # bytes read and dropped meanwhile: a close with unread bytes would lose the error
+LOOKS = (
+    2  # turns of the reactor from reading a request to taking it: the poll between shows who left
+)
+MAX_DROPPED = (
+    256 * 1024
+)  # bytes read and dropped meanwhile: a close with unread bytes would lose the error
 HALF_FRAME = 0.5  # s a node's frame may take once it has begun
 IDLE_LINK = 0.8  # of the time after which a node closes an idle connection; ours goes before
-UNTAKEN = 0.1  # s, and half of the drain grace at most, that a frame has which may not begin any more
+UNTAKEN = (
+    0.1  # s, and half of the drain grace at most, that a frame has which may not begin any more
+)
 LATE_IDS = 256  # attempts given up or answered that a link still knows, for their late answers
 BEAT = 3.0  # s without a word on a watch that tells every 2 s
 CALL_WITHIN = 2.0  # s for discovery to take a call
@@ -44,7 +50,9 @@
 ACCEPTS = 16  # connections taken in one reactor turn at first: so many may be held beyond the bound
 RETRY_ACCEPT = 0.02  # s until a full router looks again whether it can take a connection
 RESERVE = 64  # descriptors for everything but clients and links
-SHARE_UNUSED = 1 / 6  # of the descriptors, for clients' unused connections: clients hold a third for requests
+SHARE_UNUSED = (
+    1 / 6
+)  # of the descriptors, for clients' unused connections: clients hold a third for requests
 SHARE_CLIENTS = 0.5  # of the descriptors, for clients; the rest is for links to nodes
 
 
@@ -189,7 +197,9 @@
     if len(set(names)) < len(names):
         raise ConfigError(f"settings.services[].name: a name stands twice in {names}")
     if any(cls.follow_up for cls in module.classes):
-        raise ConfigError("settings.familyInfo.followUp: the platform's protocol has no second step")
+        raise ConfigError(
+            "settings.familyInfo.followUp: the platform's protocol has no second step"
+        )
     if file.limits.sockets < 96:
         raise ConfigError(f"limits.sockets: {file.limits.sockets} are too few, 96 are needed")
     try:
--- a/tansycrank/roster/feed.py
+++ b/tansycrank/roster/feed.py
@@ -61,7 +61,9 @@
     ) -> None:
         section = config.roster
         self.reactor, self.pools, self.tell, self.log = reactor, pools, tell, log
-        self.view = view.RosterView(config.zones, config.store.cells, section.silence_ms, section.max_nodes)
+        self.view = view.RosterView(
+            config.zones, config.store.cells, section.silence_ms, section.max_nodes
+        )
 
     def carry_out(self, action: object) -> None:
         """A list, or where its nodes are; other actions are passed over."""
@@ -106,7 +108,9 @@
             self.carry_out(action)
             match action:
                 case view.Connect():
-                    self.reactor.connectTCP(self.host, self.port, _FeedFactory(self, self.limit), timeout=2)
+                    self.reactor.connectTCP(
+                        self.host, self.port, _FeedFactory(self, self.limit), timeout=2
+                    )
                 case view.Drop():
                     protocol, self.protocol = self.protocol, None
                     if protocol is not None:
@@ -176,7 +180,9 @@
         if word != "node":
             raise ValueError(f"[{section}]: only sections [node ID] are allowed")
         try:
-            nodes.append(msgspec.convert(dict(parser[section]) | {"id": number}, view.NodeLine, strict=False))
+            nodes.append(
+                msgspec.convert(dict(parser[section]) | {"id": number}, view.NodeLine, strict=False)
+            )
         except msgspec.ValidationError as error:
             raise ValueError(f"[{section}]: {error}") from None
     return tuple(nodes)
--- a/tansycrank/roster/view.py
+++ b/tansycrank/roster/view.py
@@ -14,7 +14,9 @@
 from tansycrank import interface as io
 from tansycrank.start_times import Start, StartTimes
 
-SILENT_ASKS = 2  # beats of the silence bound: at half of it the feed is asked, at the whole it is given up
+SILENT_ASKS = (
+    2  # beats of the silence bound: at half of it the feed is asked, at the whole it is given up
+)
 
 
 class NodeLine(msgspec.Struct, frozen=True):
@@ -137,7 +139,9 @@
         self._state = "off"  # off, connecting, on
         self._starts = StartTimes()
         self._heard_at = 0.0
-        self._whole_wanted = False  # a gap was seen: changes are not believed until a whole list came
+        self._whole_wanted = (
+            False  # a gap was seen: changes are not believed until a whole list came
+        )
         self._asked = False
         self._ticking = False
 
@@ -203,12 +207,21 @@
         self._asked = False
         same = line.epoch == self.epoch
         if line.kind == "full":
-            if same and line.version < self.version:  # danger: an old list would bring the dead back
-                actions.append(Odd(f"whole list of version {line.version} is older than {self.version}"))
+            if (
+                same and line.version < self.version
+            ):  # danger: an old list would bring the dead back
+                actions.append(
+                    Odd(f"whole list of version {line.version} is older than {self.version}")
+                )
                 return
             nodes = {n.id: n for n in self._believed(line.nodes, actions)}
             gone = [i for i in self.nodes if i not in nodes]
-            self.nodes, self.version, self.epoch, self._whole_wanted = nodes, line.version, line.epoch, False
+            self.nodes, self.version, self.epoch, self._whole_wanted = (
+                nodes,
+                line.version,
+                line.epoch,
+                False,
+            )
             actions += [Place(n.id, n.host, n.port) for n in nodes.values()]
             actions += [Forget(i) for i in gone]
             self._starts.forget(gone)
@@ -244,8 +257,12 @@
         for node in nodes[: self._most]:
             if node.status not in ("ready", "draining", "gone"):
                 actions.append(Odd(f"node {node.id}: unknown status {node.status!r}"))
-            elif not (0 <= node.cell < self._cells and 0 < node.port < 65536 and 0 <= node.id < 2**32):
-                actions.append(Odd(f"node {node.id}: cell {node.cell}, port {node.port} out of range"))
+            elif not (
+                0 <= node.cell < self._cells and 0 < node.port < 65536 and 0 <= node.id < 2**32
+            ):
+                actions.append(
+                    Odd(f"node {node.id}: cell {node.cell}, port {node.port} out of range")
+                )
             else:
                 good.append(node)
         if len(nodes) > self._most:
--- a/tansycrank/router/coordinator.py
+++ b/tansycrank/router/coordinator.py
@@ -26,7 +26,9 @@
     id: int
     request: PartRequest
     attempts: list[Sending] = field(default_factory=list)
-    lives: list[Attempt | None] = field(default_factory=list)  # of the attempts; None for one never made
+    lives: list[Attempt | None] = field(
+        default_factory=list
+    )  # of the attempts; None for one never made
     sent_at: list[float] = field(default_factory=list)
     answer: PartStream | None = None  # the attempt whose rows count, whole or begun
     oids: tuple[int, ...] = ()
@@ -73,7 +75,14 @@
         self.jobs: dict[int, Job] = {}
         self._parts: dict[int, tuple[Job, PartState]] = {}
         self._ids = 0
-        self.counts = {"taken": 0, "answered": 0, "refused": 0, "failed": 0, "cancelled": 0, "sends": 0}
+        self.counts = {
+            "taken": 0,
+            "answered": 0,
+            "refused": 0,
+            "failed": 0,
+            "cancelled": 0,
+            "sends": 0,
+        }
         self.given_up: Counter[GiveUpReason] = Counter()
         acts = {
             io.Send: self._send,
@@ -183,7 +192,9 @@
         def ended(result: Ended) -> None:
             self._ended(job, part, number, action.server, result)
 
-        sending = self.pools.send(action.server, part.request, stream, life.deadline - now, ended, life)
+        sending = self.pools.send(
+            action.server, part.request, stream, life.deadline - now, ended, life
+        )
         stream.on_close = lambda: self.pools.cancel(sending)
         part.attempts.append(sending)
 
@@ -197,7 +208,12 @@
         """Rows of this attempt are to leave as they come: the module hears that it has begun."""
         for part in job.parts:
             for number, sending in enumerate(part.attempts):
-                if sending.stream is stream and part.answer is None and not job.ended and not sending.ended:
+                if (
+                    sending.stream is stream
+                    and part.answer is None
+                    and not job.ended
+                    and not sending.ended
+                ):
                     part.answer, stream.committed = stream, True
                     sending.untimed()
                     took = self.now - part.sent_at[number]
--- a/tansycrank/router/links.py
+++ b/tansycrank/router/links.py
@@ -46,9 +46,15 @@
         if self.describe:
             return pg.parse(self.sql, self.oids) + pg.describe("S") + pg.SYNC_FRAME
         head = b""
-        if self.key:  # in the transaction of the statement: the store drops repeats of the key in its window
+        if (
+            self.key
+        ):  # in the transaction of the statement: the store drops repeats of the key in its window
             literal = self.key.replace("'", "''")
-            head = pg.parse(f"SET LOCAL {REQUEST_KEY} = '{literal}'", ()) + pg.bind((), (), ()) + pg.execute()
+            head = (
+                pg.parse(f"SET LOCAL {REQUEST_KEY} = '{literal}'", ())
+                + pg.bind((), (), ())
+                + pg.execute()
+            )
         return b"".join(
             (
                 head,
@@ -85,7 +91,9 @@
         later: Callable[[NodeLink], None] | None = None,
     ) -> None:
         self.parameters, self.cancel_grace, self.reactor = parameters, cancel_grace, reactor
-        self.later = later  # puts the link in the line of large work; None: everything is read at once
+        self.later = (
+            later  # puts the link in the line of large work; None: everything is read at once
+        )
         self.frames = pg.RowFrames(max_row)
         self.state = "starting"  # starting, idle, busy, settling (after a cancel), closed
         self.key: tuple[int, int] | None = None
@@ -98,7 +106,9 @@
         self._stream: PartStream | None = None
         self._stopped = self._deaf = False  # told to stop reading; not reading
         self._pending = b""  # of a large part: come, but not yet looked at
-        self._cancel_open = False  # danger: a cancel that arrives late would hit the next part of this link
+        self._cancel_open = (
+            False  # danger: a cancel that arrives late would hit the next part of this link
+        )
         self._grace = None
 
     # --- Twisted ----------------------------------------------------------------------
@@ -109,11 +119,17 @@
             self.transport.abortConnection()
             return
         self.transport.setTcpNoDelay(True)
-        self.transport.bufferSize = READ_AT_ONCE  # a block is a stretch of work: 64 kB would be long
+        self.transport.bufferSize = (
+            READ_AT_ONCE  # a block is a stretch of work: 64 kB would be long
+        )
         self.transport.write(pg.startup(self.parameters))
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
-        large = self.state == "busy" and self._stream is not None and self._stream.memory.mode != "small"
+        large = (
+            self.state == "busy"
+            and self._stream is not None
+            and self._stream.memory.mode != "small"
+        )
         if self._pending or (large and self.later is not None):
             # danger: cutting 32 kB into rows takes half a millisecond, and hundreds of links may be readable
             self._pending += data
--- a/tansycrank/router/pool.py
+++ b/tansycrank/router/pool.py
@@ -56,14 +56,23 @@
     port: int
     idle: list[NodeLink] = field(default_factory=list)
     all: set[NodeLink] = field(default_factory=set)
-    waiting: list[Sending] = field(default_factory=list)  # each has a connection of its own under way
+    waiting: list[Sending] = field(
+        default_factory=list
+    )  # each has a connection of its own under way
 
 
 class Pools:
     """The links of this router. Times of `send` are milliseconds."""
 
-    def __init__(self, reactor, store, parameters: dict[str, str], max_row: int = 64 * 1024 * 1024) -> None:
-        self.reactor, self.store, self.parameters, self.max_row = reactor, store, parameters, max_row
+    def __init__(
+        self, reactor, store, parameters: dict[str, str], max_row: int = 64 * 1024 * 1024
+    ) -> None:
+        self.reactor, self.store, self.parameters, self.max_row = (
+            reactor,
+            store,
+            parameters,
+            max_row,
+        )
         self.nodes: dict[int, NodePool] = {}
         self.opened = self.closed = 0
         self.later: Callable[[NodeLink], None] | None = None  # the line of large work
@@ -192,4 +201,6 @@
 
         link.on_ready, link.on_lost = ready, lost
         factory = OneConnection(link, link.never_up)
-        self.reactor.connectTCP(node.host, node.port, factory, timeout=self.store.connect_timeout_ms / 1000)
+        self.reactor.connectTCP(
+            node.host, node.port, factory, timeout=self.store.connect_timeout_ms / 1000
+        )
--- a/tansycrank/router/service.py
+++ b/tansycrank/router/service.py
@@ -28,7 +28,9 @@
 from tansycrank.sql.planner import Planner, explain_lines
 
 LITERAL = re.compile(r"'(?:[^']|'')*'|\b\d+\b")  # statements alike but for these cost alike
-RUNS = re.compile(r"\s*(?:select|insert|update|delete|with)\b[^;]*;?\s*$", re.I)  # one, for the store
+RUNS = re.compile(
+    r"\s*(?:select|insert|update|delete|with)\b[^;]*;?\s*$", re.I
+)  # one, for the store
 NOBODY = Caller("", "", "")  # who asks where no session does
 AT_ONCE = 192 * 1024  # bytes of parts that are merged in one go; more is merged in slices
 SAFE, KEYED, UNSAFE = 0, 1, 2  # the order of `Config.module_settings`
@@ -86,13 +88,17 @@
         """Why a client may not have a session, if so."""
         if self.identity.may_enter(caller.address):
             return None
-        return PgError("28000", f"no entry for {caller.address}: [door] allow and deny", severity="FATAL")
+        return PgError(
+            "28000", f"no entry for {caller.address}: [door] allow and deny", severity="FATAL"
+        )
 
     def _check_operator(self, caller: Caller, what: str) -> None:
         if not self._operators.may_enter(caller.address):
             raise PgError("42501", f"{what}: only for sessions from [door] operators")
 
-    def view(self, name: str, caller: Caller) -> tuple[tuple[str, ...], list[tuple[str, ...]]] | None:
+    def view(
+        self, name: str, caller: Caller
+    ) -> tuple[tuple[str, ...], list[tuple[str, ...]]] | None:
         """(columns, rows) of a view of the door, None where the name is none. Raises PgError 42501."""
         if name not in ("tansycrank.tenants", "tansycrank.door"):
             return None
@@ -113,12 +119,14 @@
         if name == "tansycrank.class":
             if value and value not in self._class_index:
                 raise PgError(
-                    INVALID_PARAMETER, f"no class {value!r}; classes: {', '.join(self._class_index)}"
+                    INVALID_PARAMETER,
+                    f"no class {value!r}; classes: {', '.join(self._class_index)}",
                 )
         elif name == "tansycrank.deadline":
             if value and not (value.isdigit() and int(value) > 0):
                 raise PgError(
-                    INVALID_PARAMETER, f"{name} = {value!r}: milliseconds above 0, or empty for none"
+                    INVALID_PARAMETER,
+                    f"{name} = {value!r}: milliseconds above 0, or empty for none",
                 )
         elif name == "tansycrank.repeat":
             if value not in ("on", "off", "true", "false"):
@@ -130,7 +138,9 @@
                 raise PgError(INVALID_PARAMETER, f"{name}: at most 128 characters")
         else:
             known = "class, deadline, limits, repeat, request_key, tenant"
-            raise PgError("42704", f"unrecognized configuration parameter {name!r}; tansycrank has {known}")
+            raise PgError(
+                "42704", f"unrecognized configuration parameter {name!r}; tansycrank has {known}"
+            )
         return value
 
     def class_of(self, sql: str, settings: Mapping[str, str]) -> int:
@@ -147,7 +157,8 @@
         if not prepared.writes and not prepared.volatile:
             return SAFE
         keyed = (
-            settings.get("tansycrank.request_key") and self.config.classes[index].section.dedup_window_ms > 0
+            settings.get("tansycrank.request_key")
+            and self.config.classes[index].section.dedup_window_ms > 0
         )
         return KEYED if keyed else UNSAFE
 
@@ -166,7 +177,8 @@
         """The parameters of a statement as values. Raises PgError 08P01, 22P02, 22P03."""
         if len(values) != len(prepared.oids):
             raise PgError(
-                "08P01", f"the statement needs {len(prepared.oids)} parameters, the client gave {len(values)}"
+                "08P01",
+                f"the statement needs {len(prepared.oids)} parameters, the client gave {len(values)}",
             )
         codes = formats * len(values) if len(formats) == 1 else formats or (0,) * len(values)
         decoded = []
@@ -202,7 +214,15 @@
         results = part_formats(plan, request.results)
         key = settings.get("tansycrank.request_key", "") if effect == KEYED else ""
         requests = [
-            PartRequest(p.shard, request.comment + p.sql, oids, request.values, request.formats, results, key)
+            PartRequest(
+                p.shard,
+                request.comment + p.sql,
+                oids,
+                request.values,
+                request.formats,
+                results,
+                key,
+            )
             for p in parts.parts
         ]
         began = self.coordinator.now
@@ -221,7 +241,9 @@
             return job
 
         time_left = self._time_left(index, settings)
-        return self._enter(request, settings, 3 * index + effect, len(requests), time_left, start, done)
+        return self._enter(
+            request, settings, 3 * index + effect, len(requests), time_left, start, done
+        )
 
     def glance(self, sql: str, caller: Caller, settings: Mapping[str, str]) -> PgError | None:
         """A refusal without understanding the statement, where its tenant's turn is too far off anyway.
@@ -246,7 +268,14 @@
         return held.intdigest() | 1
 
     def _enter(
-        self, request: Request, settings, query_class: int, parts: int, time_left: float, start, done
+        self,
+        request: Request,
+        settings,
+        query_class: int,
+        parts: int,
+        time_left: float,
+        start,
+        done,
     ) -> Running:
         """Through the door."""
         asker = self.identity.who(request.caller, settings.get("tansycrank.tenant", ""))
@@ -280,8 +309,13 @@
                 if plan is None:
                     result = Result(parts[0].fields, frames[0], parts[0].tag)
                 else:
-                    rows = [PartRows(p.fields or (), f, p.tag) for p, f in zip(parts, frames, strict=True)]
-                    result = merge(plan, rows, values, prepared.oids, request.results, prepared.fields)
+                    rows = [
+                        PartRows(p.fields or (), f, p.tag)
+                        for p, f in zip(parts, frames, strict=True)
+                    ]
+                    result = merge(
+                        plan, rows, values, prepared.oids, request.results, prepared.fields
+                    )
                 result.memory = job.memory
                 return result
             told = prepared.fields
@@ -340,7 +374,9 @@
                 return
             told, fields = answer[0].oids, answer[0].answer.fields
             if len(told) >= len(target.oids):
-                target.oids = tuple(mine or theirs for mine, theirs in zip(target.oids, told, strict=False))
+                target.oids = tuple(
+                    mine or theirs for mine, theirs in zip(target.oids, told, strict=False)
+                )
             if target.returns_rows:
                 target.fields = fields or ()
             done((target.oids, prepared.fields if prepared.explain else target.fields))
@@ -357,7 +393,9 @@
         time_left = self._time_left(index, settings)
         return self._enter(asked, settings, 3 * index + SAFE, 1, time_left, start, finished)
 
-    def _log_query(self, request: Request, index: int, effect: int, job: Job, outcome, began: float) -> None:
+    def _log_query(
+        self, request: Request, index: int, effect: int, job: Job, outcome, began: float
+    ) -> None:
         if self.log is None or not self.config.log.queries:
             return
         failed = isinstance(outcome, PgError)
--- a/tansycrank/sql/local.py
+++ b/tansycrank/sql/local.py
@@ -133,7 +133,11 @@
             return name, oid, value
         return None
     if isinstance(node, ast.SQLValueFunction):
-        return ("current_schema", types.NAME, "public") if node.op.name == "SVFOP_CURRENT_SCHEMA" else None
+        return (
+            ("current_schema", types.NAME, "public")
+            if node.op.name == "SVFOP_CURRENT_SCHEMA"
+            else None
+        )
     if not isinstance(node, ast.A_Const):
         return None
     try:
--- a/tansycrank/sql/many.py
+++ b/tansycrank/sql/many.py
@@ -80,7 +80,9 @@
                     ):
                         raise unsupported(f"subquery on distributed table {table.relname}")
             elif isinstance(node, ast.SQLValueFunction):
-                raise unsupported(f"{node.op.name.removeprefix('SVFOP_')}", "give the value as a parameter")
+                raise unsupported(
+                    f"{node.op.name.removeprefix('SVFOP_')}", "give the value as a parameter"
+                )
             elif isinstance(node, ast.GroupingSet | ast.GroupingFunc):
                 raise unsupported("GROUPING SETS, ROLLUP or CUBE")
             elif isinstance(node, ast.RangeTableSample):
@@ -90,13 +92,17 @@
                 "POSIX",
                 "ucs_basic",
             ):
-                raise unsupported(f"collation {node.collname[-1].sval}", 'collation "C" is supported')
+                raise unsupported(
+                    f"collation {node.collname[-1].sval}", 'collation "C" is supported'
+                )
             elif isinstance(node, ast.FuncCall):
                 name = function_name(node)
                 if node.over is not None:
                     raise unsupported(f"window function {name}()")
                 if name not in IMMUTABLE | AGGREGATES:
-                    raise unsupported(f"function {name}()", "its result may differ from node to node")
+                    raise unsupported(
+                        f"function {name}()", "its result may differ from node to node"
+                    )
             elif (
                 isinstance(node, ast.TypeCast)
                 and isinstance(node.arg, ast.A_Const)
@@ -113,11 +119,14 @@
     def plan(self) -> tuple[ast.SelectStmt, MergePlan]:
         groups = [self._resolve(item, "GROUP BY") for item in self.stmt.groupClause or ()]
         aggregated = any(
-            is_aggregate(n) for n in walk((self.targets, self.stmt.havingClause, self.stmt.sortClause))
+            is_aggregate(n)
+            for n in walk((self.targets, self.stmt.havingClause, self.stmt.sortClause))
         )
         if not groups and not aggregated and self.stmt.havingClause is None:
             return self._plain()
-        local = any((alias := self.scope.key_of(g)) and alias not in self.scope.nullable for g in groups)
+        local = any(
+            (alias := self.scope.key_of(g)) and alias not in self.scope.nullable for g in groups
+        )
         if groups and local:  # each group lies whole on one shard
             return self._plain()
         return self._grouped(groups)
@@ -163,7 +172,10 @@
     def _plain(self) -> tuple[ast.SelectStmt, MergePlan]:
         part, stmt = copy(self.stmt), self.stmt
         distinct = bool(stmt.distinctClause)
-        limit, offset = self._scalar(stmt.limitCount, "LIMIT"), self._scalar(stmt.limitOffset, "OFFSET")
+        limit, offset = (
+            self._scalar(stmt.limitCount, "LIMIT"),
+            self._scalar(stmt.limitOffset, "OFFSET"),
+        )
         hidden: list[ast.ResTarget] = []
         keys, known, part_sort = [], True, []
         for item in stmt.sortClause or ():
@@ -178,7 +190,9 @@
                 ast.SortBy(
                     node=node,
                     sortby_dir=SortByDir.SORTBY_DESC if descending else SortByDir.SORTBY_ASC,
-                    sortby_nulls=SortByNulls.SORTBY_NULLS_FIRST if first else SortByNulls.SORTBY_NULLS_LAST,
+                    sortby_nulls=SortByNulls.SORTBY_NULLS_FIRST
+                    if first
+                    else SortByNulls.SORTBY_NULLS_LAST,
                 )
             )
         count = len(hidden)
@@ -190,7 +204,9 @@
         part.limitCount = part.limitOffset = part.sortClause = None
         part.limitOption = LimitOption.LIMIT_OPTION_DEFAULT
         if distinct and any(isinstance(s.node, ast.CollateClause) for s in part_sort):
-            pushed = False  # danger: DISTINCT allows only its own columns as keys, without a collation
+            pushed = (
+                False  # danger: DISTINCT allows only its own columns as keys, without a collation
+            )
         if presorted or pushed:
             part.sortClause = tuple(part_sort) or None
         if pushed:
@@ -198,7 +214,14 @@
             part.limitCount = _sum(stmt.limitCount, stmt.limitOffset, limit, offset)
         kind = "sorted" if sort else "concat"
         return part, MergePlan(
-            kind, count, sort, distinct, limit, offset, pushed_limit=bool(pushed), presorted=presorted
+            kind,
+            count,
+            sort,
+            distinct,
+            limit,
+            offset,
+            pushed_limit=bool(pushed),
+            presorted=presorted,
         )
 
     def _sort_column(
@@ -218,7 +241,9 @@
                 if text_of(target.val) == text:
                     return index, expression
         if distinct and not self.star:
-            raise PgError("42P10", "for SELECT DISTINCT, ORDER BY expressions must appear in select list")
+            raise PgError(
+                "42P10", "for SELECT DISTINCT, ORDER BY expressions must appear in select list"
+            )
         if distinct:
             raise unsupported("SELECT DISTINCT * with ORDER BY")
         hidden.append(ast.ResTarget(name=f"tansycrank_sort_{len(hidden)}", val=expression))
@@ -235,7 +260,11 @@
             return self._type(node.args[0])
         if isinstance(node, ast.A_Expr) and operator(node) in "+-*/%" and node.lexpr is not None:
             left, right = self._type(node.lexpr), self._type(node.rexpr)
-            return types.NUMERIC if {left, right} <= types.INTEGERS | {types.NUMERIC, types.FLOAT8} else 0
+            return (
+                types.NUMERIC
+                if {left, right} <= types.INTEGERS | {types.NUMERIC, types.FLOAT8}
+                else 0
+            )
         if (
             isinstance(node, ast.A_Const)
             and not node.isnull
@@ -249,7 +278,9 @@
     def _grouped(self, groups: list[ast.Node]) -> tuple[ast.SelectStmt, MergePlan]:
         stmt = self.stmt
         if self.star:
-            raise PgError("42803", "* must appear in the GROUP BY clause or be used in an aggregate function")
+            raise PgError(
+                "42803", "* must appear in the GROUP BY clause or be used in an aggregate function"
+            )
         if stmt.distinctClause:
             raise unsupported("SELECT DISTINCT with aggregates")
         self.groups = [(text_of(g), g) for g in groups]
@@ -257,14 +288,20 @@
         self.partials: dict[str, int] = {}
         self.aggregates: list[Aggregate] = []
         self.known: dict[str, int] = {}
-        calls = [n for n in walk((self.targets, stmt.havingClause, stmt.sortClause)) if is_aggregate(n)]
+        calls = [
+            n for n in walk((self.targets, stmt.havingClause, stmt.sortClause)) if is_aggregate(n)
+        ]
         self.raw = any(call.agg_distinct or function_name(call) in VALUES for call in calls)
         outputs = tuple(Output(_label(t), self._expression(t.val)) for t in self.targets)
         having = self._expression(stmt.havingClause) if stmt.havingClause is not None else None
         sort, extra = [], []
         for item in stmt.sortClause or ():
             node = item.node
-            if isinstance(node, ast.A_Const) and not node.isnull and isinstance(node.val, ast.Integer):
+            if (
+                isinstance(node, ast.A_Const)
+                and not node.isnull
+                and isinstance(node.val, ast.Integer)
+            ):
                 self._resolve(node, "ORDER BY")
                 column = node.val.ival - 1
             else:
@@ -275,13 +312,17 @@
                     column = len(outputs) + len(extra) - 1
             sort.append(SortKey(column, *_direction(item)))
         part = copy(stmt)
-        part.targetList = tuple(ast.ResTarget(name=f"c{i}", val=node) for i, node in enumerate(self.columns))
+        part.targetList = tuple(
+            ast.ResTarget(name=f"c{i}", val=node) for i, node in enumerate(self.columns)
+        )
         part.groupClause = tuple(g for _, g in self.groups) or None
         first = False
         if self.raw:
             part.groupClause = None
             lone = len(self.columns) == len(self.groups) + 1
-            first = lone and all(a.kind == "count" and a.distinct and a.filter < 0 for a in self.aggregates)
+            first = lone and all(
+                a.kind == "count" and a.distinct and a.filter < 0 for a in self.aggregates
+            )
             part.distinctClause = (None,) if first else None
         part.havingClause = part.sortClause = part.limitCount = part.limitOffset = None
         part.limitOption = LimitOption.LIMIT_OPTION_DEFAULT
@@ -314,7 +355,9 @@
         if contains(call.args, ast.SubLink) or any(is_aggregate(n) for n in walk(call.args or ())):
             raise unsupported(f"a subquery or aggregate inside {name}()")
         if name not in PARTIAL | VALUES:
-            raise unsupported(f"aggregate {name}()", "group by the distribution column, or ask for one shard")
+            raise unsupported(
+                f"aggregate {name}()", "group by the distribution column, or ask for one shard"
+            )
         order_by, fixed, args = list(call.agg_order or ()), None, list(call.args or ())
         if call.agg_distinct and order_by:
             raise unsupported(f"{name}(DISTINCT ... ORDER BY ...)")
@@ -340,7 +383,9 @@
         if self.raw:
             return self._raw_aggregate(call)
         if name not in PARTIAL:
-            raise unsupported(f"aggregate {name}()", "group by the distribution column, or ask for one shard")
+            raise unsupported(
+                f"aggregate {name}()", "group by the distribution column, or ask for one shard"
+            )
         if call.agg_distinct:
             raise unsupported(
                 f"{name}(DISTINCT ...)", "group by the distribution column, or ask for one shard"
@@ -354,19 +399,26 @@
             collated = True
             if name == "avg":
                 total, number = copy(call), copy(call)
-                total.funcname, number.funcname = (ast.String(sval="sum"),), (ast.String(sval="count"),)
+                total.funcname, number.funcname = (
+                    (ast.String(sval="sum"),),
+                    (ast.String(sval="count"),),
+                )
                 columns = self._partial(total), self._partial(number)
             elif name in ("min", "max"):
                 oid = self._type(call.args[0])
                 collated = bool(oid)
                 if oid in types.TEXTUAL and oid and not isinstance(call.args[0], ast.CollateClause):
                     call = copy(call)
-                    call.args = (ast.CollateClause(arg=call.args[0], collname=(ast.String(sval="C"),)),)
+                    call.args = (
+                        ast.CollateClause(arg=call.args[0], collname=(ast.String(sval="C"),)),
+                    )
                 columns = (self._partial(call),)
             else:
                 columns = (self._partial(call),)
             self.known[text] = len(self.aggregates)
-            self.aggregates.append(Aggregate("bool_and" if name == "every" else name, columns, collated))
+            self.aggregates.append(
+                Aggregate("bool_and" if name == "every" else name, columns, collated)
+            )
         return ("agg", self.known[text])
 
     def _expression(self, node: ast.Node) -> tuple:
@@ -383,7 +435,9 @@
                 try:
                     digits = constant(node.args[1]) if len(node.args) == 2 else 0
                 except NotConstant:
-                    raise unsupported("round() to a computed number of digits over aggregates") from None
+                    raise unsupported(
+                        "round() to a computed number of digits over aggregates"
+                    ) from None
                 return ("round", self._expression(node.args[0]), digits)
             raise unsupported(f"function {name}() over aggregates")
         if isinstance(node, ast.ParamRef):
@@ -416,7 +470,10 @@
 def _direction(item: ast.SortBy) -> tuple[bool, bool]:
     if item.sortby_dir == SortByDir.SORTBY_USING:
         raise unsupported("ORDER BY ... USING")
-    if isinstance(item.node, ast.CollateClause) and item.node.collname[-1].sval not in ("C", "POSIX"):
+    if isinstance(item.node, ast.CollateClause) and item.node.collname[-1].sval not in (
+        "C",
+        "POSIX",
+    ):
         raise unsupported(f"collation {item.node.collname[-1].sval}")
     descending = item.sortby_dir == SortByDir.SORTBY_DESC
     if item.sortby_nulls == SortByNulls.SORTBY_NULLS_DEFAULT:
--- a/tansycrank/sql/plan.py
+++ b/tansycrank/sql/plan.py
@@ -7,9 +7,7 @@
 
 from tansycrank.pg.messages import Field
 
-Expression = (
-    tuple  # ("group", i) | ("agg", i) | ("const", value) | ("param", n) | ("op", sign, left, right) | ...
-)
+Expression = tuple  # ("group", i) | ("agg", i) | ("const", value) | ("param", n) | ("op", sign, left, right) | ...
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,7 +73,9 @@
 
     def explain(self) -> list[str]:
         """Lines for EXPLAIN."""
-        lines = [{"concat": "Append", "sorted": "Merge Sort", "grouped": "Merge Aggregate"}[self.kind]]
+        lines = [
+            {"concat": "Append", "sorted": "Merge Sort", "grouped": "Merge Aggregate"}[self.kind]
+        ]
         if self.sort:
             keys = ", ".join(
                 f"column {k.column}{' DESC' if k.descending else ''}"
@@ -120,9 +120,7 @@
 class Local:
     """Answered by the router itself: rows of text values, or a session command."""
 
-    command: (
-        str  # "rows", "set", "reset", "show", "begin", "commit", "rollback", "nothing", "deallocate", ...
-    )
+    command: str  # "rows", "set", "reset", "show", "begin", "commit", "rollback", "nothing", "deallocate", ...
     tag: str = ""
     fields: tuple[Field, ...] = ()
     rows: tuple[tuple[bytes | None, ...], ...] = ()
@@ -151,6 +149,8 @@
     inner: Prepared | None = None  # the query of DECLARE or COPY
     options: tuple[tuple[str, object], ...] = ()  # of COPY
     bind: Callable[[Sequence[object]], Parts] | None = None
-    compute: Callable[[Sequence[object]], Local] | None = None  # a local answer that depends on parameters
+    compute: Callable[[Sequence[object]], Local] | None = (
+        None  # a local answer that depends on parameters
+    )
     describe_sql: Callable[[], PartSql] | None = None
     fields: tuple[Field, ...] | None = field(default=None)  # once known: columns, for Describe
--- a/tansycrank/sql/planner.py
+++ b/tansycrank/sql/planner.py
@@ -68,7 +68,9 @@
         except pglast.parser.ParseError as error:
             raise PgError(SYNTAX_ERROR, str(error.args[0])) from None
         except (RecursionError, ValueError) as error:
-            raise PgError(SYNTAX_ERROR, f"the statement can't be read: {type(error).__name__}") from None
+            raise PgError(
+                SYNTAX_ERROR, f"the statement can't be read: {type(error).__name__}"
+            ) from None
         planned = []
         for raw in found:
             start = raw.stmt_location
@@ -107,7 +109,9 @@
             case ast.DeallocateStmt():
                 return _session(
                     Local(
-                        "deallocate", "DEALLOCATE ALL" if stmt.isall else "DEALLOCATE", name=stmt.name or ""
+                        "deallocate",
+                        "DEALLOCATE ALL" if stmt.isall else "DEALLOCATE",
+                        name=stmt.name or "",
                     ),
                     text,
                 )
@@ -127,7 +131,9 @@
 
     def _inner(self, query: ast.Node, what: str, oids: tuple[int, ...]) -> Prepared:
         if not isinstance(query, ast.SelectStmt):
-            raise PgError(FEATURE_NOT_SUPPORTED, f"{what} of something other than SELECT is not supported")
+            raise PgError(
+                FEATURE_NOT_SUPPORTED, f"{what} of something other than SELECT is not supported"
+            )
         (inner,) = self.statements(text_of(query), oids)
         if inner.local is not None or inner.volatile:
             raise PgError(FEATURE_NOT_SUPPORTED, f"{what} of this query is not supported")
@@ -138,7 +144,9 @@
             raise PgError(FEATURE_NOT_SUPPORTED, "cursors WITH HOLD or SCROLL are not supported")
         inner = self._inner(stmt.query, "DECLARE", oids)
         command = Local("declare", "DECLARE CURSOR", name=stmt.portalname)
-        return Prepared(inner.sql, command.tag, inner.oids, command, returns_rows=False, inner=inner)
+        return Prepared(
+            inner.sql, command.tag, inner.oids, command, returns_rows=False, inner=inner
+        )
 
     def _copy(self, stmt: ast.CopyStmt, oids: tuple[int, ...]) -> Prepared:
         if stmt.is_from or stmt.filename or stmt.is_program:
@@ -150,7 +158,9 @@
         options = []
         for option in stmt.options or ():
             value = getattr(
-                option.arg, "sval", getattr(option.arg, "boolval", getattr(option.arg, "ival", "true"))
+                option.arg,
+                "sval",
+                getattr(option.arg, "boolval", getattr(option.arg, "ival", "true")),
             )
             options.append((option.defname, value))
         inner = self._inner(query, "COPY", oids)
@@ -173,7 +183,8 @@
             if node.relname in names and not node.schemaname:
                 if node.relname in self.config.tables:
                     raise PgError(
-                        FEATURE_NOT_SUPPORTED, f"WITH name {node.relname!r} is also the name of a table"
+                        FEATURE_NOT_SUPPORTED,
+                        f"WITH name {node.relname!r} is also the name of a table",
                     )
                 continue
             if node.schemaname not in (None, "public") or node.relname not in self.config.tables:
@@ -186,7 +197,9 @@
             found.append((node, self.config.tables[node.relname]))
         return found
 
-    def _select(self, stmt: ast.SelectStmt, text: str, start: int, oids: tuple[int, ...]) -> Prepared:
+    def _select(
+        self, stmt: ast.SelectStmt, text: str, start: int, oids: tuple[int, ...]
+    ) -> Prepared:
         if local.is_type_query(stmt):
             empty = local.type_rows(())
             return Prepared(
@@ -199,7 +212,9 @@
             )
         answer = local.answer(stmt)
         if answer is not None:
-            return Prepared(text, "SELECT", oids, answer, returns_rows=True, fields=answer.fields or None)
+            return Prepared(
+                text, "SELECT", oids, answer, returns_rows=True, fields=answer.fields or None
+            )
         for node in walk(stmt):
             if isinstance(node, ast.InsertStmt | ast.UpdateStmt | ast.DeleteStmt):
                 raise PgError(FEATURE_NOT_SUPPORTED, "data-modifying WITH is not supported")
@@ -217,7 +232,8 @@
         )
         levels = [s for s in walk(stmt) if isinstance(s, ast.SelectStmt) and s.fromClause]
         scopes = [
-            scope_of(self.config, level.fromClause, level.whereClause, strict=False) for level in levels
+            scope_of(self.config, level.fromClause, level.whereClause, strict=False)
+            for level in levels
         ]
         seen = sum(len(scope.distributed) for scope in scopes)
         if seen != sum(bool(table.distribution) for _, table in tables):
@@ -245,7 +261,9 @@
                 template, mark = self._template(part)
                 many.extend((template, mark, merge))
             template, mark, merge = many
-            shards = sorted(set.union(*rules[0].shards(values))) if len(rules) == 1 else sorted(together)
+            shards = (
+                sorted(set.union(*rules[0].shards(values))) if len(rules) == 1 else sorted(together)
+            )
             parts = tuple(PartSql(s, template.replace(mark, self.schema(s))) for s in shards)
             return Parts(parts, merge)
 
@@ -257,7 +275,9 @@
         """The schema of a shard at its nodes."""
         return self.config.store.schema.format(shard=shard)
 
-    def _qualifier(self, text: str, start: int, stmt: ast.Node, tables: list[tuple[ast.RangeVar, Table]]):
+    def _qualifier(
+        self, text: str, start: int, stmt: ast.Node, tables: list[tuple[ast.RangeVar, Table]]
+    ):
         """A function from shard to the statement in its own words, its tables in the shard's schema."""
         cuts = []
         for node, table in tables:
@@ -302,7 +322,9 @@
     # --- writes -----------------------------------------------------------------------
 
     def _write(self, stmt: ast.Node, text: str, start: int, oids: tuple[int, ...]) -> Prepared:
-        tag = {ast.InsertStmt: "INSERT", ast.UpdateStmt: "UPDATE", ast.DeleteStmt: "DELETE"}[type(stmt)]
+        tag = {ast.InsertStmt: "INSERT", ast.UpdateStmt: "UPDATE", ast.DeleteStmt: "DELETE"}[
+            type(stmt)
+        ]
         tables = self._tables(stmt)
         target = self.config.tables[stmt.relation.relname]
         if not target.distribution:
@@ -316,10 +338,14 @@
             writes=True,
             volatile=_volatile(stmt),
             tables=tuple(t.name for _, t in tables),
-            returns_rows=bool(getattr(stmt, "returningList", None) or getattr(stmt, "returningClause", None)),
+            returns_rows=bool(
+                getattr(stmt, "returningList", None) or getattr(stmt, "returningClause", None)
+            ),
         )
         shards_of = (
-            self._insert_shards(stmt, target) if tag == "INSERT" else self._where_shards(stmt, target, tag)
+            self._insert_shards(stmt, target)
+            if tag == "INSERT"
+            else self._where_shards(stmt, target, tag)
         )
         qualified = self._qualifier(text, start, stmt, tables)
 
@@ -346,21 +372,33 @@
         update = stmt.onConflictClause.targetList if stmt.onConflictClause else None
         if any(t.name == table.column for t in update or ()):
             raise unsupported(f"changing the distribution column {table.column}")
-        names, distribution = insert_columns(stmt, table), self.config.distributions[table.distribution]
+        names, distribution = (
+            insert_columns(stmt, table),
+            self.config.distributions[table.distribution],
+        )
         if table.column not in names:
             raise PgError(
-                "23502", f"INSERT into {table.name} gives no value for its distribution column {table.column}"
+                "23502",
+                f"INSERT into {table.name} gives no value for its distribution column {table.column}",
             )
         index, wanted = names.index(table.column), []
         for row in select.valuesLists:
             if index >= len(row):
                 raise PgError(SYNTAX_ERROR, "INSERT has more target columns than expressions")
             node = row[index]
-            node = node.arg if isinstance(node, ast.TypeCast) and isinstance(node.arg, ast.ParamRef) else node
+            node = (
+                node.arg
+                if isinstance(node, ast.TypeCast) and isinstance(node.arg, ast.ParamRef)
+                else node
+            )
             try:
-                wanted.append(("param", node.number) if isinstance(node, ast.ParamRef) else constant(node))
+                wanted.append(
+                    ("param", node.number) if isinstance(node, ast.ParamRef) else constant(node)
+                )
             except NotConstant:
-                raise unsupported(f"an expression for the distribution column {table.column}") from None
+                raise unsupported(
+                    f"an expression for the distribution column {table.column}"
+                ) from None
 
         def shards(values: Sequence[object]) -> set[int]:
             found = set()
@@ -386,7 +424,9 @@
 
     def _where_shards(self, stmt: ast.UpdateStmt | ast.DeleteStmt, table: Table, tag: str):
         others = stmt.fromClause if isinstance(stmt, ast.UpdateStmt) else stmt.usingClause
-        if isinstance(stmt, ast.UpdateStmt) and any(t.name == table.column for t in stmt.targetList):
+        if isinstance(stmt, ast.UpdateStmt) and any(
+            t.name == table.column for t in stmt.targetList
+        ):
             raise unsupported(f"changing the distribution column {table.column}")
         if contains((stmt.whereClause, getattr(stmt, "targetList", None)), ast.SubLink):
             raise unsupported(f"{tag} with a subquery")
@@ -406,7 +446,9 @@
         fields = (Field("QUERY PLAN", types.TEXT),)
         if inner.local is not None:
             rows = ((b"Answered by the router",),)
-            return Prepared(text, "EXPLAIN", oids, Local("rows", "EXPLAIN", fields, rows), fields=fields)
+            return Prepared(
+                text, "EXPLAIN", oids, Local("rows", "EXPLAIN", fields, rows), fields=fields
+            )
         return Prepared(text, "EXPLAIN", inner.oids, None, explain=inner, fields=fields)
 
 
@@ -447,7 +489,9 @@
         except NotConstant:
             raise PgError(SYNTAX_ERROR, f"SET {stmt.name}: a constant is needed") from None
         words.append(
-            {True: "on", False: "off"}.get(value, str(value)) if isinstance(value, bool) else str(value)
+            {True: "on", False: "off"}.get(value, str(value))
+            if isinstance(value, bool)
+            else str(value)
         )
     return Local("set", "SET", name=stmt.name, value=", ".join(words))
 
--- a/tansycrank/sql/scope.py
+++ b/tansycrank/sql/scope.py
@@ -28,7 +28,9 @@
     tables: dict[str, Table] = field(default_factory=dict)
     nullable: set[str] = field(default_factory=set)
     opaque: list[str] = field(default_factory=list)  # aliases of subqueries and functions
-    links: list[tuple[str, str]] = field(default_factory=list)  # aliases equal in their distribution columns
+    links: list[tuple[str, str]] = field(
+        default_factory=list
+    )  # aliases equal in their distribution columns
     terms: list[ast.Node] = field(default_factory=list)  # hold for every row
     merged: set[str] = field(default_factory=set)  # columns of USING
 
@@ -50,7 +52,8 @@
         if not holders or self.opaque or len(holders) > 1 and column not in self.merged:
             return None
         return next(
-            (a for a in holders if self.tables[a].distribution and self.tables[a].column == column), None
+            (a for a in holders if self.tables[a].distribution and self.tables[a].column == column),
+            None,
         )
 
     def type_of(self, node: object) -> int:
@@ -60,7 +63,11 @@
             return 0
         alias, column = name
         holders = [t for a, t in self.tables.items() if column in t.columns and alias in ("", a)]
-        return holders[0].columns[column] if holders and (len(holders) == 1 or column in self.merged) else 0
+        return (
+            holders[0].columns[column]
+            if holders and (len(holders) == 1 or column in self.merged)
+            else 0
+        )
 
     def colocated(self) -> bool:
         """Whether all distributed tables are tied by equality of their distribution columns."""
@@ -80,7 +87,9 @@
         return len({find(alias) for alias in aliases}) == 1
 
 
-def scope_of(config: Config, items: Sequence[ast.Node], where: ast.Node | None, strict: bool) -> Scope:
+def scope_of(
+    config: Config, items: Sequence[ast.Node], where: ast.Node | None, strict: bool
+) -> Scope:
     """Read FROM and WHERE of one level. `strict` refuses joins that can't go down to several shards."""
     scope = Scope()
     for item in items:
@@ -126,7 +135,9 @@
     for name in item.usingClause or ():
         scope.merged.add(name.sval)
         pair = [
-            next((a for a in side if a in scope.tables and scope.tables[a].column == name.sval), None)
+            next(
+                (a for a in side if a in scope.tables and scope.tables[a].column == name.sval), None
+            )
             for side in (left, right)
         ]
         if all(pair):
@@ -163,7 +174,9 @@
     return any(a in scope.tables and scope.tables[a].distribution for a in aliases)
 
 
-def _link(scope: Scope, term: ast.Node, left: set[str] | None = None, right: set[str] | None = None) -> bool:
+def _link(
+    scope: Scope, term: ast.Node, left: set[str] | None = None, right: set[str] | None = None
+) -> bool:
     if not is_op(term, "="):
         return False
     pair = scope.key_of(term.lexpr), scope.key_of(term.rexpr)
@@ -200,7 +213,10 @@
                     return alias, _operand(other)
         elif term.kind == A_Expr_Kind.AEXPR_IN and (alias := scope.key_of(term.lexpr)) is not None:
             return alias, [value for item in term.rexpr for value in _operand(item)]
-        elif term.kind == A_Expr_Kind.AEXPR_OP_ANY and (alias := scope.key_of(term.lexpr)) is not None:
+        elif (
+            term.kind == A_Expr_Kind.AEXPR_OP_ANY
+            and (alias := scope.key_of(term.lexpr)) is not None
+        ):
             array = term.rexpr.arg if isinstance(term.rexpr, ast.TypeCast) else term.rexpr
             if isinstance(array, ast.ParamRef):
                 return alias, [("params", array.number)]
@@ -249,7 +265,9 @@
                 kind, number = value
                 items = [values[number - 1]]
                 if kind == "params":
-                    items = items[0] if isinstance(items[0], list) else [] if items[0] is None else None
+                    items = (
+                        items[0] if isinstance(items[0], list) else [] if items[0] is None else None
+                    )
                 if items is None:
                     return every
             for item in items:
--- a/tansycrank/sql/shards.py
+++ b/tansycrank/sql/shards.py
@@ -39,7 +39,9 @@
     Hashing: XXH3 (64 bits) of the UTF-8 text, the 16 bytes of a uuid, or 8 bytes big-endian, modulo `shards`.
     """
     if distribution.method == "list":
-        text = types.encode(types.UUID, 0, value).decode() if isinstance(value, bytes) else str(value)
+        text = (
+            types.encode(types.UUID, 0, value).decode() if isinstance(value, bytes) else str(value)
+        )
         if text not in distribution.lists:
             raise NoPlace(text)
         return distribution.lists[text]
--- a/tansycrank/sql/tree.py
+++ b/tansycrank/sql/tree.py
@@ -38,7 +38,9 @@
     """Whether it calls an aggregate over the whole group."""
     from tansycrank.sql.names import AGGREGATES
 
-    return isinstance(node, ast.FuncCall) and node.over is None and function_name(node) in AGGREGATES
+    return (
+        isinstance(node, ast.FuncCall) and node.over is None and function_name(node) in AGGREGATES
+    )
 
 
 def operator(expr: ast.A_Expr) -> str:
@@ -48,7 +50,11 @@
 
 def is_op(node: object, sign: str) -> bool:
     """Whether it is this plain operator."""
-    return isinstance(node, ast.A_Expr) and node.kind == A_Expr_Kind.AEXPR_OP and operator(node) == sign
+    return (
+        isinstance(node, ast.A_Expr)
+        and node.kind == A_Expr_Kind.AEXPR_OP
+        and operator(node) == sign
+    )
 
 
 def conjuncts(node: object) -> list:
@@ -62,7 +68,9 @@
 
 def column_name(node: object) -> tuple[str, str] | None:
     """(alias or "", column) of a column reference, None for stars and longer names."""
-    if not isinstance(node, ast.ColumnRef) or not all(isinstance(f, ast.String) for f in node.fields):
+    if not isinstance(node, ast.ColumnRef) or not all(
+        isinstance(f, ast.String) for f in node.fields
+    ):
         return None
     names = [f.sval for f in node.fields]
     return ("", names[0]) if len(names) == 1 else (names[0], names[1]) if len(names) == 2 else None
@@ -82,7 +90,11 @@
 
 def constant(node: object) -> object:
     """The value of a literal: int, Decimal, str, bool or None; casts of literals to plain types too."""
-    if isinstance(node, ast.TypeCast) and isinstance(node.arg, ast.A_Const) and not node.typeName.typmods:
+    if (
+        isinstance(node, ast.TypeCast)
+        and isinstance(node.arg, ast.A_Const)
+        and not node.typeName.typmods
+    ):
         value, oid = constant(node.arg), type_oid(node.typeName)
         if value is None or not oid or oid in types.ARRAYS:
             raise NotConstant
--- a/tansycrank/start_times.py
+++ b/tansycrank/start_times.py
@@ -45,9 +45,13 @@
 
     def __init__(self) -> None:
         self._known: dict[Hashable, _Known] = {}
-        self._witnesses: dict[Hashable, float] = {}  # the two nodes with the largest offsets; see `_offset`
+        self._witnesses: dict[
+            Hashable, float
+        ] = {}  # the two nodes with the largest offsets; see `_offset`
         self._dated_by = float("-inf")  # the offset by which all starts were last dated
-        self._last_word: float | None = None  # ms: when discovery was last heard; None before its first list
+        self._last_word: float | None = (
+            None  # ms: when discovery was last heard; None before its first list
+        )
 
     def heard(self, now: float) -> None:
         """Discovery said, on an open watch, that nothing changes; `now` is ms of the monotonic clock."""
@@ -93,7 +97,9 @@
         if known is not None and known.told == told:
             return
         incarnation = FIRST if known is None else known.start.incarnation
-        if known is not None and told != LONG_AGO:  # a node whose start is no longer told is merely old
+        if (
+            known is not None and told != LONG_AGO
+        ):  # a node whose start is no longer told is merely old
             incarnation += 1
         not_before = float("-inf") if self._last_word is None else self._last_word
         at = LONG_AGO if told == LONG_AGO else self._instant(told, not_before, now)
--- a/tansycrank/wire.py
+++ b/tansycrank/wire.py
@@ -18,7 +18,9 @@
 EVERY_PEER = 0xFFFFFFFF
 MAX_FRAME = 1 << 30
 
-ATTACH, VIEW, CRASH_NOW, FIRST, REQ, FROM_PEER, DIRECTORY, RING, DONE, ABORTED, PROBE_RESULT = range(1, 12)
+ATTACH, VIEW, CRASH_NOW, FIRST, REQ, FROM_PEER, DIRECTORY, RING, DONE, ABORTED, PROBE_RESULT = (
+    range(1, 12)
+)
 EVENTS = {
     ATTACH: struct.Struct("<xHQII"),
     VIEW: struct.Struct("<xHBIB"),
@@ -58,7 +60,12 @@
     80: io.Outcome.NOT_SENT,
 }
 STATUSES = {0: io.Status.GONE, 1: io.Status.DRAINING, 2: io.Status.READY}
-LIST_KINDS = {0: io.ListKind.FULL, 1: io.ListKind.FAILED, 2: io.ListKind.CHANGES, 3: io.ListKind.CACHED}
+LIST_KINDS = {
+    0: io.ListKind.FULL,
+    1: io.ListKind.FAILED,
+    2: io.ListKind.CHANGES,
+    3: io.ListKind.CACHED,
+}
 EFFECTS = {
     "read_like": io.Effect.SAFE,
     "idempotency_key": io.Effect.KEYED,
@@ -100,13 +107,17 @@
     def decode(self, frame: bytes) -> tuple[float, list[tuple[int, object]]]:
         """Read one whole frame, header included."""
         if len(frame) < HEADER.size:
-            raise FrameError(f"frame of {len(frame)} bytes is shorter than its header ({HEADER.size})")
+            raise FrameError(
+                f"frame of {len(frame)} bytes is shorter than its header ({HEADER.size})"
+            )
         size, clock, count = HEADER.unpack_from(frame)
         if size != len(frame):
             raise FrameError(f"byte 0: frame says {size} bytes but has {len(frame)}")
         tail_at = HEADER.size + count * EVENT_BYTES
         if tail_at > size:
-            raise FrameError(f"byte 12: {count} records need {tail_at} bytes but the frame has {size}")
+            raise FrameError(
+                f"byte 12: {count} records need {tail_at} bytes but the frame has {size}"
+            )
         tail = frame[tail_at:]
         records = []
         for index in range(count):
@@ -231,7 +242,12 @@
             return struct.pack("<BHI", CLOSE_IDLE, instance, server)
         case io.TellPeer(peer, data):
             code = struct.pack(
-                "<BHIII", SIGNAL, instance, EVERY_PEER if peer is None else peer, len(tail), len(data)
+                "<BHIII",
+                SIGNAL,
+                instance,
+                EVERY_PEER if peer is None else peer,
+                len(tail),
+                len(data),
             )
             tail += data
             return code
@@ -286,11 +302,17 @@
     ("budget_window", "rules", "countedOver", "number"),
 )
 _CLASS_FIELDS = (
-    ("aim", "aim"), ("give_up", "giveUp"), ("worth", "points"), ("late_worth", "lateWorth"),
+    ("aim", "aim"),
+    ("give_up", "giveUp"),
+    ("worth", "points"),
+    ("late_worth", "lateWorth"),
     ("dedup_window", "window"),
 )
 _CLASS_SHARES = (
-    ("floor", "minShare"), ("whole_at", "wholeAt"), ("short_worth", "shortWorth"), ("follow_up", "followUp"),
+    ("floor", "minShare"),
+    ("whole_at", "wholeAt"),
+    ("short_worth", "shortWorth"),
+    ("follow_up", "followUp"),
 )
 
 
@@ -301,14 +323,19 @@
     except json.JSONDecodeError as error:
         raise ValueError(f"settings: not JSON: {error}") from error
     root = _Node(raw, "settings")
-    groups = {name: root.node(name) for name in ("familyInfo", "caps", "clients", "rules", "prices")}
+    groups = {
+        name: root.node(name) for name in ("familyInfo", "caps", "clients", "rules", "prices")
+    }
     groups[""] = root
-    budget = any(key in groups["rules"].raw for _, _, key, _ in _BUDGET)  # danger: half of one taken for none
+    budget = any(
+        key in groups["rules"].raw for _, _, key, _ in _BUDGET
+    )  # danger: half of one taken for none
     fields = _FIELDS + (_BUDGET if budget else ())
     told = {name: getattr(groups[group], kind)(key) for name, group, key, kind in fields}
     places = {name: f"{groups[group].path}.{key}" for name, group, key, _ in fields}
     classes = tuple(
-        _class(groups["familyInfo"], node, index) for index, node in enumerate(root.items("services"))
+        _class(groups["familyInfo"], node, index)
+        for index, node in enumerate(root.items("services"))
     )
     places |= {"classes": "settings.services", "zones": "settings.localities"}
     must_ask = root.word("discovery", ("ask", "push")) == "ask"
@@ -396,4 +423,7 @@
 
     def items(self, key: str) -> list[_Node]:
         """The objects of a list."""
-        return [_Node(value, f"{self.path}.{key}[{index}]") for index, value in enumerate(self.listed(key))]
+        return [
+            _Node(value, f"{self.path}.{key}[{index}]")
+            for index, value in enumerate(self.listed(key))
+        ]
--- a/tests/door/test_gate.py
+++ b/tests/door/test_gate.py
@@ -71,7 +71,11 @@
         site.clock.advance(0.5)
         site.end(next(iter(site.running)))
     problem = site.gate.glance(ASKER, 0, 5.0, 9, False)
-    assert isinstance(problem, PgError) and problem.state == REFUSED and "retry_after_ms=" in problem.detail
+    assert (
+        isinstance(problem, PgError)
+        and problem.state == REFUSED
+        and "retry_after_ms=" in problem.detail
+    )
     assert site.gate.glance(ASKER, 0, 1e9, 11, False) is None
     assert len(site.gate.entries) == len(site.gate.policy.waiting) + len(site.gate.policy.inside)
 
@@ -115,7 +119,9 @@
     clock, started = Clock(), []
     gate = Gate(clock, None)
     for _ in range(100):
-        gate.enter(ASKER, 0, 1, 100.0, lambda left, done: started.append(left), lambda outcome: None)
+        gate.enter(
+            ASKER, 0, 1, 100.0, lambda left, done: started.append(left), lambda outcome: None
+        )
     assert len(started) == 100
 
 
--- a/tests/door/test_identity.py
+++ b/tests/door/test_identity.py
@@ -69,7 +69,9 @@
     for text in texts:
         networks.add(text, text)
     address = IPAddress(number, 4)
-    wanted = sorted({t for t in texts if address in IPNetwork(t)}, key=lambda t: -IPNetwork(t).prefixlen)
+    wanted = sorted(
+        {t for t in texts if address in IPNetwork(t)}, key=lambda t: -IPNetwork(t).prefixlen
+    )
     assert [group[0] for group in networks.groups(address)] == wanted
 
 
@@ -109,8 +111,14 @@
         ("[tenant t]\nusers = a\ntenant = {name}", "[tenant t] tenant = '{name}'"),
         ("[tenant t]\nusers = a\nweight = 0", "[tenant t] weight = '0'"),
         ("[tenant t]\nusers = a\nmin_share = 0.5\nmax_share = 0.2", "at most max_share (0.2)"),
-        ("[tenant t]\nusers = (a)\ntenant = {user}\nmin_share = 0.1", "only for one tenant by name"),
-        ("[tenant t]\nusers = a\nmin_share = 0.5\n[tenant s]\nusers = b\nmin_share = 0.6", "at most 0.9"),
+        (
+            "[tenant t]\nusers = (a)\ntenant = {user}\nmin_share = 0.1",
+            "only for one tenant by name",
+        ),
+        (
+            "[tenant t]\nusers = a\nmin_share = 0.5\n[tenant s]\nusers = b\nmin_share = 0.6",
+            "at most 0.9",
+        ),
         ("[door]\nmax_tenants = 3", "[door] max_tenants = '3'"),
     ],
 )
--- a/tests/door/test_machine.py
+++ b/tests/door/test_machine.py
@@ -18,7 +18,9 @@
     Wake,
 )
 
-BOUNDS = Settings(classes=(1.0, 3.0), useful=(500.0, 900.0), queries=12, bytes=4000, tenants=4, places=10)
+BOUNDS = Settings(
+    classes=(1.0, 3.0), useful=(500.0, 900.0), queries=12, bytes=4000, tenants=4, places=10
+)
 
 
 class Door(RuleBasedStateMachine):
@@ -66,7 +68,10 @@
         )  # fmt: skip
 
     @precondition(lambda self: self.inside)
-    @rule(data=st.data(), kind=st.sampled_from(["answered", "answered", "refused", "failed", "cancelled"]))
+    @rule(
+        data=st.data(),
+        kind=st.sampled_from(["answered", "answered", "refused", "failed", "cancelled"]),
+    )
     def ends(self, data, kind):
         number = data.draw(st.sampled_from(sorted(self.inside)))
         self.inside.discard(number)
--- a/tests/door/test_policy.py
+++ b/tests/door/test_policy.py
@@ -210,7 +210,9 @@
     assert world.refused[early].reason == "early"
     assert other not in world.refused or world.refused[other].reason != "early"
     world.load(wait / 1000, {"a": 900})
-    again = world.ask("a", mark=mark, session=3)  # a pool gives it another session: its place is good
+    again = world.ask(
+        "a", mark=mark, session=3
+    )  # a pool gives it another session: its place is good
     world.run(world.now + 700)
     assert again in world.admitted and world.policy.counts["returned"] >= 1
 
--- a/tests/door/test_simulated.py
+++ b/tests/door/test_simulated.py
@@ -21,7 +21,11 @@
     play = Play(Scene(loads, seconds=8, **SITE))
     found = play.run().honesty(since=2.0)
     assert found["promises"] > 200
-    assert found["median error"] < 0.2 and found["nine in ten"] <= 0.5 and found["let in on return"] >= 0.9
+    assert (
+        found["median error"] < 0.2
+        and found["nine in ten"] <= 0.5
+        and found["let in on return"] >= 0.9
+    )
     assert play.jain(NAMES) > 0.95
 
 
--- a/tests/e2e/conftest.py
+++ b/tests/e2e/conftest.py
@@ -19,4 +19,6 @@
 @pytest.fixture(scope="session")
 def reference():
     """The same rows in one unsharded database."""
-    return Engine(config.parse(settings_text(LAYOUT, "127.0.0.1:1")), LAYOUT.seed, None, LAYOUT.scale)
+    return Engine(
+        config.parse(settings_text(LAYOUT, "127.0.0.1:1")), LAYOUT.seed, None, LAYOUT.scale
+    )
--- a/tests/e2e/test_answers.py
+++ b/tests/e2e/test_answers.py
@@ -55,19 +55,22 @@
             assert all(same(a, b) for a, b in zip(mine, theirs, strict=True)), (mine, theirs)
 
 
-@pytest.mark.parametrize("sql, construct", [
-    ("SELECT id, sum(fare) OVER () FROM trips", "window function"),
-    ("SELECT now() FROM trips", "now()"),
-    ("SELECT t.id FROM trips t JOIN cabs c ON t.cab_id = c.id", "join"),
-    ("SELECT corr(fare, distance) FROM trips", "corr"),
-    ("SELECT string_agg(note, note) FROM trips", "string_agg"),
-    ("SELECT id FROM trips UNION SELECT id FROM cabs", "UNION"),
-    ("SELECT id FROM trips ORDER BY tags", "text[]"),
-    ("SELECT note FROM trips ORDER BY note COLLATE \"de_DE\"", "de_DE"),
-    ("UPDATE trips SET fare = 1", "UPDATE"),
-    ("INSERT INTO trips (id, district) VALUES (1, 'Quan 1'), (2, 'Quan 3')", "INSERT"),
-    ("SELECT id FROM trips WHERE id IN (SELECT id FROM cabs)", "subquery"),
-])
+@pytest.mark.parametrize(
+    "sql, construct",
+    [
+        ("SELECT id, sum(fare) OVER () FROM trips", "window function"),
+        ("SELECT now() FROM trips", "now()"),
+        ("SELECT t.id FROM trips t JOIN cabs c ON t.cab_id = c.id", "join"),
+        ("SELECT corr(fare, distance) FROM trips", "corr"),
+        ("SELECT string_agg(note, note) FROM trips", "string_agg"),
+        ("SELECT id FROM trips UNION SELECT id FROM cabs", "UNION"),
+        ("SELECT id FROM trips ORDER BY tags", "text[]"),
+        ('SELECT note FROM trips ORDER BY note COLLATE "de_DE"', "de_DE"),
+        ("UPDATE trips SET fare = 1", "UPDATE"),
+        ("INSERT INTO trips (id, district) VALUES (1, 'Quan 1'), (2, 'Quan 3')", "INSERT"),
+        ("SELECT id FROM trips WHERE id IN (SELECT id FROM cabs)", "subquery"),
+    ],
+)
 def test_what_cant_be_merged_exactly_is_refused_by_name(site, sql, construct):
     with psycopg.connect(site.dsn(), autocommit=True) as link:
         with pytest.raises(psycopg.errors.FeatureNotSupported) as refusal:
--- a/tests/e2e/test_door.py
+++ b/tests/e2e/test_door.py
@@ -25,7 +25,9 @@
 
 
 def connect(site, user="t_one"):
-    return psycopg.connect(f"host=127.0.0.1 port={site.ports[0]} user={user} dbname=x", autocommit=True)
+    return psycopg.connect(
+        f"host=127.0.0.1 port={site.ports[0]} user={user} dbname=x", autocommit=True
+    )
 
 
 def flood(site, user, sessions, seconds, heard, manner="pushy"):
@@ -39,7 +41,9 @@
                 count += 1
                 began = time.monotonic()
                 try:
-                    link.execute(f"SELECT count(*) FROM trips WHERE id > {number * 1000 + count}").fetchall()
+                    link.execute(
+                        f"SELECT count(*) FROM trips WHERE id > {number * 1000 + count}"
+                    ).fetchall()
                     heard.append(("answered", time.monotonic() - began, ""))
                 except psycopg.Error as problem:
                     detail = problem.diag.message_detail or ""
@@ -61,7 +65,10 @@
         door = dict(link.execute("SHOW tansycrank.door").fetchall())
         assert door["enabled"] == "on" and float(door["limit_parts"]) > 0
         with link.cursor(binary=True) as cursor:  # and through the extended protocol
-            assert dict(cursor.execute("SHOW tansycrank.door", prepare=True).fetchall())["enabled"] == "on"
+            assert (
+                dict(cursor.execute("SHOW tansycrank.door", prepare=True).fetchall())["enabled"]
+                == "on"
+            )
 
 
 def test_limits_are_changed_by_a_checked_call(slow):
@@ -70,7 +77,13 @@
         link.execute("SET tansycrank.limits = 'limits weight=3 max_share=0.5'")
         rows = {row[0]: row for row in link.execute("SHOW tansycrank.tenants").fetchall()}
         assert rows["limits"][4] == "3" and rows["limits"][6] == "0.5"
-        for text in ("limits", "limits weight=0", "limits speed=1", "limits min_share=0.7 max_share=0.2", ""):
+        for text in (
+            "limits",
+            "limits weight=0",
+            "limits speed=1",
+            "limits min_share=0.7 max_share=0.2",
+            "",
+        ):
             with pytest.raises(psycopg.errors.InvalidParameterValue):
                 link.execute(f"SET tansycrank.limits = '{text}'")
         rows = {row[0]: row for row in link.execute("SHOW tansycrank.tenants").fetchall()}
@@ -78,7 +91,16 @@
 
 
 def test_top_prints_the_tenants(slow):
-    command = [sys.executable, "-m", "tansycrank", "top", "--port", str(slow.ports[0]), "--times", "1"]
+    command = [
+        sys.executable,
+        "-m",
+        "tansycrank",
+        "top",
+        "--port",
+        str(slow.ports[0]),
+        "--times",
+        "1",
+    ]
     told = subprocess.run(command, capture_output=True, text=True, timeout=30)
     assert told.returncode == 0 and "limit_parts" in told.stdout and "tenant" in told.stdout
 
@@ -101,7 +123,9 @@
         thread.join()
     refused = [(took, detail) for state, took, detail in heard if state == "53T01"]
     assert refused and any(state == "answered" for state, _, _ in heard)
-    assert all(re.match(r"retry_after_ms=\d+ reason=\w+ corrected=[01]$", detail) for _, detail in refused)
+    assert all(
+        re.match(r"retry_after_ms=\d+ reason=\w+ corrected=[01]$", detail) for _, detail in refused
+    )
     assert sum(isinstance(one, float) for one in mine) >= 8
 
 
@@ -121,7 +145,9 @@
 def test_a_cancel_takes_a_query_out_of_the_line(slow):
     links = [connect(slow, "t_crowd") for _ in range(25)]
     for number, link in enumerate(links):
-        link.pgconn.send_query(f"SELECT count(*), sum(fare) FROM trips WHERE id <> {number}".encode())
+        link.pgconn.send_query(
+            f"SELECT count(*), sum(fare) FROM trips WHERE id <> {number}".encode()
+        )
     with connect(slow, "t_crowd") as link:
         over = threading.Event()
 
--- a/tests/e2e/test_hard_cases.py
+++ b/tests/e2e/test_hard_cases.py
@@ -13,8 +13,17 @@
 from tansycrank.lab.model import Faults
 from tansycrank.pg import messages as pg
 
-CLEAN = {"slow": 1.0, "hang": False, "vanish": False, "errors": 0.0, "reset_rows": 0.0, "lose": 0.0,
-         "reset_before": 0.0, "reset_after": 0.0, "deaf_to": ""}
+CLEAN = {
+    "slow": 1.0,
+    "hang": False,
+    "vanish": False,
+    "errors": 0.0,
+    "reset_rows": 0.0,
+    "lose": 0.0,
+    "reset_before": 0.0,
+    "reset_after": 0.0,
+    "deaf_to": "",
+}
 ALL = (1, 2, 3, 4, 5, 6)
 
 
@@ -33,7 +42,11 @@
 
 
 def since(site, at, event="stmt", needle=""):
-    return [e for e in site.journal() if e["t"] >= at and e["ev"] == event and needle in e.get("sql", "")]
+    return [
+        e
+        for e in site.journal()
+        if e["t"] >= at and e["ev"] == event and needle in e.get("sql", "")
+    ]
 
 
 def until(condition, seconds=3.0):
@@ -52,7 +65,10 @@
 def test_all_nodes_of_a_shard_slow_is_refused_in_time_and_never_in_part(site):
     site.faults((1, 2, 3), slow=5000.0)
     with connect(site, deadline=900) as link:
-        for sql in ("SELECT count(*) FROM trips", "SELECT id FROM trips WHERE district = 'Quan 1' LIMIT 1"):
+        for sql in (
+            "SELECT count(*) FROM trips",
+            "SELECT id FROM trips WHERE district = 'Quan 1' LIMIT 1",
+        ):
             began = time.monotonic()
             with pytest.raises(psycopg.Error) as refusal:
                 link.execute(sql).fetchall()
@@ -67,7 +83,9 @@
         link.pgconn.send_query(b"/*heavy=2000*/ SELECT count(*) FROM trips")
         assert until(lambda: sum(site.stats(n)["running"] for n in ALL) >= 3)
         link.pgconn.finish()
-    assert until(lambda: sum(site.stats(n)["running"] + site.stats(n)["waiting"] for n in ALL) == 0, 1.5)
+    assert until(
+        lambda: sum(site.stats(n)["running"] + site.stats(n)["waiting"] for n in ALL) == 0, 1.5
+    )
     assert until(lambda: sum(site.stats(n)["cancelled"] for n in ALL) >= 3)
 
 
@@ -83,7 +101,9 @@
 def test_a_node_that_resets_after_half_of_its_rows_costs_no_row(site, reference):
     sql = "SELECT id, note FROM trips WHERE district = 'Quan 1' AND id < 1000000 ORDER BY id"
     wanted, at = reference.db.execute(sql).fetchall(), monotonic_ms()
-    site.faults((1,), reset_rows=1.0)  # two such nodes, and the module takes the query for poisonous
+    site.faults(
+        (1,), reset_rows=1.0
+    )  # two such nodes, and the module takes the query for poisonous
     met = []
     with connect(site) as link:
         for _ in range(100):  # the node may be set aside for what an earlier case did to it
@@ -125,7 +145,9 @@
     at = monotonic_ms()
     with connect(site) as link:
         for number in range(4):
-            link.execute(f"INSERT INTO trips (id, district) VALUES ({2000000100 + number}, 'Quan 1')")
+            link.execute(
+                f"INSERT INTO trips (id, district) VALUES ({2000000100 + number}, 'Quan 1')"
+            )
     assert len(since(site, at, "write", "20000001")) == 4
 
 
@@ -197,7 +219,9 @@
         with connect(site, deadline=1000) as link:
             while time.monotonic() < stop:
                 with contextlib.suppress(psycopg.Error):
-                    link.execute("SELECT id FROM trips WHERE district = 'Quan 1' LIMIT 1").fetchall()
+                    link.execute(
+                        "SELECT id FROM trips WHERE district = 'Quan 1' LIMIT 1"
+                    ).fetchall()
                 finals.append(1)
 
     threads = [threading.Thread(target=ask) for _ in range(40)]
--- a/tests/e2e/test_large.py
+++ b/tests/e2e/test_large.py
@@ -16,8 +16,13 @@
 from tansycrank.pg import messages as pg
 
 MIB = 1 << 20
-LAYOUT = BulkLayout(rows=skewed(240_000), groups=60_000, process=32 * MIB, query=8 * MIB,
-                    more="cursor_idle_ms = 1500")
+LAYOUT = BulkLayout(
+    rows=skewed(240_000),
+    groups=60_000,
+    process=32 * MIB,
+    query=8 * MIB,
+    more="cursor_idle_ms = 1500",
+)
 
 
 @pytest.fixture(scope="module")
@@ -34,11 +39,14 @@
     return list((bulk.folder / "spill").iterdir())
 
 
-@pytest.mark.parametrize("kind, sql", [
-    ("export", "SELECT id, g, v FROM bulk"),
-    ("sorted", "SELECT id, g, v FROM bulk ORDER BY id"),
-    ("distinct", "SELECT DISTINCT g, v FROM bulk"),
-])
+@pytest.mark.parametrize(
+    "kind, sql",
+    [
+        ("export", "SELECT id, g, v FROM bulk"),
+        ("sorted", "SELECT id, g, v FROM bulk ORDER BY id"),
+        ("distinct", "SELECT DISTINCT g, v FROM bulk"),
+    ],
+)
 def test_every_row_comes_once_in_bounded_memory(bulk, kind, sql):
     checker = Checker(kind, LAYOUT)
     bulk.reset_peak()
@@ -60,7 +68,8 @@
         for g in range(min(total, shard_rows)):
             groups[g] = groups.get(g, 0) + least + (g < more)
     assert {int(g) - GROUP_BASE: (c, int(s)) for g, c, s in rows} == {
-        g: (c, c * value_of(g)) for g, c in groups.items()}
+        g: (c, c * value_of(g)) for g, c in groups.items()
+    }
     best = sorted(groups.items(), key=lambda item: (-item[1], item[0]))[:5]
     assert [(g - GROUP_BASE, c) for g, c in ordered] == best
 
@@ -99,7 +108,10 @@
     assert memory(bulk.router.pid, "VmHWM") - before < 12 * MIB
     slow.close()
     checker = Checker("export", LAYOUT)
-    assert ask(bulk.port, "SELECT id, g, v FROM bulk", checker.feed).error == "" and not checker.verdict()
+    assert (
+        ask(bulk.port, "SELECT id, g, v FROM bulk", checker.feed).error == ""
+        and not checker.verdict()
+    )
 
 
 def test_a_client_that_leaves_amid_its_rows_frees_all(bulk):
@@ -119,7 +131,9 @@
         timer = threading.Timer(0.3, link.cancel)
         timer.start()
         with contextlib.suppress(psycopg.errors.QueryCanceled):
-            link.execute("SELECT g, v, count(*), sum(id) FROM bulk GROUP BY g, v ORDER BY 4 DESC").fetchall()
+            link.execute(
+                "SELECT g, v, count(*), sum(id) FROM bulk GROUP BY g, v ORDER BY 4 DESC"
+            ).fetchall()
         timer.join()
         assert link.execute("SELECT 1").fetchone() == (1,)
 
@@ -139,7 +153,9 @@
         cursor.itersize = 5000
         cursor.execute("SELECT id FROM bulk ORDER BY id")
         seen = [r[0] for r in cursor]
-    assert len(seen) == sum(LAYOUT.rows) and all(a < b for a, b in zip(seen, seen[1:], strict=False))
+    assert len(seen) == sum(LAYOUT.rows) and all(
+        a < b for a, b in zip(seen, seen[1:], strict=False)
+    )
 
 
 def test_an_idle_cursor_is_let_go_and_says_so(bulk):
@@ -217,7 +233,9 @@
 
 
 def test_a_quota_reached_ends_that_query_alone_and_a_kill_leaves_no_file():
-    layout = BulkLayout(rows=skewed(400_000), groups=400_000, process=16 * MIB, query=2 * MIB, quota=300_000)
+    layout = BulkLayout(
+        rows=skewed(400_000), groups=400_000, process=16 * MIB, query=2 * MIB, quota=300_000
+    )
     with BulkSite(layout) as site:
         heard = ask(site.port, "SELECT DISTINCT g, v FROM bulk")
         assert heard.error.startswith("53100")
--- a/tests/e2e/test_many_clients.py
+++ b/tests/e2e/test_many_clients.py
@@ -27,7 +27,10 @@
     # What these clients stood still themselves, all in one process, is not the router's.
     assert max(took - own for _, _, took, own in heard) < DEADLINE + 1.0
     finals = [outcome for _, outcome, *_ in heard]
-    assert set(finals) <= {"right", "53T01"}  # a refusal is a final answer; a wrong or partial one is not
+    assert set(finals) <= {
+        "right",
+        "53T01",
+    }  # a refusal is a final answer; a wrong or partial one is not
     # Each refused one was asked again until it was served, however little this machine does at once.
     assert finals.count("right") == (PSYCOPG + ASYNCPG + ALCHEMY) * EACH
 
@@ -72,6 +75,7 @@
 
 async def _psycopg(site, asked, number, heard):
     async with await psycopg.AsyncConnection.connect(site.dsn(), autocommit=True) as link:
+
         async def ask(sql):
             # simple and extended, text and binary
             cursor = await link.execute(sql, None if number % 2 else (), binary=number % 3 == 0)
@@ -81,7 +85,9 @@
 
 
 async def _asyncpg(site, asked, number, heard):
-    link = await asyncpg.connect(host="127.0.0.1", port=site.ports[0], user="demo", database="tansycrank")
+    link = await asyncpg.connect(
+        host="127.0.0.1", port=site.ports[0], user="demo", database="tansycrank"
+    )
     try:
         await _play("asyncpg", asked, number, heard, link.fetch)
     finally:
@@ -89,7 +95,10 @@
 
 
 async def _alchemy(site, asked, number, heard):
-    loop, url = asyncio.get_running_loop(), f"postgresql+psycopg://demo@127.0.0.1:{site.ports[0]}/tansycrank"
+    loop, url = (
+        asyncio.get_running_loop(),
+        f"postgresql+psycopg://demo@127.0.0.1:{site.ports[0]}/tansycrank",
+    )
     engine = sa.create_engine(url, pool_size=1)
 
     def fetch(sql):
--- a/tests/e2e/test_random_statements.py
+++ b/tests/e2e/test_random_statements.py
@@ -30,17 +30,35 @@
 FAILED: list[int] = []  # seeds that once failed
 NUMBERS = ["id", "cab_id", "fare", "stars", "driver_id"]
 ORDERED = [*NUMBERS, "note", "started", "day", "paid", "district", "ref"]
-AGGREGATES = ["count(*)", "count(stars)", "sum(fare)", "sum(stars)", "min(note)", "max(note)", "min(started)",
-              "max(fare)", "avg(fare)", "avg(stars)", "bool_and(paid)", "bool_or(paid)", "min(day)",
-              "sum(fare) FILTER (WHERE paid)", "count(*) FILTER (WHERE stars > 2)"]
+AGGREGATES = [
+    "count(*)",
+    "count(stars)",
+    "sum(fare)",
+    "sum(stars)",
+    "min(note)",
+    "max(note)",
+    "min(started)",
+    "max(fare)",
+    "avg(fare)",
+    "avg(stars)",
+    "bool_and(paid)",
+    "bool_or(paid)",
+    "min(day)",
+    "sum(fare) FILTER (WHERE paid)",
+    "count(*) FILTER (WHERE stars > 2)",
+]
 
 
 def condition(chance):
     kinds = [
         lambda: f"fare {chance.choice(['<', '>', '<=', '>='])} {chance.randint(10, 900)}",
         lambda: f"stars = {chance.randint(0, 6)}",
-        lambda: f"note {chance.choice(['IS NULL', 'IS NOT NULL', '> ' + chr(39) + 'Ghi chú 3' + chr(39)])}",
-        lambda: f"district IN ({', '.join(repr(d) for d in chance.sample(DISTRICTS, chance.randint(1, 5)))})",
+        lambda: (
+            f"note {chance.choice(['IS NULL', 'IS NOT NULL', '> ' + chr(39) + 'Ghi chú 3' + chr(39)])}"
+        ),
+        lambda: (
+            f"district IN ({', '.join(repr(d) for d in chance.sample(DISTRICTS, chance.randint(1, 5)))})"
+        ),
         lambda: f"district = '{chance.choice(DISTRICTS)}'",
         lambda: f"id BETWEEN {chance.randint(0, 3000)} AND {chance.randint(3000, 6000)}",
         lambda: f"(paid OR stars < {chance.randint(1, 5)})",
@@ -67,25 +85,37 @@
     if kind == "rows":
         columns = chance.sample(ORDERED, chance.randint(1, 4))
         keys = chance.sample(ORDERED, chance.randint(0, 2))
-        order = ", ".join([k + direction(chance) for k in keys] + ["id" + chance.choice(["", " DESC"])])
-        return f"SELECT {', '.join(columns)} FROM trips{where} ORDER BY {order}{bounds(chance)}", True
+        order = ", ".join(
+            [k + direction(chance) for k in keys] + ["id" + chance.choice(["", " DESC"])]
+        )
+        return (
+            f"SELECT {', '.join(columns)} FROM trips{where} ORDER BY {order}{bounds(chance)}",
+            True,
+        )
     if kind == "whole":
-        return f"SELECT {', '.join(chance.sample(AGGREGATES, chance.randint(1, 4)))} FROM trips{where}", True
+        return (
+            f"SELECT {', '.join(chance.sample(AGGREGATES, chance.randint(1, 4)))} FROM trips{where}",
+            True,
+        )
     if kind == "groups":
         by = chance.sample(["stars", "note", "paid", "day", "district"], chance.randint(1, 2))
         wanted = chance.sample(AGGREGATES, chance.randint(1, 3))
         having = f" HAVING count(*) > {chance.randint(1, 30)}" if chance.random() < 0.4 else ""
         order = ", ".join(f"{n + 1}{direction(chance)}" for n in range(len(by)))
-        return (f"SELECT {', '.join(by + wanted)} FROM trips{where} GROUP BY {', '.join(by)}{having} "
-                f"ORDER BY {order}{bounds(chance)}"), True
+        return (
+            f"SELECT {', '.join(by + wanted)} FROM trips{where} GROUP BY {', '.join(by)}{having} "
+            f"ORDER BY {order}{bounds(chance)}"
+        ), True
     if kind == "distinct":
         columns = chance.sample(["stars", "note", "paid", "day", "district"], chance.randint(1, 3))
         order = ", ".join(f"{n + 1}{direction(chance)}" for n in range(len(columns)))
         text = f"SELECT DISTINCT {', '.join(columns)} FROM trips{where}"
         return f"{text} ORDER BY {order}{bounds(chance)}", True
     side = chance.choice(["JOIN", "LEFT JOIN"])
-    return (f"SELECT t.id, c.plate, z.base_fare FROM trips t {side} cabs c ON c.district = t.district AND "
-            f"c.id = t.cab_id JOIN zones z ON z.district = t.district ORDER BY t.id{bounds(chance)}"), True
+    return (
+        f"SELECT t.id, c.plate, z.base_fare FROM trips t {side} cabs c ON c.district = t.district AND "
+        f"c.id = t.cab_id JOIN zones z ON z.district = t.district ORDER BY t.id{bounds(chance)}"
+    ), True
 
 
 def same(a, b):
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -24,7 +24,9 @@
     def run(self, request, done):
         if request.prepared.local is None:
             try:
-                request.prepared.bind(self.decoded(request.prepared, request.values, request.formats))
+                request.prepared.bind(
+                    self.decoded(request.prepared, request.values, request.formats)
+                )
             except Exception as problem:
                 done(problem)
                 return None
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -56,11 +56,15 @@
             acted += self.step(io.Woken(1), after=self.tick)
         return acted
 
-    def query(self, parts=1, query_class=0, time_left=4000.0, shards=None, weights=None, repeat=False):
+    def query(
+        self, parts=1, query_class=0, time_left=4000.0, shards=None, weights=None, repeat=False
+    ):
         """A query arrives; returns (query id, part ids, actions)."""
         self.numbers += 1
         query = self.ids = self.ids + 1
-        events = [io.QueryArrived(query, self.numbers, query_class, time_left, parts, repeat=repeat)]
+        events = [
+            io.QueryArrived(query, self.numbers, query_class, time_left, parts, repeat=repeat)
+        ]
         ids = []
         for index in range(parts):
             self.ids += 1
@@ -80,7 +84,8 @@
         number = len(self.attempts[part]) - 1 if attempt is None else attempt
         sent, server = self.attempts[part][number]
         return self.step(
-            io.AttemptEnded(part, number, server, outcome, max(self.now + after - sent, 1.0)), after=after
+            io.AttemptEnded(part, number, server, outcome, max(self.now + after - sent, 1.0)),
+            after=after,
         )
 
     def teach(self, took=100.0, answers=30, gap=50.0):
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -44,7 +44,9 @@
 
     def named(self, nodeid):
         """The line that means this test."""
-        return next((test for test in (nodeid, nodeid.partition("[")[0]) if test in self.listed), None)
+        return next(
+            (test for test in (nodeid, nodeid.partition("[")[0]) if test in self.listed), None
+        )
 
     def pytest_collection_modifyitems(self, items):
         found = {self.named(item.nodeid) for item in items}
@@ -52,7 +54,9 @@
             raise pytest.UsageError(f"KNOWN-RED.txt names no test: {', '.join(lost)}")
         for item in items:
             if test := self.named(item.nodeid):
-                item.add_marker(pytest.mark.xfail(reason=" | ".join(self.listed[test]), strict=False))
+                item.add_marker(
+                    pytest.mark.xfail(reason=" | ".join(self.listed[test]), strict=False)
+                )
 
     def pytest_runtest_logreport(self, report):
         red = report.failed or hasattr(report, "wasxfail") and report.skipped
--- a/tests/platform/live.py
+++ b/tests/platform/live.py
@@ -13,42 +13,90 @@
 
 TOLD = {
     "caps": {
-        "attemptsCap": 3, "cancel": True, "maxRetryAfter": 500.0, "mayProbe": False, "openCap": 60,
-        "peers": False, "retryAfter": True, "secondCopies": True, "streamsPerConn": 8,
-        "connectTimeout": 250.0, "connIdle": 10_000.0,
+        "attemptsCap": 3,
+        "cancel": True,
+        "maxRetryAfter": 500.0,
+        "mayProbe": False,
+        "openCap": 60,
+        "peers": False,
+        "retryAfter": True,
+        "secondCopies": True,
+        "streamsPerConn": 8,
+        "connectTimeout": 250.0,
+        "connIdle": 10_000.0,
     },
     "clients": {"marksRetry": True},
     "discovery": "ask",
     "workload": "fanout",
     "familyInfo": {
-        "bundleMax": 4, "followUp": [0, 0], "inARow": 3, "minShare": [1.0, 1.0], "perCallWork": 0.0,
-        "positions": 3, "shortWorth": [0.0, 0.0], "slabs": 9, "wholeAt": [1.0, 1.0],
+        "bundleMax": 4,
+        "followUp": [0, 0],
+        "inARow": 3,
+        "minShare": [1.0, 1.0],
+        "perCallWork": 0.0,
+        "positions": 3,
+        "shortWorth": [0.0, 0.0],
+        "slabs": 9,
+        "wholeAt": [1.0, 1.0],
     },
     "localities": ["a", "b", "c"],
-    "me": 0, "replicasOfMe": 2, "step": 5.0, "zone": 0,
+    "me": 0,
+    "replicasOfMe": 2,
+    "step": 5.0,
+    "zone": 0,
     "prices": {"crossZone": 0.0, "lateFail": 0.0, "probe": 0.0, "waste": 0.0},
     "rules": {
-        "askEvery": 10_000.0, "cold": 10_000.0, "coldFrom": 0.2, "fall": 1000.0, "graceToAnswer": 20.0,
-        "overloadFactor": 2.0, "stopSendingWithin": 500.0,
+        "askEvery": 10_000.0,
+        "cold": 10_000.0,
+        "coldFrom": 0.2,
+        "fall": 1000.0,
+        "graceToAnswer": 20.0,
+        "overloadFactor": 2.0,
+        "stopSendingWithin": 500.0,
     },
     "services": [
-        {"aim": 1000.0, "effect": "read_like", "giveUp": 2000.0, "lateWorth": 0.5, "name": "look",
-         "points": 1.0, "window": 0.0},
-        {"aim": 1000.0, "effect": "non_idempotent", "giveUp": 2000.0, "lateWorth": 0.5, "name": "book",
-         "points": 1.0, "window": 0.0},
+        {
+            "aim": 1000.0,
+            "effect": "read_like",
+            "giveUp": 2000.0,
+            "lateWorth": 0.5,
+            "name": "look",
+            "points": 1.0,
+            "window": 0.0,
+        },
+        {
+            "aim": 1000.0,
+            "effect": "non_idempotent",
+            "giveUp": 2000.0,
+            "lateWorth": 0.5,
+            "name": "book",
+            "points": 1.0,
+            "window": 0.0,
+        },
     ],
 }
 
 
 def entry(number, state="in_service", **more):
-    return {"id": f"s-{number}", "addr": f"127.0.0.{number}:7070", "zone": "abc"[number % 3], "kind": "k",
-            "cell": number % 3, "state": state, "weight": 1.0, "started_ms": 0} | more
+    return {
+        "id": f"s-{number}",
+        "addr": f"127.0.0.{number}:7070",
+        "zone": "abc"[number % 3],
+        "kind": "k",
+        "cell": number % 3,
+        "state": state,
+        "weight": 1.0,
+        "started_ms": 0,
+    } | more
 
 
 def config(servers=(1, 2, 3), **more):
     """The bytes of a configuration file; `more` replaces top-level keys."""
     told = {
-        "name": "n0", "listen": "127.0.0.1:7000", "discovery": "127.0.0.9:8500", "seed": "8c1f30d27a5be964",
+        "name": "n0",
+        "listen": "127.0.0.1:7000",
+        "discovery": "127.0.0.9:8500",
+        "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 128},
         "known": {"version": 4, "full": True, "servers": [entry(n) for n in servers]},
         "settings": TOLD,
@@ -153,7 +201,9 @@
     return frame(b"A", f"{id} {end} 17 {report}\n{value}".encode())
 
 
-def post(id="q1", path="/look?obj=7f3a9c21e0b4d655", shards=((0, 1.0),), deadline=900, body=None, more=""):
+def post(
+    id="q1", path="/look?obj=7f3a9c21e0b4d655", shards=((0, 1.0),), deadline=900, body=None, more=""
+):
     if body is None:
         body = json.dumps({"shards": [{"shard": s, "weight": w} for s, w in shards], "q": "c41e"})
     return (
--- a/tests/platform/real.py
+++ b/tests/platform/real.py
@@ -149,7 +149,15 @@
     """One router as a process, its nodes listed under 1, 2, ... `told` replaces settings, by group."""
 
     def __init__(
-        self, folder, nodes, told=None, listed=None, cells=None, limits=None, ready=True, environment=None
+        self,
+        folder,
+        nodes,
+        told=None,
+        listed=None,
+        cells=None,
+        limits=None,
+        ready=True,
+        environment=None,
     ):
         self.nodes, self.discovery, self.cells = nodes, Discovery(), cells
         self.reserved = ReservedPort()
@@ -166,13 +174,23 @@
         listed = range(1, len(nodes) + 1) if listed is None else listed
         known = {"version": 4, "full": True, "servers": [self.entry(n) for n in listed]}
         path = folder / "config.json"
-        path.write_bytes(config(
-            listen=f"127.0.0.1:{self.port}", discovery=f"127.0.0.1:{self.discovery.port}", known=known,
-            settings=settings, **({"limits": limits} if limits else {}),
-        ))
-        environ = os.environ | {"NODE_CONFIG": str(path), "PYTHONPATH": str(ROOT)} | (environment or {})
+        path.write_bytes(
+            config(
+                listen=f"127.0.0.1:{self.port}",
+                discovery=f"127.0.0.1:{self.discovery.port}",
+                known=known,
+                settings=settings,
+                **({"limits": limits} if limits else {}),
+            )
+        )
+        environ = (
+            os.environ | {"NODE_CONFIG": str(path), "PYTHONPATH": str(ROOT)} | (environment or {})
+        )
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "tansycrank", "run"], cwd=folder, env=environ, stderr=subprocess.PIPE
+            [sys.executable, "-m", "tansycrank", "run"],
+            cwd=folder,
+            env=environ,
+            stderr=subprocess.PIPE,
         )
         self.log, self.lines = queue.Queue(), []
         self.reading = threading.Thread(target=self._read_log, daemon=True)
--- a/tests/platform/test_belief.py
+++ b/tests/platform/test_belief.py
@@ -30,7 +30,9 @@
             peer, id = open_parts.pop(rng.randrange(len(open_parts)))
             if not peer.transport.over:
                 kind = rng.random()
-                peer.transport.end() if kind < 0.05 else peer.say(answer(id, "err" if kind < 0.1 else "ok"))
+                peer.transport.end() if kind < 0.05 else peer.say(
+                    answer(id, "err" if kind < 0.1 else "ok")
+                )
         live.run(0.005)
     live.run(3)
     assert out(live) == ({}, {})
@@ -45,7 +47,11 @@
     live.run(0.03)
     peer.say(answer(id))
     live.run(0)
-    assert 25.0 <= live.daemon.coordinator.loop.router.all.read(live.daemon.coordinator.loop.now)[0] <= 40.0
+    assert (
+        25.0
+        <= live.daemon.coordinator.loop.router.all.read(live.daemon.coordinator.loop.now)[0]
+        <= 40.0
+    )
 
 
 def test_nothing_is_kept_of_thousands_of_clients_queries_and_nodes():
--- a/tests/platform/test_crossings.py
+++ b/tests/platform/test_crossings.py
@@ -18,7 +18,9 @@
 
 
 def big(id, *shards, path="/look"):
-    body = json.dumps({"shards": [{"shard": s, "weight": 1 / len(shards)} for s in shards], "q": TEXT})
+    body = json.dumps(
+        {"shards": [{"shard": s, "weight": 1 / len(shards)} for s in shards], "q": TEXT}
+    )
     return post(id=id, path=path, body=body, deadline=8000)
 
 
@@ -48,7 +50,9 @@
     node = Node()
     program = start(node)
     client = program.client(post(id="first"))
-    assert read_answer(client)[0] == 200  # a connection to the node is up: a part would go out at once
+    assert (
+        read_answer(client)[0] == 200
+    )  # a connection to the node is up: a part would go out at once
     program.halt()
     if not used:
         client = program.client()
@@ -69,7 +73,9 @@
 @pytest.mark.parametrize("cancel", [True, False], ids=["cancels", "no cancels"])
 def test_a_client_that_left_while_a_connection_came_up_has_nothing_sent(start, how, cancel):
     node = Node(comes_up=False)
-    program = start(node, told={"services": LONG, "caps": {"connectTimeout": 20_000.0, "cancel": cancel}})
+    program = start(
+        node, told={"services": LONG, "caps": {"connectTimeout": 20_000.0, "cancel": cancel}}
+    )
     client = program.client(post(id="gone", deadline=8000))
     until(lambda: node.called, "a connection in the making")
     leave(client, how)
@@ -88,7 +94,9 @@
     told = {"services": LONG, "caps": {"connectTimeout": 20_000.0}}
     program = start(*old, new, told=told, listed=(1, 2))
     client = program.client(post(id="one", deadline=8000, path="/book"))
-    called = until(lambda: next((node for node in old if node.called), None), "a connection in the making")
+    called = until(
+        lambda: next((node for node in old if node.called), None), "a connection in the making"
+    )
     going = [program.entry(n, "terminating") for n in (1, 2)]
     program.discovery.say(6, *going, program.entry(3))
     called.accepts.set()
@@ -159,7 +167,9 @@
 def test_a_connection_that_only_the_system_has_accepted_is_answered_when_the_port_closes(start):
     """SIGTERM: the port closes over its queue, in which a request lies."""
     node = Node()
-    program = start(node, told={"services": {"aim": 2000.0}})  # new connections for 0.6 s, 2.6 s in all
+    program = start(
+        node, told={"services": {"aim": 2000.0}}
+    )  # new connections for 0.6 s, 2.6 s in all
     program.signal(signal.SIGTERM)
     program.logged("stopping")
     program.halt()
@@ -239,13 +249,21 @@
     assert program.ended() == [["marker.0"]]
 
 
-CELLS = {"positions": 8, "inARow": 1, "slabs": 72, "bundleMax": 9}  # one node a shard, one link a node
+CELLS = {
+    "positions": 8,
+    "inARow": 1,
+    "slabs": 72,
+    "bundleMax": 9,
+}  # one node a shard, one link a node
 
 
 @pytest.mark.parametrize("end", ["FIN", "RST", "drain"])
 def test_what_waits_behind_a_frame_of_a_hung_node_never_leaves(start, end):
     node = Node(reads=False, narrow=True)
-    caps = {"streamsPerConn": 100, "cancel": False}  # nobody is told of what is not worth its work any more
+    caps = {
+        "streamsPerConn": 100,
+        "cancel": False,
+    }  # nobody is told of what is not worth its work any more
     told = {"services": LONG, "familyInfo": CELLS, "caps": caps}
     program = start(node, *(Node() for _ in range(7)), told=told, cells=range(8), limits=FEW)
     held = program.client(big("held", *range(0, 72, 8)))
@@ -289,7 +307,9 @@
     old, new = Node(), Node()
     program = start(old, new, listed=(1,))
     whole = json.dumps({"version": 6, "full": True, "servers": [program.entry(2)]}).encode()
-    program.discovery.connection.sendall(b"%x\r\n%b" % (len(whole) + 1, whole))  # all but the end of its line
+    program.discovery.connection.sendall(
+        b"%x\r\n%b" % (len(whole) + 1, whole)
+    )  # all but the end of its line
     program.turned()
     leave(program.discovery.connection, "RST")
     program.discovery.watch()
@@ -361,9 +381,13 @@
 def test_no_answer_is_thrown_away_to_make_room_for_new_connections(start):
     """Answers of nodes and new connections lie in the system together: full before answers have left."""
     nodes = [Node(serves=False) for _ in range(4)]
-    program = start(*nodes, cells=[0] * 4, limits=FEW, told={"services": LONG, "caps": {"openCap": 500}})
+    program = start(
+        *nodes, cells=[0] * 4, limits=FEW, told={"services": LONG, "caps": {"openCap": 500}}
+    )
     asking = [program.client(post(id=f"q{number}", deadline=8000)) for number in range(FULL // 2)]
-    until(lambda: len({id for node in nodes for id in node.ids}) == FULL // 2, "all requests at nodes")
+    until(
+        lambda: len({id for node in nodes for id in node.ids}) == FULL // 2, "all requests at nodes"
+    )
     program.halt()
     for node in nodes:
         for connection, id in node.parts:
--- a/tests/platform/test_discovery.py
+++ b/tests/platform/test_discovery.py
@@ -21,7 +21,9 @@
 
 
 def line(version, *servers, full=False):
-    return chunk(json.dumps({"version": version, "full": full, "servers": servers}).encode() + b"\n")
+    return chunk(
+        json.dumps({"version": version, "full": full, "servers": servers}).encode() + b"\n"
+    )
 
 
 @pytest.fixture
@@ -32,11 +34,15 @@
 
 
 def states(live):
-    return {server: one.status for server, one in live.daemon.coordinator.loop.router.servers.items()}
+    return {
+        server: one.status for server, one in live.daemon.coordinator.loop.router.servers.items()
+    }
 
 
 def test_the_watch_starts_from_the_version_known(live):
-    assert live.watch.transport.take().startswith(b"GET /api/targets?watch=1&after=4 HTTP/1.1\r\nHost: ")
+    assert live.watch.transport.take().startswith(
+        b"GET /api/targets?watch=1&after=4 HTTP/1.1\r\nHost: "
+    )
 
 
 def test_changes_reach_the_module_and_drained_nodes_get_nothing(live):
@@ -151,20 +157,24 @@
 
 
 def test_the_environment_stands_in_for_what_the_file_lacks():
-    found = configuration.parse(config(listen="", discovery=""), {
-        "NODE_LISTEN": "127.0.0.5:7171", "NODE_DISCOVERY": "127.0.0.6:8181"
-    })
+    found = configuration.parse(
+        config(listen="", discovery=""),
+        {"NODE_LISTEN": "127.0.0.5:7171", "NODE_DISCOVERY": "127.0.0.6:8181"},
+    )
     assert found.listen == ("127.0.0.5", 7171) and found.discovery == ("127.0.0.6", 8181)
 
 
-@pytest.mark.parametrize("raw, said", [
-    (b"{", "NODE_CONFIG"),
-    (config(listen="nowhere"), "listen"),
-    (config(seed="zz"), "seed"),
-    (config(limits={"sockets": 9}), "sockets"),
-    (config(settings={"services": []}), "NODE_CONFIG"),
-    (config(discovery="127.0.0.1:99999"), "discovery"),
-])
+@pytest.mark.parametrize(
+    "raw, said",
+    [
+        (b"{", "NODE_CONFIG"),
+        (config(listen="nowhere"), "listen"),
+        (config(seed="zz"), "seed"),
+        (config(limits={"sockets": 9}), "sockets"),
+        (config(settings={"services": []}), "NODE_CONFIG"),
+        (config(discovery="127.0.0.1:99999"), "discovery"),
+    ],
+)
 def test_a_configuration_that_cannot_be_used_says_where(raw, said):
     with pytest.raises(configuration.ConfigError, match=said):
         configuration.parse(raw, {})
@@ -196,13 +206,23 @@
 WHOLE = config(settings=TOLD | {"rules": TOLD["rules"] | BUDGET})
 
 
-@pytest.mark.parametrize("path", [
-    *figures({"settings": json.loads(WHOLE)["settings"]}), ("settings", "discovery"), ("settings", "rules"),
-    ("settings", "services", 0, "effect"), ("settings", "services"), ("settings", "caps", "cancel"),
-], ids=lambda path: ".".join(map(str, path)))
+@pytest.mark.parametrize(
+    "path",
+    [
+        *figures({"settings": json.loads(WHOLE)["settings"]}),
+        ("settings", "discovery"),
+        ("settings", "rules"),
+        ("settings", "services", 0, "effect"),
+        ("settings", "services"),
+        ("settings", "caps", "cancel"),
+    ],
+    ids=lambda path: ".".join(map(str, path)),
+)
 def test_an_absurd_value_anywhere_in_the_settings_is_named_with_its_place(path):
     """Danger: a number that is a word comes up in the middle of the day, or its fault says nothing."""
-    named = path[:-1] if isinstance(path[-1], int) else path  # of a list that is too short its end is told
+    named = (
+        path[:-1] if isinstance(path[-1], int) else path
+    )  # of a list that is too short its end is told
     place = ".".join(map(str, named)).replace(".0", "[0]").replace(".1", "[1]")
     optional = path[-1] in ("streamsPerConn", "connectTimeout", "connIdle")
     for absurd in ("x", None, [], -1, *([] if optional else [...])):
@@ -247,9 +267,16 @@
     assert len(live.discovery) == 1 and not live.watch.transport.over
 
 
-@pytest.mark.parametrize("noise", [
-    b"{no json\n", b'{"version": "x",\n', b"]\n", b'{"version": 5,\n\n', b"[[[[\n\n",
-])
+@pytest.mark.parametrize(
+    "noise",
+    [
+        b"{no json\n",
+        b'{"version": "x",\n',
+        b"]\n",
+        b'{"version": 5,\n\n',
+        b"[[[[\n\n",
+    ],
+)
 def test_what_cannot_become_a_list_ends_the_watch(live, noise):
     live.watch.say(HEAD + chunk(noise))
     live.run(0.5)
@@ -330,9 +357,11 @@
     live.daemon.discovery.fetch()
     live.run(0)
     call = live.discovery[1].accept()
-    call.say(b'HTTP/1.1 200 OK\r\n\r\n{"version":9,"full":true,"servers":[]}'.replace(
-        b"[]", json.dumps([entry(2)]).encode()
-    ))
+    call.say(
+        b'HTTP/1.1 200 OK\r\n\r\n{"version":9,"full":true,"servers":[]}'.replace(
+            b"[]", json.dumps([entry(2)]).encode()
+        )
+    )
     assert len(states(live)) == 3
     call.protocol.connectionLost(Failure(end()))
     live.run(0)
@@ -355,16 +384,24 @@
     names, nodes_clock = Names(("a", "b")), 1_700_000_000_000.0 + apart
 
     def told(kind, now, version, **starts):
-        servers = [Entry(id, "in_service", "10.0.0.1:70", started_ms=start) for id, start in starts.items()]
+        servers = [
+            Entry(id, "in_service", "10.0.0.1:70", started_ms=start) for id, start in starts.items()
+        ]
         event, _ = names.heard(Listing(version, servers), kind, now)
         return {entry.server: entry for entry in event.entries}
 
-    first = told(io.ListKind.FULL, 50_000.0, 1, old=0.0, one=nodes_clock + 30_000, two=nodes_clock + 49_000)
+    first = told(
+        io.ListKind.FULL, 50_000.0, 1, old=0.0, one=nodes_clock + 30_000, two=nodes_clock + 49_000
+    )
     assert first[1].came_up == 0.0 and first[2].came_up == first[3].came_up == 50_000.0
     names.unchanged(60_000.0)
-    second = told(io.ListKind.CHANGES, 60_500.0, 2, three=nodes_clock + 60_400, four=nodes_clock + 60_300)
+    second = told(
+        io.ListKind.CHANGES, 60_500.0, 2, three=nodes_clock + 60_400, four=nodes_clock + 60_300
+    )
     assert second[4].came_up >= 60_000.0 and second[5].came_up >= 60_000.0
     assert second[2].came_up == pytest.approx(30_200.0)  # known better: 30,000 by the nodes' clock
     assert second[2].life == first[2].life
-    third = told(io.ListKind.CHANGES, 61_000.0, 3, one=nodes_clock - 500_000)  # its own clock was set back
+    third = told(
+        io.ListKind.CHANGES, 61_000.0, 3, one=nodes_clock - 500_000
+    )  # its own clock was set back
     assert third[2].life > second[2].life and third[2].came_up >= 60_500.0
--- a/tests/platform/test_endings.py
+++ b/tests/platform/test_endings.py
@@ -14,14 +14,27 @@
 WINDOW, GRACE, NODES = 0.25, 0.1, 4  # s, s
 CLASSES = {"look": "read_like", "book": "non_idempotent", "move": "idempotency_key"}
 SERVICES = [
-    {"aim": 1000.0, "effect": effect, "giveUp": 2000.0, "lateWorth": 0.5, "name": name, "points": 1.0,
-     "window": WINDOW * 1000}
+    {
+        "aim": 1000.0,
+        "effect": effect,
+        "giveUp": 2000.0,
+        "lateWorth": 0.5,
+        "name": name,
+        "points": 1.0,
+        "window": WINDOW * 1000,
+    }
     for name, effect in CLASSES.items()
 ]
-FAMILY = TOLD["familyInfo"] | {key: [value] * 3 for key, value in (
-    ("followUp", 0), ("minShare", 1.0), ("shortWorth", 0.0), ("wholeAt", 1.0))}
-SETTINGS = TOLD | {"services": SERVICES, "familyInfo": FAMILY, "caps": TOLD["caps"] | {"openCap": 1000},
-                   "rules": TOLD["rules"] | {"stopSendingWithin": GRACE * 1000}}
+FAMILY = TOLD["familyInfo"] | {
+    key: [value] * 3
+    for key, value in (("followUp", 0), ("minShare", 1.0), ("shortWorth", 0.0), ("wholeAt", 1.0))
+}
+SETTINGS = TOLD | {
+    "services": SERVICES,
+    "familyInfo": FAMILY,
+    "caps": TOLD["caps"] | {"openCap": 1000},
+    "rules": TOLD["rules"] | {"stopSendingWithin": GRACE * 1000},
+}
 ANSWER = re.compile(
     rb"HTTP/1\.1 (\d+) [^\r]*\r\n(?:[^\r]+\r\n)*?Content-Length: (\d+)\r\n(?:[^\r]+\r\n)*\r\n"
 )
@@ -43,8 +56,13 @@
 class Endings(RuleBasedStateMachine):
     def __init__(self):
         super().__init__()
-        self.live = Live(config(settings=SETTINGS, servers=range(1, NODES + 1),
-                                limits={"sockets": 256, "memory_mb": 64}))
+        self.live = Live(
+            config(
+                settings=SETTINGS,
+                servers=range(1, NODES + 1),
+                limits={"sockets": 256, "memory_mb": 64},
+            )
+        )
         self.live.discovery[0].accept().say(HEAD + line(5))
         self.spoke = [self.live.discovery[0]]
         self.asked, self.clients, self.peers = {}, [], []
@@ -103,7 +121,10 @@
         while written:
             found = ANSWER.match(written)
             status, length = int(found[1]), int(found[2])
-            body, written = written[found.end() : found.end() + length], written[found.end() + length :]
+            body, written = (
+                written[found.end() : found.end() + length],
+                written[found.end() + length :],
+            )
             query = next((query for query in requests if query.answered is None), None)
             assert query is not None, "an answer that nothing asked for"
             query.answered, query.status = self.now, status
@@ -111,7 +132,9 @@
             ran = any(query.ran(shard) for shard in query.shards)
             if status == 200:
                 hits = json.loads(body)
-                assert hits["complete"] and {hit["shard"] for hit in hits["hits"]} == set(query.shards)
+                assert hits["complete"] and {hit["shard"] for hit in hits["hits"]} == set(
+                    query.shards
+                )
                 assert all(hit["doc"] in query.values[hit["shard"]] for hit in hits["hits"])
             elif CLASSES[query.cls] != "read_like":
                 assert status == 504 or not ran, f"{query.id} was refused, and may have run"
@@ -121,12 +144,20 @@
 
     # --- clients -------------------------------------------------------------------
 
-    @rule(cls=st.sampled_from(sorted(CLASSES)), shards=st.sets(st.integers(0, 8), min_size=1, max_size=3),
-          deadline=st.sampled_from([60, 300, 900, 1900]), new=st.booleans(), left=st.booleans(),
-          cut=st.integers(0, 400))
+    @rule(
+        cls=st.sampled_from(sorted(CLASSES)),
+        shards=st.sets(st.integers(0, 8), min_size=1, max_size=3),
+        deadline=st.sampled_from([60, 300, 900, 1900]),
+        new=st.booleans(),
+        left=st.booleans(),
+        cut=st.integers(0, 400),
+    )
     def ask(self, cls, shards, deadline, new, left, cut):
-        usable = [one for one in self.clients if not one[1].over and not any(
-            query.answered is None for query in one[2])]
+        usable = [
+            one
+            for one in self.clients
+            if not one[1].over and not any(query.answered is None for query in one[2])
+        ]
         if self.stopping and not usable:
             return
         client = usable[-1] if usable and not new or self.stopping else (*self.live.client(), [])
@@ -135,7 +166,9 @@
         query = Asked(f"q{self.numbers}", cls, sorted(shards), self.now, deadline / 1000)
         self.asked[query.id] = query
         more = "Idempotency-Key: 69df97975326601f\r\n" if cls == "move" else ""
-        data = post(query.id, f"/{cls}", [(s, 1 / len(shards)) for s in query.shards], deadline, None, more)
+        data = post(
+            query.id, f"/{cls}", [(s, 1 / len(shards)) for s in query.shards], deadline, None, more
+        )
         client[0].dataReceived(data[:cut])
         if cut < len(data):
             client[0].dataReceived(data[cut:])
@@ -179,7 +212,10 @@
         for _ in range(NODES):
             self.connect(0, True)
 
-    @rule(at=st.integers(0, 99), end=st.sampled_from(["ok", "ok", "ok", "err", "busy", "spoilt", "half"]))
+    @rule(
+        at=st.integers(0, 99),
+        end=st.sampled_from(["ok", "ok", "ok", "err", "busy", "spoilt", "half"]),
+    )
     def reply(self, at, end):
         peer = self.pick(at, lambda peer: peer.transport and not peer.transport.over and peer.out)
         if peer is None:
@@ -218,7 +254,10 @@
 
     # --- discovery, signals, time --------------------------------------------------
 
-    @rule(node=st.integers(1, NODES), state=st.sampled_from(["terminating", "terminated", "in_service"]))
+    @rule(
+        node=st.integers(1, NODES),
+        state=st.sampled_from(["terminating", "terminated", "in_service"]),
+    )
     def told_by_discovery(self, node, state):
         watch = self.live.discovery[-1]
         if watch.transport is None:
@@ -236,9 +275,14 @@
             self.told.setdefault(node, self.now)
         self.look()
 
-    @rule(at=st.integers(0, 99), state=st.sampled_from(["terminating", "terminated"]), up=st.booleans())
+    @rule(
+        at=st.integers(0, 99),
+        state=st.sampled_from(["terminating", "terminated"]),
+        up=st.booleans(),
+    )
     def drain_under_a_send(self, at, state, up):
         """A node is told to go while its connection comes up, or a frame waits in its socket."""
+
         def waits(peer):
             return peer.held if up else peer.transport is None and not peer.over
 
@@ -257,7 +301,9 @@
     @rule(at=st.integers(0, 99))
     def repeat_late(self, at):
         """A connection breaks under what it has, and the next one comes up after a while."""
-        if peer := self.pick(at, lambda peer: peer.transport and not peer.transport.over and peer.out):
+        if peer := self.pick(
+            at, lambda peer: peer.transport and not peer.transport.over and peer.out
+        ):
             self.wait(10)
             peer.held = []
             peer.transport.end()
@@ -294,7 +340,11 @@
         for _ in range(200):
             self.live.run(0.005)
             self.look()
-        owed = [query.id for query in self.asked.values() if query.answered is None and query.left is None]
+        owed = [
+            query.id
+            for query in self.asked.values()
+            if query.answered is None and query.left is None
+        ]
         assert not owed, f"{owed} were never answered"
         daemon = self.live.daemon
         coordinator, router = daemon.coordinator, daemon.coordinator.loop.router
@@ -304,14 +354,23 @@
         if not daemon.stopped:
             assert sum(coordinator.outcomes.values()) == coordinator.counts["sends"]
             assert not router.queries and not router.parts and not router.out
-            assert not any(link.out or link.going or link.words for link in daemon.pool.links if link.up)
+            assert not any(
+                link.out or link.going or link.words for link in daemon.pool.links if link.up
+            )
         assert len(daemon.pool.links) <= daemon.settings.max_links
-        left = {getattr(call.func, "__qualname__", "") for call in self.live.reactor.getDelayedCalls()}
+        left = {
+            getattr(call.func, "__qualname__", "") for call in self.live.reactor.getDelayedCalls()
+        }
         ours = "ConnectionPool.", "Sending.", "NodeConnection.", "ClientConnection."
         assert not {name for name in left if name.startswith(ours)}
 
 
-limits.register_profile("endings", parent=limits.get_profile("same-every-time"), max_examples=120,
-                        stateful_step_count=50, phases=(Phase.generate,))
+limits.register_profile(
+    "endings",
+    parent=limits.get_profile("same-every-time"),
+    max_examples=120,
+    stateful_step_count=50,
+    phases=(Phase.generate,),
+)
 TestEndings = Endings.TestCase
 TestEndings.settings = limits.get_profile("endings")
--- a/tests/platform/test_failing_calls.py
+++ b/tests/platform/test_failing_calls.py
@@ -53,8 +53,11 @@
 
 def lost(found):
     """Those without an answer in time."""
-    return {id: (status, took) for id, (status, took) in found.items()
-            if status is None or took > DEADLINE / 1000 + SLACK}
+    return {
+        id: (status, took)
+        for id, (status, took) in found.items()
+        if status is None or took > DEADLINE / 1000 + SLACK
+    }
 
 
 @pytest.mark.parametrize("kind", list(CallFailure), ids=lambda kind: kind.name)
@@ -84,7 +87,9 @@
     limits = resource.prlimit(pid, resource.RLIMIT_NOFILE)
     resource.prlimit(pid, resource.RLIMIT_NOFILE, (used, limits[1]))
     found = {}
-    asking = threading.Thread(target=lambda: found.update(ask_all(program, [f"q{n}" for n in range(8)])))
+    asking = threading.Thread(
+        target=lambda: found.update(ask_all(program, [f"q{n}" for n in range(8)]))
+    )
     asking.start()
     time.sleep(0.4)
     resource.prlimit(pid, resource.RLIMIT_NOFILE, limits)
@@ -104,7 +109,9 @@
     time.sleep(taking - 0.4)
     resource.prlimit(pid, resource.RLIMIT_NOFILE, (used, limits[1]))
     found = {}
-    asking = threading.Thread(target=lambda: found.update(ask_all(program, [f"q{n}" for n in range(4)])))
+    asking = threading.Thread(
+        target=lambda: found.update(ask_all(program, [f"q{n}" for n in range(4)]))
+    )
     asking.start()
     time.sleep(0.7)
     resource.prlimit(pid, resource.RLIMIT_NOFILE, limits)
--- a/tests/platform/test_front.py
+++ b/tests/platform/test_front.py
@@ -26,7 +26,10 @@
     assert status(written) == 200
     found = body(written)
     assert found["complete"] is True
-    assert sorted((hit["shard"], hit["doc"]) for hit in found["hits"]) == [(3, "value-3"), (7, "value-7")]
+    assert sorted((hit["shard"], hit["doc"]) for hit in found["hits"]) == [
+        (3, "value-3"),
+        (7, "value-7"),
+    ]
 
 
 BAD = {
@@ -82,7 +85,9 @@
     protocol, transport = client = live.client()
     live.ask(UNREADABLE[name], client)
     assert 400 <= status(transport.take()) < 500
-    assert transport.half_closed and transport.producerState == "producing"  # what still comes is dropped
+    assert (
+        transport.half_closed and transport.producerState == "producing"
+    )  # what still comes is dropped
     for _ in range(5):
         protocol.dataReceived(b"x" * 65_536)
     assert transport.producerState == "paused" and not transport.take()
@@ -405,7 +410,9 @@
     live = Live(config(settings=TOLD | {"discovery": "push"}))
     ready = b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"
     assert not live.reactor.tcpServers  # a front that missed the last process's death sends at once
-    for asked in range(1, 20):  # again within a quarter of the drain grace: what it says at its return counts
+    for asked in range(
+        1, 20
+    ):  # again within a quarter of the drain grace: what it says at its return counts
         live.discovery[-1].refuse()
         live.run(0.13)
         assert not live.reactor.tcpServers and len(live.discovery) == asked + 1
@@ -417,9 +424,15 @@
 
 
 def test_a_leaving_router_refuses_what_never_ran_with_a_time_to_come_back():
-    live = Live(config(settings=TOLD | {"caps": TOLD["caps"] | {"connectTimeout": 9000.0}, "services": [
-        one | {"aim": 6000.0, "giveUp": 9000.0} for one in TOLD["services"]
-    ]}))
+    live = Live(
+        config(
+            settings=TOLD
+            | {
+                "caps": TOLD["caps"] | {"connectTimeout": 9000.0},
+                "services": [one | {"aim": 6000.0, "giveUp": 9000.0} for one in TOLD["services"]],
+            }
+        )
+    )
     unsent = live.ask(post(path="/book", deadline=9000))
     live.daemon.terminate()
     sent = live.ask(post(id="out", path="/book", deadline=9000))
--- a/tests/platform/test_given_up.py
+++ b/tests/platform/test_given_up.py
@@ -20,13 +20,16 @@
     events = [json.loads(record.getMessage()) for record in caplog.records]
     return [
         (event["request"], event["answer"], event["reason"], event["history"])
-        for event in events if event["event"] == "given up"
+        for event in events
+        if event["event"] == "given up"
     ]
 
 
 def drain_all(live):
     watch = live.discovery[0].accept()
-    line = json.dumps({"version": 5, "full": False, "servers": [entry(n, "terminating") for n in (1, 2, 3)]})
+    line = json.dumps(
+        {"version": 5, "full": False, "servers": [entry(n, "terminating") for n in (1, 2, 3)]}
+    )
     chunk = f"{len(line) + 1:x}\r\n{line}\n\r\n"
     watch.say(f"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}".encode())
     live.run(0.02)
@@ -74,14 +77,18 @@
     live.run(0.5)
 
 
-@pytest.mark.parametrize("happens, reason, kind", [
-    (nobody_could_be_sent_to, GiveUpReason.NO_START, "refused"),
-    (silent_to_the_end, GiveUpReason.DEADLINE_PASSED, "refused"),
-    (lost_after_it_was_sent, GiveUpReason.TOO_FEW_SHARDS, "failed"),
-    (out_when_the_router_stops_and_its_policy_sleeps, GiveUpReason.STOPPING, "failed"),
-    (its_answers_are_not_read, GiveUpReason.UNREADABLE, "refused"),
-    (a_fault_of_the_policy, GiveUpReason.FAULT, "refused"),
-], ids=lambda value: getattr(value, "__name__", ""))
+@pytest.mark.parametrize(
+    "happens, reason, kind",
+    [
+        (nobody_could_be_sent_to, GiveUpReason.NO_START, "refused"),
+        (silent_to_the_end, GiveUpReason.DEADLINE_PASSED, "refused"),
+        (lost_after_it_was_sent, GiveUpReason.TOO_FEW_SHARDS, "failed"),
+        (out_when_the_router_stops_and_its_policy_sleeps, GiveUpReason.STOPPING, "failed"),
+        (its_answers_are_not_read, GiveUpReason.UNREADABLE, "refused"),
+        (a_fault_of_the_policy, GiveUpReason.FAULT, "refused"),
+    ],
+    ids=lambda value: getattr(value, "__name__", ""),
+)
 def test_the_reason_is_counted_and_logged_with_the_history(live, caplog, happens, reason, kind):
     happens(live)
     [(request, answered, why, history)] = told(caplog)
--- a/tests/platform/test_node_links.py
+++ b/tests/platform/test_node_links.py
@@ -21,7 +21,13 @@
         self.reactor = MemoryReactorClock()
         self.log = []
         self.pool = ConnectionPool(
-            self.reactor, streams, call_parts, 250.0, 10_000.0, max_links, lambda *a, **k: self.log.append(a)
+            self.reactor,
+            streams,
+            call_parts,
+            250.0,
+            10_000.0,
+            max_links,
+            lambda *a, **k: self.log.append(a),
         )
         self.pool.place(1, "127.0.0.1", 7070)
         self.lives = Lives()
@@ -30,16 +36,26 @@
     def send(self, *ids, time_out=1000.0, server=1, connect_within=0.0, leave_within=0.0):
         sendings = [
             self.pool.send(
-                id.encode(), server, 0, b"text", time_out, self.hear(id),
+                id.encode(),
+                server,
+                0,
+                b"text",
+                time_out,
+                self.hear(id),
                 self.lives.attempt(self.reactor.seconds() * 1000, server, time_out, leave_within),
-                connect_within, b"", leave_within
-            ) for id in ids
+                connect_within,
+                b"",
+                leave_within,
+            )
+            for id in ids
         ]
         self.pool.flush()
         return sendings
 
     def hear(self, id):
-        return lambda outcome, value, load: self.ends.setdefault(id, []).append((outcome, value, load))
+        return lambda outcome, value, load: self.ends.setdefault(id, []).append(
+            (outcome, value, load)
+        )
 
     @property
     def peers(self):
@@ -94,9 +110,14 @@
     assert wait == 300 and text == b"text"
 
 
-@pytest.mark.parametrize("end, outcome", [
-    ("ok", Outcome.ANSWERED), ("err", Outcome.ERROR), ("busy", Outcome.REJECTED),
-])
+@pytest.mark.parametrize(
+    "end, outcome",
+    [
+        ("ok", Outcome.ANSWERED),
+        ("err", Outcome.ERROR),
+        ("busy", Outcome.REJECTED),
+    ],
+)
 def test_each_end_has_its_outcome(end, outcome):
     node = Node()
     node.up("a.1").say(answer("a.1", end, report="x=7,y=0.61"))
@@ -430,7 +451,9 @@
     node.send("b.1")
     early.transport.end()
     assert outcomes(node) == {
-        "early.1": [Outcome.BROKEN_OFF], "a.1": [Outcome.UNCONNECTED], "b.1": [Outcome.UNCONNECTED],
+        "early.1": [Outcome.BROKEN_OFF],
+        "a.1": [Outcome.UNCONNECTED],
+        "b.1": [Outcome.UNCONNECTED],
     }
 
 
@@ -456,7 +479,9 @@
     else:
         peer = stuck(node, *(["b.1"] if waits == "behind another frame" else []))
         node.send("a.1", leave_within=90.0)
-        assert [id for id, *_ in peer.calls()] == (["b.1"] if waits == "behind another frame" else ["a.1"])
+        assert [id for id, *_ in peer.calls()] == (
+            ["b.1"] if waits == "behind another frame" else ["a.1"]
+        )
     node.reactor.advance(0.08)
     assert "a.1" not in node.ends
     node.reactor.advance(0.02)
--- a/tests/platform/test_program.py
+++ b/tests/platform/test_program.py
@@ -81,14 +81,17 @@
     known = {"version": 4, "full": True, "servers": servers}
 
     def write(discovery):
-        path.write_bytes(config(
-            listen=f"127.0.0.1:{port}", discovery=f"127.0.0.1:{discovery.port}", known=known
-        ))
+        path.write_bytes(
+            config(listen=f"127.0.0.1:{port}", discovery=f"127.0.0.1:{discovery.port}", known=known)
+        )
 
     write(first)
     environ = os.environ | {"NODE_CONFIG": str(path), "PYTHONPATH": str(ROOT)}
     process = subprocess.Popen(
-        [sys.executable, "-m", "tansycrank", "run"], cwd=tmp_path, env=environ, stderr=subprocess.PIPE
+        [sys.executable, "-m", "tansycrank", "run"],
+        cwd=tmp_path,
+        env=environ,
+        stderr=subprocess.PIPE,
     )
     process.base, process.write, process.first = f"http://127.0.0.1:{port}", write, first
     for _ in range(200):
@@ -143,6 +146,8 @@
 
 def test_it_loads_nothing_of_the_other_fronts():
     names = "('pglast', 'duckdb', 'numpy', 'click', 'structlog', 'tansycrank.pg', 'tansycrank.sql')"
-    code = f"import sys, tansycrank.platform.daemon; print([n for n in {names} if n in sys.modules])"
+    code = (
+        f"import sys, tansycrank.platform.daemon; print([n for n in {names} if n in sys.modules])"
+    )
     found = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, timeout=60)
     assert found.stdout.strip() == b"[]", found.stderr
--- a/tests/platform/test_wall_clock.py
+++ b/tests/platform/test_wall_clock.py
@@ -54,7 +54,9 @@
 
     def run(self):
         began = time.monotonic()
-        with contextlib.closing(self.program.client(post(id=self.id, deadline=DEADLINE))) as connection:
+        with contextlib.closing(
+            self.program.client(post(id=self.id, deadline=DEADLINE))
+        ) as connection:
             connection.settimeout(DEADLINE / 1000 + 3.0)
             self.status, _ = read_answer(connection)
         self.took = time.monotonic() - began
@@ -70,8 +72,11 @@
         one.start()
     for one in asking:
         one.join()
-    late = [(one.id, one.status, one.took) for one in asking
-            if one.status is None or one.took > DEADLINE / 1000 + SLACK]
+    late = [
+        (one.id, one.status, one.took)
+        for one in asking
+        if one.status is None or one.took > DEADLINE / 1000 + SLACK
+    ]
     assert not late
 
 
@@ -95,7 +100,9 @@
     for number in range(30):  # enough answers for the policy to believe its median
         assert read_answer(program.client(post(id=f"warm{number}")))[0] == 200
     time.sleep(0.3)
-    joined = entry(2, addr=f"127.0.0.1:{program.nodes[1].port}", cell=0, started_ms=time.time() * 1000)
+    joined = entry(
+        2, addr=f"127.0.0.1:{program.nodes[1].port}", cell=0, started_ms=time.time() * 1000
+    )
     program.discovery.say(6, joined)
     answers = [read_answer(program.client(post(id=f"cold{number}")))[0] for number in range(30)]
     assert answers == [200] * 30
--- a/tests/soak/test_oracle.py
+++ b/tests/soak/test_oracle.py
@@ -25,12 +25,25 @@
     def __init__(self):
         self.evidence = Evidence(PLAN, [], [], [], [], [], [], [])
 
-    def ask(self, request="r1", effect=SAFE, sent=1_000.0, took=50.0, ending=Ending.ANSWERED, detail="",
-            shards=(0,), deadline=800.0):
-        record = ClientRecord(request, 0, effect, shards, sent, deadline, sent + took, ending, detail)
+    def ask(
+        self,
+        request="r1",
+        effect=SAFE,
+        sent=1_000.0,
+        took=50.0,
+        ending=Ending.ANSWERED,
+        detail="",
+        shards=(0,),
+        deadline=800.0,
+    ):
+        record = ClientRecord(
+            request, 0, effect, shards, sent, deadline, sent + took, ending, detail
+        )
         self.evidence.asked.append(record)
 
-    def call(self, at, node="s-0", request="r1", shard=0, wait=100.0, kind=NodeEventKind.CALL, **more):
+    def call(
+        self, at, node="s-0", request="r1", shard=0, wait=100.0, kind=NodeEventKind.CALL, **more
+    ):
         self.evidence.node_events.append(NodeEvent(at, node, kind, request, shard, wait, **more))
 
     def tell(self, at, full=False, router=0, **states):
@@ -60,10 +73,15 @@
     assert verdict.exercised[Invariant.HARMLESS_REFUSAL] == 1
 
 
-@pytest.mark.parametrize("ending, took", [
-    (Ending.NO_ANSWER, 900.0), (Ending.ANSWERED, 1_301.0), (Ending.FAILED, 1_301.0),
-    (Ending.REFUSED, 1_301.0),
-])
+@pytest.mark.parametrize(
+    "ending, took",
+    [
+        (Ending.NO_ANSWER, 900.0),
+        (Ending.ANSWERED, 1_301.0),
+        (Ending.FAILED, 1_301.0),
+        (Ending.REFUSED, 1_301.0),
+    ],
+)
 def test_no_answer_and_one_long_after_its_time_are_lost(run, ending, took):
     run.ask(took=took, ending=ending)
     assert run.broken == [Invariant.ANSWERED]
@@ -161,7 +179,9 @@
     run.ask("r2", sent=7_900.0)
     run.call(7_905.0, request="r2")
     assert run.broken == [Invariant.NOTHING_TO_DRAINING]
-    run.fault(FaultKind.DISCOVERY_HANG, 2_000.0, 5_000.0)  # for three seconds it could not be reached
+    run.fault(
+        FaultKind.DISCOVERY_HANG, 2_000.0, 5_000.0
+    )  # for three seconds it could not be reached
     assert not run.broken
 
 
@@ -183,9 +203,14 @@
     assert run.broken == [Invariant.BUDGET]
 
 
-@pytest.mark.parametrize("ended, by_router, broken", [
-    (2_500.0, True, 0), (3_300.0, True, 1), (3_500.0, False, 1),
-])
+@pytest.mark.parametrize(
+    "ended, by_router, broken",
+    [
+        (2_500.0, True, 0),
+        (3_300.0, True, 1),
+        (3_500.0, False, 1),
+    ],
+)
 def test_a_client_that_stops_halfway_is_owed_an_end(run, ended, by_router, broken):
     run.evidence.halves.append(HalfRequest(0, 0.0, ended, by_router))
     assert run.broken == [Invariant.HALF_REQUESTS] * broken
@@ -197,8 +222,10 @@
     run.call(1_020.0, node="s-2")
     [violation] = Oracle(run.evidence).judge().violations
     assert [line.split(" ", 1)[1].split(" wait")[0] for line in violation.history] == [
-        "client: sent to router 0, non_idempotent, 800 ms, shards (0,)", "node s-0: call shard 0",
-        "node s-2: call shard 0", "client: answered ",
+        "client: sent to router 0, non_idempotent, 800 ms, shards (0,)",
+        "node s-0: call shard 0",
+        "node s-2: call shard 0",
+        "client: answered ",
     ]
 
 
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -18,7 +18,11 @@
 
 SECONDS = 9.0
 SEED = 5  # of six routers, with wall clocks wrong from the start and stepped
-HANG_AT, HANG, STEP_AT = 1.5, 2.5, 2.2  # s: every data node hangs, and in the middle of it the clocks go back
+HANG_AT, HANG, STEP_AT = (
+    1.5,
+    2.5,
+    2.2,
+)  # s: every data node hangs, and in the middle of it the clocks go back
 CLIENTS = 12  # of each process, so that many wait at once
 
 
@@ -26,7 +30,9 @@
     """Every router's wall clock goes back by an hour while requests wait for data nodes that hang."""
     plan = replace(draw(SEED, 6.0), clients=CLIENTS)
     hangs = [Fault(HANG_AT, FaultKind.NODE_HANG, node, HANG) for node in range(plan.nodes)]
-    steps = [Fault(STEP_AT, FaultKind.WALL_CLOCK, router, value=-HOUR) for router in range(plan.routers)]
+    steps = [
+        Fault(STEP_AT, FaultKind.WALL_CLOCK, router, value=-HOUR) for router in range(plan.routers)
+    ]
     return replace(plan, wrong_from_the_start=(0.0,) * plan.routers, faults=(*hangs, *steps))
 
 
@@ -104,4 +110,6 @@
 
 def test_a_bug_that_is_none_is_named_with_those_there_are():
     result = CliRunner().invoke(main, ["soak", "--bug", "no-such-bug"])
-    assert result.exit_code == 2 and "no-such-bug" in result.output and "wall-clock" in result.output
+    assert (
+        result.exit_code == 2 and "no-such-bug" in result.output and "wall-clock" in result.output
+    )
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -13,8 +13,14 @@
 
 PACKAGE = Path(__file__).parent.parent / "tansycrank"
 SOURCES = sorted(PACKAGE.rglob("*.py"))
-WALL_CLOCK = {"time.time", "time.time_ns", "datetime.now", "datetime.utcnow", "dt.datetime.now",
-              "dt.datetime.utcnow"}
+WALL_CLOCK = {
+    "time.time",
+    "time.time_ns",
+    "datetime.now",
+    "datetime.utcnow",
+    "dt.datetime.now",
+    "dt.datetime.utcnow",
+}
 HOUR = 3600.0
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -7,31 +7,42 @@
 from tansycrank.interface import Effect
 
 
-@pytest.mark.parametrize("old, new, words", [
-    ("aim_ms = 1000", "aim_ms = soon", ("[class lookup]", "aim_ms", "soon")),
-    ("aim_ms = 1000", "aim_ms = 5000", ("aim_ms", "at most give_up_ms")),
-    ("aim_ms = 1000", "aim_mss = 1000", ("aim_mss", "unknown key", "give_up_ms")),
-    ("aim_ms = 1000\n", "", ("aim_ms", "is missing")),
-    ("reach = 3", "reach = 9", ("[store]", "reach", "at most cells")),
-    ("shards = 4", "shards = 0", ("shards", ">= 1")),
-    ("shards = 4", "shards = 4\nschema = same", ("schema", "{shard}")),
-    ("file = nodes.ini", "file = nodes.ini\nfeed = a:1", ("feed", "not both")),
-    ("file = nodes.ini", "feed = nowhere", ("feed", "host:port")),
-    ("method = hash", "method = round", ("[distribution driver]", "method", "round")),
-    ("type = int8", "type = float8", ("type", "one of int2")),
-    ("1: c;", "7: c;", ("values", "shards 0 to 3")),
-    ("1: c;", "1: a;", ("values", "each value once")),
-    ("distribution = driver", "distribution = drivers", ("[table drivers]", "one of: district, driver")),
-    ("columns = id int8, name text", "columns = id int8, name string", ("columns", "name string")),
-    ("column = id", "column = idd", ("column", "one of: id, name")),
-    ("[roster]", "[rooster]", ("[rooster]", "allowed sections")),
-    ("[roster]", "[rules]\nbudget_floor = 3\n[roster]", ("budget_share", "a budget needs all")),
-    ("[roster]", "[router]\nzone = x\n[roster]", ("zone", "one of the zones a")),
-    ("[roster]", "[router]\nme = 2\n[roster]", ("me", "below routers")),
-    ("[roster]", "[listen]\nport = 70000\n[roster]", ("[listen]", "port", "70000")),
-    ("[roster]", "[log]\nformat = xml\n[roster]", ("format", "xml")),
-    ("give_up_ms = 2000", "give_up_ms = 2000\npattern = (", ("pattern", "regular expression")),
-])
+@pytest.mark.parametrize(
+    "old, new, words",
+    [
+        ("aim_ms = 1000", "aim_ms = soon", ("[class lookup]", "aim_ms", "soon")),
+        ("aim_ms = 1000", "aim_ms = 5000", ("aim_ms", "at most give_up_ms")),
+        ("aim_ms = 1000", "aim_mss = 1000", ("aim_mss", "unknown key", "give_up_ms")),
+        ("aim_ms = 1000\n", "", ("aim_ms", "is missing")),
+        ("reach = 3", "reach = 9", ("[store]", "reach", "at most cells")),
+        ("shards = 4", "shards = 0", ("shards", ">= 1")),
+        ("shards = 4", "shards = 4\nschema = same", ("schema", "{shard}")),
+        ("file = nodes.ini", "file = nodes.ini\nfeed = a:1", ("feed", "not both")),
+        ("file = nodes.ini", "feed = nowhere", ("feed", "host:port")),
+        ("method = hash", "method = round", ("[distribution driver]", "method", "round")),
+        ("type = int8", "type = float8", ("type", "one of int2")),
+        ("1: c;", "7: c;", ("values", "shards 0 to 3")),
+        ("1: c;", "1: a;", ("values", "each value once")),
+        (
+            "distribution = driver",
+            "distribution = drivers",
+            ("[table drivers]", "one of: district, driver"),
+        ),
+        (
+            "columns = id int8, name text",
+            "columns = id int8, name string",
+            ("columns", "name string"),
+        ),
+        ("column = id", "column = idd", ("column", "one of: id, name")),
+        ("[roster]", "[rooster]", ("[rooster]", "allowed sections")),
+        ("[roster]", "[rules]\nbudget_floor = 3\n[roster]", ("budget_share", "a budget needs all")),
+        ("[roster]", "[router]\nzone = x\n[roster]", ("zone", "one of the zones a")),
+        ("[roster]", "[router]\nme = 2\n[roster]", ("me", "below routers")),
+        ("[roster]", "[listen]\nport = 70000\n[roster]", ("[listen]", "port", "70000")),
+        ("[roster]", "[log]\nformat = xml\n[roster]", ("format", "xml")),
+        ("give_up_ms = 2000", "give_up_ms = 2000\npattern = (", ("pattern", "regular expression")),
+    ],
+)
 def test_an_error_names_what_is_wrong_and_what_is_allowed(old, new, words):
     assert old in TEXT
     with pytest.raises(config.ConfigError) as problem:
@@ -47,7 +58,9 @@
 
 
 def test_the_module_gets_three_classes_for_each_of_ours():
-    found = config.parse(TEXT + "\n[class report]\naim_ms = 5\ngive_up_ms = 9\ndedup_window_ms = 7\n")
+    found = config.parse(
+        TEXT + "\n[class report]\naim_ms = 5\ngive_up_ms = 9\ndedup_window_ms = 7\n"
+    )
     settings = found.module_settings()
     assert [c.effect for c in settings.classes] == [Effect.SAFE, Effect.KEYED, Effect.UNSAFE] * 2
     assert settings.classes[4].dedup_window == 7 and settings.must_ask and settings.reach == 3
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -147,7 +147,8 @@
 def test_own_zone_gets_more_turns_only_where_crossing_is_priced():
     for price, most in ((0.04, 40), (0.0, 20)):
         bench = Bench(
-            settings(price_crossing=price, zones=3), servers=[listed(s, zone=s - 1) for s in (1, 2, 3)]
+            settings(price_crossing=price, zones=3),
+            servers=[listed(s, zone=s - 1) for s in (1, 2, 3)],
         )
         near = 0
         for _ in range(60):
@@ -196,7 +197,12 @@
     bench.run(5000)
     router = bench.router
     assert not (
-        router.queries or router.numbers or router.parts or router.out or router.waiting or router.hungry
+        router.queries
+        or router.numbers
+        or router.parts
+        or router.out
+        or router.waiting
+        or router.hungry
     )
     assert not router.agenda
 
@@ -329,7 +335,9 @@
     assert len(bench.attempts) == 16
     for part in parts[2:]:
         bench.end(part)
-    _, parts, _ = bench.query(parts=16, shards=range(16))  # quick answers: one part, then all at once
+    _, parts, _ = bench.query(
+        parts=16, shards=range(16)
+    )  # quick answers: one part, then all at once
     assert len(bench.attempts) == 17
     bench.end(parts[0], after=50.0)
     assert len(bench.attempts) == 32
@@ -341,7 +349,9 @@
 
 def test_a_query_that_may_be_answered_in_part_goes_by_its_heaviest_parts_where_queues_are_long():
     cls = io.QueryClass(aim=1000.0, give_up=4000.0, worth=1.0, floor=0.5, short_worth=0.9)
-    bench = Bench(settings(cls, shards=16, cells=16), servers=[listed(s, cell=s) for s in range(16)])
+    bench = Bench(
+        settings(cls, shards=16, cells=16), servers=[listed(s, cell=s) for s in range(16)]
+    )
     weights = [0.02] * 14 + [0.4, 0.32]
     query, parts, _ = bench.query(parts=16, shards=range(16), weights=weights)
     assert set(bench.attempts) == {parts[14], parts[15]}
@@ -361,14 +371,18 @@
 
 def test_the_bucket_keeps_what_the_largest_query_earns_until_the_next_one():
     """Danger: one large query every few seconds, and a bucket of one second empty for its tail."""
-    bench = Bench(settings(shards=40, cells=40), servers=[listed(s, cell=s // 2) for s in range(80)])
+    bench = Bench(
+        settings(shards=40, cells=40), servers=[listed(s, cell=s // 2) for s in range(80)]
+    )
     bench.query(parts=40, shards=range(40))
     bench.run(60_000)
     assert bench.router.tokens == 4.0
 
 
 def test_a_told_budgets_fixed_part_counts_for_the_bucket():
-    unsafe = io.QueryClass(aim=1000.0, give_up=4000.0, worth=1.0, effect=io.Effect.UNSAFE)  # spends no token
+    unsafe = io.QueryClass(
+        aim=1000.0, give_up=4000.0, worth=1.0, effect=io.Effect.UNSAFE
+    )  # spends no token
     tokens = []
     for floor in (0.0, 5.0):
         bench = Bench(settings(unsafe, budget_floor=floor, budget_share=0.05, budget_window=2000.0))
@@ -402,12 +416,19 @@
 
 def test_a_second_step_has_a_third_of_the_aim_and_no_pilot():
     """Danger: a second step asked for too late, or held for a pilot, makes the whole answer late."""
-    cls = io.QueryClass(aim=900.0, give_up=4000.0, worth=1.0, floor=0.5, short_worth=0.9, follow_up=3)
-    bench = Bench(settings(cls, shards=16, cells=16), servers=[listed(s, cell=s) for s in range(16)])
+    cls = io.QueryClass(
+        aim=900.0, give_up=4000.0, worth=1.0, floor=0.5, short_worth=0.9, follow_up=3
+    )
+    bench = Bench(
+        settings(cls, shards=16, cells=16), servers=[listed(s, cell=s) for s in range(16)]
+    )
     query, parts, _ = bench.query(parts=16, shards=range(16), weights=[0.55, 0.03] + [0.03] * 14)
     bench.end(parts[0], after=10.0)
     acted = bench.run(620)
-    assert of(io.Answer, acted) == [io.Answer(query, False)] and bench.now <= 100_000.0 + 900.0 * 2 / 3 + 50
+    assert (
+        of(io.Answer, acted) == [io.Answer(query, False)]
+        and bench.now <= 100_000.0 + 900.0 * 2 / 3 + 50
+    )
     seconds = bench.step(*(io.PartArrived(9000 + i, 1, i, 1 / 3) for i in range(3)))
     assert len(of(io.Send, seconds)) == 3
 
@@ -493,7 +514,9 @@
     for _ in range(8):
         _, [part], _ = bench.query()
         chosen.append(bench.attempts[part][0][1])
-    assert chosen[:4] == [1, 1, 1, 1] and set(chosen[4:]) > {1}  # beyond half its window the turns decide
+    assert chosen[:4] == [1, 1, 1, 1] and set(chosen[4:]) > {
+        1
+    }  # beyond half its window the turns decide
 
 
 def test_a_copy_waits_for_the_aim_to_ask_for_it_where_lost_work_has_a_price():
@@ -511,9 +534,10 @@
 
 def three_parts_late():
     """A thin router's first query, of 32 parts: all but three, at three servers, are in."""
-    bench = Bench(settings(shards=32, cells=32, reach=4, routers=200), servers=[
-        listed(server, cell=server % 32) for server in range(1, 65)
-    ])
+    bench = Bench(
+        settings(shards=32, cells=32, reach=4, routers=200),
+        servers=[listed(server, cell=server % 32) for server in range(1, 65)],
+    )
     _, parts, _ = bench.query(parts=32, shards=list(range(32)))
     for part in parts[::8]:
         bench.end(part, after=5.0)
@@ -538,8 +562,10 @@
 
 def test_a_pilot_is_copied_in_time_for_its_query_to_start_where_lost_work_has_a_price():
     """Danger: a copy kept for the aim comes after its query was refused for want of that very pilot."""
-    bench = Bench(settings(price_waste=0.08, shards=16, cells=16, reach=2),
-                  servers=[listed(s, cell=s % 16) for s in range(32)])
+    bench = Bench(
+        settings(price_waste=0.08, shards=16, cells=16, reach=2),
+        servers=[listed(s, cell=s % 16) for s in range(32)],
+    )
     for number in range(40):
         _, [part], _ = bench.query(shards=[number % 16])
         bench.end(part, after=50.0)
@@ -549,7 +575,9 @@
     pilots = [part for part in parts if part in bench.attempts]
     bench.run(200)
     assert len(pilots) == 2
-    copies = [bench.attempts[part][1][0] - born for part in pilots if len(bench.attempts[part]) == 2]
+    copies = [
+        bench.attempts[part][1][0] - born for part in pilots if len(bench.attempts[part]) == 2
+    ]
     assert copies and min(copies) < 100.0
 
 
@@ -578,8 +606,10 @@
 
 def test_the_pilots_of_a_router_without_answers_are_copied_before_their_query_is_refused():
     """Danger: a fleet that has just started; a third of the aim is later than the refusal at a quarter."""
-    bench = Bench(settings(price_waste=0.08, shards=16, cells=16, reach=2),
-                  servers=[listed(s, cell=s % 16) for s in range(32)])
+    bench = Bench(
+        settings(price_waste=0.08, shards=16, cells=16, reach=2),
+        servers=[listed(s, cell=s % 16) for s in range(32)],
+    )
     _, parts, _ = bench.query(parts=16, shards=range(16))
     pilots = [part for part in parts if part in bench.attempts]
     bench.run(200)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,11 +15,29 @@
 
 
 def fleet(seed, **changes):
-    cfg = settings(*CLASSES, **(dict(
-        routers=ROUTERS, shards=3 * NODES, cells=NODES, reach=4, tick=1.0, call_parts=16, call_work=9.0,
-        cold_multiple=2.0, cold_window=3000.0, cold_from=0.15, cold_time=18_000.0, price_waste=0.08,
-        can_hold_off=True, hold_off_max=500.0, must_ask=True,
-    ) | changes))
+    cfg = settings(
+        *CLASSES,
+        **(
+            dict(
+                routers=ROUTERS,
+                shards=3 * NODES,
+                cells=NODES,
+                reach=4,
+                tick=1.0,
+                call_parts=16,
+                call_work=9.0,
+                cold_multiple=2.0,
+                cold_window=3000.0,
+                cold_from=0.15,
+                cold_time=18_000.0,
+                price_waste=0.08,
+                can_hold_off=True,
+                hold_off_max=500.0,
+                must_ask=True,
+            )
+            | changes
+        ),
+    )
     made = Fleet(cfg, seed, work=25.0)
     made.start(range(ROUTERS))
     return made
@@ -45,7 +63,9 @@
 
 def test_all_routers_together_keep_cold_nodes_within_rule_4(cold_fleet):
     made, cold = cold_fleet
-    loads = [made.load_of_rule_4(made.nodes[id], end) for id in cold for end in made.nodes[id].asked]
+    loads = [
+        made.load_of_rule_4(made.nodes[id], end) for id in cold for end in made.nodes[id].asked
+    ]
     assert max(loads) <= 1.0
 
 
@@ -83,7 +103,9 @@
     made.run(3000.0)
     made.watches.clear()
     made.start(range(140))
-    assert sorted(number for _, number in made.watches) == list(range(140))  # one call each, at once
+    assert sorted(number for _, number in made.watches) == list(
+        range(140)
+    )  # one call each, at once
     made.run(10_000.0)
     since = [one for one in made.asked if one.born >= 3000.0]
     assert all(len(one.ended) == 1 for one in since)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -12,7 +12,9 @@
 HERE = Path(__file__).parent
 RED = "def test_red():\n    assert False\n"
 GREEN = "def test_green():\n    pass\n"
-EACH = "import pytest\n@pytest.mark.parametrize('n', [1, 2])\ndef test_each(n):\n    assert n == 1\n"
+EACH = (
+    "import pytest\n@pytest.mark.parametrize('n', [1, 2])\ndef test_each(n):\n    assert n == 1\n"
+)
 
 
 @pytest.fixture
@@ -48,7 +50,9 @@
 
 
 def test_a_listed_test_that_fails_in_its_set_up_is_passed_over_too(ci):
-    broken = "import pytest\n@pytest.fixture\ndef it():\n    assert False\ndef test_red(it):\n    pass\n"
+    broken = (
+        "import pytest\n@pytest.fixture\ndef it():\n    assert False\ndef test_red(it):\n    pass\n"
+    )
     code, said = ci(broken, "test_it.py::test_red | no ground | 7\n")
     assert code == 0 and "(failed)" in said
 
@@ -65,14 +69,18 @@
     assert ci(EACH, "test_it.py::test_each[1] | half of it | 7\n")[0] == 1
 
 
-@pytest.mark.parametrize("listed", [
-    "test_it.py::test_gone | why | 7\n",
-    "test_it.py::test_red | why\n",
-    "test_it.py::test_red | | 7\n",
-    "test_it.py::test_red\n",
-    "test_it.py::test_red | why | 7\n" * 2,
-    "".join(f"test_it.py::test_each[{n}] | why | 7\n" for n in range(4)),
-], ids=["no such test", "no issue", "no cause", "a name alone", "twice", "four lines"])
+@pytest.mark.parametrize(
+    "listed",
+    [
+        "test_it.py::test_gone | why | 7\n",
+        "test_it.py::test_red | why\n",
+        "test_it.py::test_red | | 7\n",
+        "test_it.py::test_red\n",
+        "test_it.py::test_red | why | 7\n" * 2,
+        "".join(f"test_it.py::test_each[{n}] | why | 7\n" for n in range(4)),
+    ],
+    ids=["no such test", "no issue", "no cause", "a name alone", "twice", "four lines"],
+)
 def test_a_list_that_cannot_be_used_fails(ci, listed):
     assert ci(GREEN + RED + EACH, listed)[0] not in (0, 1)
 
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -14,7 +14,9 @@
     """A lifecycle with endpoints 1 to 4, and its time."""
 
     def __init__(self, **more):
-        settings = io.Settings(classes=(io.QueryClass(aim=500.0, give_up=1000.0, worth=1.0),), **more)
+        settings = io.Settings(
+            classes=(io.QueryClass(aim=500.0, give_up=1000.0, worth=1.0),), **more
+        )
         self.now, self.found = 0.0, []
         self.lifecycle = Lifecycle(settings, self.found.append)
         self.tell(io.ListKind.FULL, *map(listed, (1, 2, 3, 4)))
@@ -103,11 +105,19 @@
     router.started(router.take(), endpoint=2)
 
 
-@pytest.mark.parametrize("outcome, allowed", [
-    (None, False), (Outcome.ERROR, False), (Outcome.BROKEN_OFF, False), (Outcome.TIMED_OUT, False),
-    (Outcome.CANCELLED, False),
-    (Outcome.REJECTED, True), (Outcome.UNCONNECTED, True), (Outcome.NOT_SENT, True),
-])
+@pytest.mark.parametrize(
+    "outcome, allowed",
+    [
+        (None, False),
+        (Outcome.ERROR, False),
+        (Outcome.BROKEN_OFF, False),
+        (Outcome.TIMED_OUT, False),
+        (Outcome.CANCELLED, False),
+        (Outcome.REJECTED, True),
+        (Outcome.UNCONNECTED, True),
+        (Outcome.NOT_SENT, True),
+    ],
+)
 def test_an_unsafe_sub_request_is_repeated_only_if_it_provably_never_ran(router, outcome, allowed):
     request = router.take(Effect.UNSAFE)
     first = router.started(request)
@@ -211,8 +221,12 @@
     [violation] = router.found
     assert violation.request == "r1"
     assert [event.partition(" ")[2] for event in violation.history] == [
-        "taken, 1 sub-requests, until 1000.0", "0: chosen for 1", "0: started at 1", "0: error at 1",
-        "failed", "VIOLATION: failed after answered",
+        "taken, 1 sub-requests, until 1000.0",
+        "0: chosen for 1",
+        "0: started at 1",
+        "0: error at 1",
+        "failed",
+        "VIOLATION: failed after answered",
     ]
 
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -16,7 +16,9 @@
 ADDRESS = ("10.0.0.1", 5432)
 HELLO = pg.AUTHENTICATION_OK + pg.backend_key(7, 99) + pg.ready("I")
 ASK = PartRequest(0, "SELECT 1")
-ANSWER = pg.row_description((pg.Field("a", 23),)) + pg.data_row([b"1"]) + pg.command_complete("SELECT 1")
+ANSWER = (
+    pg.row_description((pg.Field("a", 23),)) + pg.data_row([b"1"]) + pg.command_complete("SELECT 1")
+)
 
 
 class Wire(StringTransport):
@@ -79,21 +81,38 @@
     assert len(node.reactor.tcpClients) == 1  # the same link again
 
 
-@pytest.mark.parametrize("state, outcome", [
-    ("22012", Outcome.ANSWERED), ("42P01", Outcome.ANSWERED), ("23505", Outcome.ANSWERED),
-    ("0A000", Outcome.ANSWERED), ("P0001", Outcome.ANSWERED), ("21000", Outcome.ANSWERED),
-    ("53200", Outcome.ERROR), ("57P01", Outcome.ERROR), ("57P02", Outcome.ERROR), ("58030", Outcome.ERROR),
-    ("XX000", Outcome.ERROR), ("53300", Outcome.ERROR), ("57014", Outcome.ERROR),
-])
+@pytest.mark.parametrize(
+    "state, outcome",
+    [
+        ("22012", Outcome.ANSWERED),
+        ("42P01", Outcome.ANSWERED),
+        ("23505", Outcome.ANSWERED),
+        ("0A000", Outcome.ANSWERED),
+        ("P0001", Outcome.ANSWERED),
+        ("21000", Outcome.ANSWERED),
+        ("53200", Outcome.ERROR),
+        ("57P01", Outcome.ERROR),
+        ("57P02", Outcome.ERROR),
+        ("58030", Outcome.ERROR),
+        ("XX000", Outcome.ERROR),
+        ("53300", Outcome.ERROR),
+        ("57014", Outcome.ERROR),
+    ],
+)
 def test_errors_after_the_statement_went_out(state, outcome):
     node, link = ready()
     link.dataReceived(pg.error_response(PgError(state, "x")) + pg.ready("I"))
     assert node.outcomes == [outcome] and node.ended[0].error.state == state
 
 
-@pytest.mark.parametrize("state, outcome", [
-    ("53300", Outcome.REJECTED), ("57P03", Outcome.REJECTED), ("28P01", Outcome.UNCONNECTED),
-])
+@pytest.mark.parametrize(
+    "state, outcome",
+    [
+        ("53300", Outcome.REJECTED),
+        ("57P03", Outcome.REJECTED),
+        ("28P01", Outcome.UNCONNECTED),
+    ],
+)
 def test_refusals_before_it_went_out_prove_that_it_never_ran(state, outcome):
     node = Node()
     node.send()
--- a/tests/test_merge.py
+++ b/tests/test_merge.py
@@ -20,21 +20,26 @@
 
 
 def texts(result):
-    return [tuple(None if v is None else v.decode() for v in read_row(frame)) for frame in result.rows]
+    return [
+        tuple(None if v is None else v.decode() for v in read_row(frame)) for frame in result.rows
+    ]
 
 
 INTS = (Field("a", types.INT4), Field("b", types.INT4))
 
 
-@pytest.mark.parametrize("total, number, wanted", [  # as PostgreSQL 15 prints sum / count
-    ("1", 3, "0.33333333333333333333"),
-    ("10815797.94", 23384, "462.5298469038658912"),
-    ("0", 7, "0.00000000000000000000"),
-    ("100", 4, "25.0000000000000000"),
-    ("1.5", 2, "0.75000000000000000000"),
-    ("123456789012345678901234567890", 7, "17636684144620811271604938270"),
-    ("-7", 2, "-3.5000000000000000"),
-])
+@pytest.mark.parametrize(
+    "total, number, wanted",
+    [  # as PostgreSQL 15 prints sum / count
+        ("1", 3, "0.33333333333333333333"),
+        ("10815797.94", 23384, "462.5298469038658912"),
+        ("0", 7, "0.00000000000000000000"),
+        ("100", 4, "25.0000000000000000"),
+        ("1.5", 2, "0.75000000000000000000"),
+        ("123456789012345678901234567890", 7, "17636684144620811271604938270"),
+        ("-7", 2, "-3.5000000000000000"),
+    ],
+)
 def test_numeric_division_has_postgresqls_scale(total, number, wanted):
     assert format(divide(Decimal(total), number), "f") == wanted
 
@@ -46,12 +51,26 @@
     assert texts(merge(plan, [first, second], (), (), ())) == wanted
 
 
-@given(st.lists(st.lists(st.tuples(st.one_of(st.none(), st.integers(-3, 3)), st.integers(0, 9)), max_size=12),
-                min_size=1, max_size=5),
-       st.booleans(), st.booleans(), st.integers(0, 12), st.one_of(st.none(), st.integers(0, 12)))
+@given(
+    st.lists(
+        st.lists(
+            st.tuples(st.one_of(st.none(), st.integers(-3, 3)), st.integers(0, 9)), max_size=12
+        ),
+        min_size=1,
+        max_size=5,
+    ),
+    st.booleans(),
+    st.booleans(),
+    st.integers(0, 12),
+    st.one_of(st.none(), st.integers(0, 12)),
+)
 def test_a_sorted_merge_is_the_sort_of_all(split, descending, nulls_first, offset, limit):
-    plan = MergePlan("sorted", sort=(SortKey(0, descending, nulls_first), SortKey(1)), limit=Scalar(limit),
-                     offset=Scalar(offset))
+    plan = MergePlan(
+        "sorted",
+        sort=(SortKey(0, descending, nulls_first), SortKey(1)),
+        limit=Scalar(limit),
+        offset=Scalar(offset),
+    )
     got = texts(merge(plan, [rows(INTS, *part) for part in split], (), (), ()))
 
     def key(row):
@@ -64,9 +83,19 @@
     assert got == [tuple(None if v is None else str(v) for v in row) for row in wanted]
 
 
-@given(st.lists(st.lists(st.tuples(st.one_of(st.none(), st.sampled_from(["1.0", "1.00", "2", "NaN"])),
-                                   st.one_of(st.none(), st.integers(-(2**31), 2**31 - 1))), max_size=10),
-                min_size=1, max_size=4))
+@given(
+    st.lists(
+        st.lists(
+            st.tuples(
+                st.one_of(st.none(), st.sampled_from(["1.0", "1.00", "2", "NaN"])),
+                st.one_of(st.none(), st.integers(-(2**31), 2**31 - 1)),
+            ),
+            max_size=10,
+        ),
+        min_size=1,
+        max_size=4,
+    )
+)
 def test_groups_over_parts_are_the_groups_of_all(split):
     fields = (Field("k", types.NUMERIC), Field("s", types.INT8), Field("n", types.INT8))
     parts = []
@@ -75,11 +104,18 @@
         for key, value in part:
             name = "1.0" if key == "1.00" else key
             total, number = sums.get(name, (None, 0))
-            sums[name] = (total if value is None else (total or 0) + value, number + (value is not None))
+            sums[name] = (
+                total if value is None else (total or 0) + value,
+                number + (value is not None),
+            )
         parts.append(rows(fields, *((k, s, n) for k, (s, n) in sums.items())))
-    plan = MergePlan("grouped", sort=(SortKey(0),), groups=1,
-                     aggregates=(Aggregate("sum", (1,)), Aggregate("avg", (1, 2))),
-                     outputs=(Output("k", ("group", 0)), Output("s", ("agg", 0)), Output("a", ("agg", 1))))
+    plan = MergePlan(
+        "grouped",
+        sort=(SortKey(0),),
+        groups=1,
+        aggregates=(Aggregate("sum", (1,)), Aggregate("avg", (1, 2))),
+        outputs=(Output("k", ("group", 0)), Output("s", ("agg", 0)), Output("a", ("agg", 1))),
+    )
     got = texts(merge(plan, parts, (), (), ()))
     wanted: dict = {}
     for part in split:
@@ -97,7 +133,9 @@
 
 def test_an_int8_sum_past_its_range_is_an_error_not_a_wrong_number():
     fields = (Field("s", types.INT8),)
-    plan = MergePlan("grouped", aggregates=(Aggregate("sum", (0,)),), outputs=(Output("s", ("agg", 0)),))
+    plan = MergePlan(
+        "grouped", aggregates=(Aggregate("sum", (0,)),), outputs=(Output("s", ("agg", 0)),)
+    )
     with pytest.raises(PgError) as problem:
         merge(plan, [rows(fields, (2**63 - 1,)), rows(fields, (1,))], (), (), ())
     assert problem.value.state == "22003"
@@ -105,47 +143,62 @@
 
 def test_numeric_sums_are_exact_however_long():
     fields = (Field("s", types.NUMERIC),)
-    plan = MergePlan("grouped", aggregates=(Aggregate("sum", (0,)),), outputs=(Output("s", ("agg", 0)),))
-    got = merge(plan, [rows(fields, ("9" * 60,)), rows(fields, ("0." + "0" * 50 + "1",))], (), (), ())
+    plan = MergePlan(
+        "grouped", aggregates=(Aggregate("sum", (0,)),), outputs=(Output("s", ("agg", 0)),)
+    )
+    got = merge(
+        plan, [rows(fields, ("9" * 60,)), rows(fields, ("0." + "0" * 50 + "1",))], (), (), ()
+    )
     assert texts(got) == [("9" * 60 + "." + "0" * 50 + "1",)]
 
 
 def test_parts_with_different_columns_are_never_merged():
     with pytest.raises(PgError):
-        merge(MergePlan(), [rows(INTS, (1, 2)), rows((Field("a", types.TEXT),), ("x",))], (), (), ())
+        merge(
+            MergePlan(), [rows(INTS, (1, 2)), rows((Field("a", types.TEXT),), ("x",))], (), (), ()
+        )
 
 
 def test_max_of_text_whose_collation_is_unknown_is_refused():
     fields = (Field("m", types.TEXT),)
-    plan = MergePlan("grouped", aggregates=(Aggregate("max", (0,), collated=False),),
-                     outputs=(Output("m", ("agg", 0)),))
+    plan = MergePlan(
+        "grouped",
+        aggregates=(Aggregate("max", (0,), collated=False),),
+        outputs=(Output("m", ("agg", 0)),),
+    )
     with pytest.raises(PgError) as refusal:
         merge(plan, [rows(fields, ("a",)), rows(fields, ("b",))], (), (), ())
     assert refusal.value.state == "0A000"
 
 
-@pytest.mark.parametrize("expression, wanted", [
-    (("op", "=", ("const", None), ("const", 1)), None),
-    (("and", ("const", False), ("const", None)), False),
-    (("or", ("const", None), ("const", True)), True),
-    (("not", ("const", None)), None),
-    (("isnull", ("const", None), True), True),
-    (("op", "<", ("const", "a"), ("const", "Z")), False),
-    (("op", ">", ("agg", 0), ("const", "1.5")), True),
-    (("op", "=", ("coalesce", ("agg", 1), ("const", 0)), ("const", 0)), True),
-])
+@pytest.mark.parametrize(
+    "expression, wanted",
+    [
+        (("op", "=", ("const", None), ("const", 1)), None),
+        (("and", ("const", False), ("const", None)), False),
+        (("or", ("const", None), ("const", True)), True),
+        (("not", ("const", None)), None),
+        (("isnull", ("const", None), True), True),
+        (("op", "<", ("const", "a"), ("const", "Z")), False),
+        (("op", ">", ("agg", 0), ("const", "1.5")), True),
+        (("op", "=", ("coalesce", ("agg", 1), ("const", 0)), ("const", 0)), True),
+    ],
+)
 def test_three_valued_logic(expression, wanted):
     aggregates = [(types.NUMERIC, Decimal(2)), (types.NUMERIC, None)]
     assert evaluate(expression, [], aggregates, [])[1] is wanted
 
 
-@pytest.mark.parametrize("kind, values, wanted", [  # as PostgreSQL 15 prints them
-    ("variance", [1, 2, 3, 4], "1.6666666666666667"),
-    ("stddev", [1, 2, 3, 4], "1.2909944487358056"),
-    ("var_pop", [1, 2, 3, 4], "1.2500000000000000"),
-    ("stddev_pop", [5], "0"),
-    ("stddev", [5], None),
-])
+@pytest.mark.parametrize(
+    "kind, values, wanted",
+    [  # as PostgreSQL 15 prints them
+        ("variance", [1, 2, 3, 4], "1.6666666666666667"),
+        ("stddev", [1, 2, 3, 4], "1.2909944487358056"),
+        ("var_pop", [1, 2, 3, 4], "1.2500000000000000"),
+        ("stddev_pop", [5], "0"),
+        ("stddev", [5], None),
+    ],
+)
 def test_deviations_of_numerics_have_postgresqls_digits(kind, values, wanted):
     found = spread_of(kind, len(values), Decimal(sum(values)), Decimal(sum(v * v for v in values)))
     assert (None if found is None else format(found, "f")) == wanted
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -19,7 +19,9 @@
 
 MIB = 1 << 20
 FIELDS = (Field("k", types.INT8), Field("t", types.TEXT))
-ROWS = st.lists(st.tuples(st.one_of(st.none(), st.integers(-5, 5)), st.text("abä", max_size=3)), max_size=40)
+ROWS = st.lists(
+    st.tuples(st.one_of(st.none(), st.integers(-5, 5)), st.text("abä", max_size=3)), max_size=40
+)
 
 
 def row(*values):
@@ -79,17 +81,23 @@
 
 @given(st.lists(ROWS, min_size=1, max_size=5), st.booleans(), st.booleans())
 def test_a_k_way_merge_of_sorted_parts(tmp_path_factory, split, descending, nulls_first):
-    keeper = Keeper(16 * MIB, 8 * MIB, SpillSpace(str(tmp_path_factory.mktemp("s")), 0), lambda: 0.0)
+    keeper = Keeper(
+        16 * MIB, 8 * MIB, SpillSpace(str(tmp_path_factory.mktemp("s")), 0), lambda: 0.0
+    )
     memory = keeper.open(True)
     key = op.key_maker((SortKey(0, descending, nulls_first),), FIELDS)
 
     def rank(values):
         null = values[0] is None
-        return (not null if nulls_first else null), -(values[0] or 0) if descending else values[0] or 0
+        return (not null if nulls_first else null), -(values[0] or 0) if descending else values[
+            0
+        ] or 0
 
     parts = [sorted(rows, key=rank) for rows in split]
     got = drain(op.merge_sorted([op.part_source(part(memory, rows), key) for rows in parts]))
-    wanted = sorted((r for rows in parts for r in rows), key=rank)  # stable: ties by part, then by arrival
+    wanted = sorted(
+        (r for rows in parts for r in rows), key=rank
+    )  # stable: ties by part, then by arrival
     assert got == [(None if a is None else str(a), b) for a, b in wanted]
 
 
@@ -103,7 +111,9 @@
 
 @given(st.lists(ROWS, min_size=1, max_size=4), st.integers(0, 9), st.integers(0, 9))
 def test_top_limit_and_offset(tmp_path_factory, split, limit, offset):
-    keeper = Keeper(16 * MIB, 8 * MIB, SpillSpace(str(tmp_path_factory.mktemp("s")), 0), lambda: 0.0)
+    keeper = Keeper(
+        16 * MIB, 8 * MIB, SpillSpace(str(tmp_path_factory.mktemp("s")), 0), lambda: 0.0
+    )
     memory = keeper.open(False)
     key = op.key_maker((SortKey(0), SortKey(1)), FIELDS)
     rows = op.top(op.concat([part(memory, rows) for rows in split]), key, limit + offset, memory)
@@ -121,13 +131,19 @@
     keeper = Keeper(16 * MIB, 8 * MIB, space, lambda: 0.0)
     memory = tight(keeper.open(False), room)
     fields = (Field("k", types.INT8), Field("s", types.INT8))
-    plan = MergePlan("grouped", groups=1, aggregates=(Aggregate("sum", (1,)), Aggregate("max", (1,))),
-                     outputs=(Output("k", ("group", 0)), Output("s", ("agg", 0)), Output("m", ("agg", 1))))
+    plan = MergePlan(
+        "grouped",
+        groups=1,
+        aggregates=(Aggregate("sum", (1,)), Aggregate("max", (1,))),
+        outputs=(Output("k", ("group", 0)), Output("s", ("agg", 0)), Output("m", ("agg", 1))),
+    )
     parts = [part(memory, rows, fields) for rows in split]
     try:
         _, pulled = build(plan, parts, (), (), (), None, memory)
         got = {int(k): (int(s), int(m)) for k, s, m in drain(pulled)}
-    except PgError as problem:  # groups that no partition of this depth holds are refused, never cut
+    except (
+        PgError
+    ) as problem:  # groups that no partition of this depth holds are refused, never cut
         assert problem.state == "53200" and room == 600
         return
     finally:
@@ -142,7 +158,10 @@
 def test_distinct_treats_equal_numerics_as_one_and_null_as_one(keeper):
     fields = (Field("n", types.NUMERIC),)
     memory = tight(keeper.open(False), 300)
-    parts = [part(memory, [("1.0",), (None,), ("2",)], fields), part(memory, [("1.00",), (None,)], fields)]
+    parts = [
+        part(memory, [("1.0",), (None,), ("2",)], fields),
+        part(memory, [("1.00",), (None,)], fields),
+    ]
     _, pulled = build(MergePlan(distinct=True), parts, (), (), (), None, memory)
     assert sorted(drain(pulled), key=str) == [("1.0",), ("2",), (None,)]
 
@@ -172,7 +191,9 @@
     stream.fields = FIELDS
     stream.add(row(1, "x"), 1)
     calls = []
-    rows = RowStream(FIELDS, op.concat([stream]), [stream], memory, Worker(calls.append, lambda: 0.0))
+    rows = RowStream(
+        FIELDS, op.concat([stream]), [stream], memory, Worker(calls.append, lambda: 0.0)
+    )
     calls.pop()()
     assert len(rows.take()) == 1 and not rows.ended
     stream.finish(PgError("58T02", "broke off"))
@@ -184,7 +205,9 @@
 def test_taking_a_few_rows_at_a_time_loses_none(keeper):
     memory = keeper.open(True)
     stream, calls = part(memory, [(n, "x") for n in range(100)]), []
-    rows = RowStream(FIELDS, op.concat([stream]), [stream], memory, Worker(calls.append, lambda: 0.0))
+    rows = RowStream(
+        FIELDS, op.concat([stream]), [stream], memory, Worker(calls.append, lambda: 0.0)
+    )
     got = []
     while not rows.ended:
         while calls:
@@ -258,7 +281,10 @@
 
 
 def test_what_a_crash_left_is_removed_at_the_start_and_the_living_are_spared(tmp_path):
-    dead, alive = tmp_path / "tansycrank-run-999999999-a", tmp_path / f"tansycrank-run-{os.getpid()}-b"
+    dead, alive = (
+        tmp_path / "tansycrank-run-999999999-a",
+        tmp_path / f"tansycrank-run-{os.getpid()}-b",
+    )
     dead.write_text("x")
     alive.write_text("x")
     assert SpillSpace(str(tmp_path), MIB).clean() == 1
@@ -350,8 +376,17 @@
     assert [a.query for a in governor().step(0.0, [gov.Full(7)])] == [7]
 
 
-@given(st.lists(st.tuples(st.sampled_from(["open", "holds", "close"]), st.integers(0, 12),
-                          st.integers(0, 40 * MIB), st.booleans()), max_size=80))
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(["open", "holds", "close"]),
+            st.integers(0, 12),
+            st.integers(0, 40 * MIB),
+            st.booleans(),
+        ),
+        max_size=80,
+    )
+)
 def test_no_order_of_events_breaks_the_bound_or_leaves_one_waiting_for_nothing(script):
     policy = governor(process=32 * MIB, query=16 * MIB)
     for kind, number, size, streams in script:
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -60,22 +60,25 @@
     return [p.shard for p in parts(planner, sql, *values).parts]
 
 
-@pytest.mark.parametrize("where, values, wanted", [
-    ("district = 'a'", (), [0]),
-    ("'c' = t.district AND id > 3", (), [1]),
-    ("district IN ('a', 'b')", (), [0]),
-    ("district IN ('a', 'c', $1)", ("d",), [0, 1, 2]),
-    ("district = ANY($1)", (["a", "e"],), [0, 3]),
-    ("district = ANY(ARRAY['c', 'd'])", (), [1, 2]),
-    ("district = $1", ("d",), [2]),
-    ("district = 'a' OR district = 'c'", (), [0, 1]),
-    ("district = 'a' OR id = 3", (), [0, 1, 2, 3]),
-    ("district IN ('a', 'c') AND district IN ('c', 'd')", (), [1]),
-    ("NOT district = 'a'", (), [0, 1, 2, 3]),
-    ("district LIKE 'a%'", (), [0, 1, 2, 3]),
-    ("lower(district) = 'a'", (), [0, 1, 2, 3]),
-    ("district IS NULL", (), [0, 1, 2, 3]),
-])
+@pytest.mark.parametrize(
+    "where, values, wanted",
+    [
+        ("district = 'a'", (), [0]),
+        ("'c' = t.district AND id > 3", (), [1]),
+        ("district IN ('a', 'b')", (), [0]),
+        ("district IN ('a', 'c', $1)", ("d",), [0, 1, 2]),
+        ("district = ANY($1)", (["a", "e"],), [0, 3]),
+        ("district = ANY(ARRAY['c', 'd'])", (), [1, 2]),
+        ("district = $1", ("d",), [2]),
+        ("district = 'a' OR district = 'c'", (), [0, 1]),
+        ("district = 'a' OR id = 3", (), [0, 1, 2, 3]),
+        ("district IN ('a', 'c') AND district IN ('c', 'd')", (), [1]),
+        ("NOT district = 'a'", (), [0, 1, 2, 3]),
+        ("district LIKE 'a%'", (), [0, 1, 2, 3]),
+        ("lower(district) = 'a'", (), [0, 1, 2, 3]),
+        ("district IS NULL", (), [0, 1, 2, 3]),
+    ],
+)
 def test_shards_of_a_filter(planner, where, values, wanted):
     assert shards(planner, f"SELECT id FROM trips t WHERE {where}", *values) == wanted
 
@@ -96,11 +99,15 @@
 def test_one_shard_is_passed_on_in_its_own_words(planner):
     sql = "SELECT  /* ố */ 'Hồ' AS x, t.* , sum(fare) OVER () FROM public.trips t, zones WHERE t.district='a'"
     (part,) = parts(planner, sql).parts
-    assert part.sql == sql.replace("public.trips", "s0000.trips").replace(", zones", ", s0000.zones")
+    assert part.sql == sql.replace("public.trips", "s0000.trips").replace(
+        ", zones", ", s0000.zones"
+    )
 
 
 def test_the_second_statement_of_a_text_is_cut_right(planner):
-    first, second = planner.statements("SELECT 'ữ' FROM zones; SELECT id FROM trips WHERE district = 'c'")
+    first, second = planner.statements(
+        "SELECT 'ữ' FROM zones; SELECT id FROM trips WHERE district = 'c'"
+    )
     assert second.bind(()).parts[0].sql.strip() == "SELECT id FROM s0001.trips WHERE district = 'c'"
 
 
@@ -137,70 +144,85 @@
 
 
 def test_groups_that_lie_whole_on_a_shard_go_down_whole(planner):
-    found = parts(planner, "SELECT district, count(DISTINCT cab_id), string_agg(note, ',') FROM trips "
-                           "GROUP BY district HAVING count(*) > 3 ORDER BY 2")
+    found = parts(
+        planner,
+        "SELECT district, count(DISTINCT cab_id), string_agg(note, ',') FROM trips "
+        "GROUP BY district HAVING count(*) > 3 ORDER BY 2",
+    )
     assert found.merge.kind == "sorted" and "HAVING" in found.parts[0].sql
 
 
 def test_a_group_by_a_column_that_an_outer_join_may_empty_is_not_whole_on_a_shard(planner):
     with pytest.raises(PgError):
-        parts(planner, "SELECT c.district, corr(t.id, t.fare) FROM trips t LEFT JOIN cabs c "
-                       "ON c.district = t.district AND c.id = t.cab_id GROUP BY c.district")
-
-
-@pytest.mark.parametrize("sql, construct", [
-    ("SELECT id FROM trips UNION ALL SELECT id FROM cabs", "UNION"),
-    ("WITH x AS (SELECT 1) SELECT id FROM trips", "WITH"),
-    ("SELECT id FROM trips FOR UPDATE", "FOR UPDATE"),
-    ("SELECT DISTINCT ON (note) id FROM trips", "DISTINCT ON"),
-    ("SELECT note, count(*) FROM trips GROUP BY ROLLUP (note)", "ROLLUP"),
-    ("SELECT id FROM trips WHERE started > now()", "now()"),
-    ("SELECT id FROM trips WHERE started > current_date", "CURRENT_DATE"),
-    ("SELECT id FROM trips WHERE started > 'today'::timestamptz", "today"),
-    ("SELECT random() FROM trips", "random()"),
-    ("SELECT my_function(id) FROM trips", "my_function()"),
-    ("SELECT id FROM trips ORDER BY id FETCH FIRST 3 ROWS WITH TIES", "WITH TIES"),
-    ("SELECT corr(fare, id) FROM trips", "corr"),
-    ("SELECT percentile_cont(cab_id) WITHIN GROUP (ORDER BY fare) FROM trips", "percentile_cont"),
-    ("SELECT array_agg(DISTINCT note ORDER BY id) FROM trips", "array_agg(DISTINCT"),
-    ("SELECT sum(fare) / count(*) FROM trips", "expression"),
-    ("SELECT t.id FROM trips t JOIN drivers d ON d.id = t.cab_id", "join"),
-    ("SELECT t.id FROM zones z LEFT JOIN trips t ON t.cab_id = z.id", "outer join"),
-    ("SELECT t.id FROM trips t LEFT JOIN cabs c ON c.id = t.cab_id", "outer join"),
-    ("SELECT id FROM trips t NATURAL JOIN cabs c", "NATURAL"),
-    ("SELECT id FROM trips WHERE EXISTS (SELECT 1 FROM cabs)", "subquery"),
-    ("SELECT id FROM trips TABLESAMPLE system (10)", "TABLESAMPLE"),
-    ("SELECT t.id FROM trips t TABLESAMPLE system (10) WHERE district = 'a'", "TABLESAMPLE"),
-    ("SELECT id FROM trips LIMIT 1 + 1", "LIMIT"),
-    ("SELECT id FROM trips, generate_series(1, 3)", "RangeFunction"),
-    ("UPDATE trips SET fare = 0", "UPDATE"),
-    ("DELETE FROM trips WHERE id = 1", "DELETE"),
-    ("UPDATE trips SET district = 'c' WHERE district = 'a'", "distribution column"),
-    ("INSERT INTO trips (id, district) SELECT id, district FROM trips", "INSERT"),
-    ("INSERT INTO trips (id, district) VALUES (1, lower('A'))", "distribution column"),
-    ("INSERT INTO zones VALUES (1, 'x')", "reference table"),
-    ("CREATE TABLE x (a int)", "Create"),
-    ("TRUNCATE trips", "Truncate"),
-    ("COPY trips FROM STDIN", "Copy"),
-    ("SELECT now(), id INTO x FROM trips", "SELECT INTO"),
-])
+        parts(
+            planner,
+            "SELECT c.district, corr(t.id, t.fare) FROM trips t LEFT JOIN cabs c "
+            "ON c.district = t.district AND c.id = t.cab_id GROUP BY c.district",
+        )
+
+
+@pytest.mark.parametrize(
+    "sql, construct",
+    [
+        ("SELECT id FROM trips UNION ALL SELECT id FROM cabs", "UNION"),
+        ("WITH x AS (SELECT 1) SELECT id FROM trips", "WITH"),
+        ("SELECT id FROM trips FOR UPDATE", "FOR UPDATE"),
+        ("SELECT DISTINCT ON (note) id FROM trips", "DISTINCT ON"),
+        ("SELECT note, count(*) FROM trips GROUP BY ROLLUP (note)", "ROLLUP"),
+        ("SELECT id FROM trips WHERE started > now()", "now()"),
+        ("SELECT id FROM trips WHERE started > current_date", "CURRENT_DATE"),
+        ("SELECT id FROM trips WHERE started > 'today'::timestamptz", "today"),
+        ("SELECT random() FROM trips", "random()"),
+        ("SELECT my_function(id) FROM trips", "my_function()"),
+        ("SELECT id FROM trips ORDER BY id FETCH FIRST 3 ROWS WITH TIES", "WITH TIES"),
+        ("SELECT corr(fare, id) FROM trips", "corr"),
+        (
+            "SELECT percentile_cont(cab_id) WITHIN GROUP (ORDER BY fare) FROM trips",
+            "percentile_cont",
+        ),
+        ("SELECT array_agg(DISTINCT note ORDER BY id) FROM trips", "array_agg(DISTINCT"),
+        ("SELECT sum(fare) / count(*) FROM trips", "expression"),
+        ("SELECT t.id FROM trips t JOIN drivers d ON d.id = t.cab_id", "join"),
+        ("SELECT t.id FROM zones z LEFT JOIN trips t ON t.cab_id = z.id", "outer join"),
+        ("SELECT t.id FROM trips t LEFT JOIN cabs c ON c.id = t.cab_id", "outer join"),
+        ("SELECT id FROM trips t NATURAL JOIN cabs c", "NATURAL"),
+        ("SELECT id FROM trips WHERE EXISTS (SELECT 1 FROM cabs)", "subquery"),
+        ("SELECT id FROM trips TABLESAMPLE system (10)", "TABLESAMPLE"),
+        ("SELECT t.id FROM trips t TABLESAMPLE system (10) WHERE district = 'a'", "TABLESAMPLE"),
+        ("SELECT id FROM trips LIMIT 1 + 1", "LIMIT"),
+        ("SELECT id FROM trips, generate_series(1, 3)", "RangeFunction"),
+        ("UPDATE trips SET fare = 0", "UPDATE"),
+        ("DELETE FROM trips WHERE id = 1", "DELETE"),
+        ("UPDATE trips SET district = 'c' WHERE district = 'a'", "distribution column"),
+        ("INSERT INTO trips (id, district) SELECT id, district FROM trips", "INSERT"),
+        ("INSERT INTO trips (id, district) VALUES (1, lower('A'))", "distribution column"),
+        ("INSERT INTO zones VALUES (1, 'x')", "reference table"),
+        ("CREATE TABLE x (a int)", "Create"),
+        ("TRUNCATE trips", "Truncate"),
+        ("COPY trips FROM STDIN", "Copy"),
+        ("SELECT now(), id INTO x FROM trips", "SELECT INTO"),
+    ],
+)
 def test_refusals_name_the_construct(planner, sql, construct):
     with pytest.raises(PgError) as refusal:
         parts(planner, sql)
     assert refusal.value.state == "0A000" and construct.lower() in str(refusal.value).lower()
 
 
-@pytest.mark.parametrize("sql, state", [
-    ("SELEC 1", "42601"),
-    ("SELECT id FROM nothing", "42P01"),
-    ("SELECT id FROM other.trips", "42P01"),
-    ("INSERT INTO trips (id) VALUES (1)", "23502"),
-    ("INSERT INTO trips (id, district) VALUES (1, 'nowhere')", "23514"),
-    ("INSERT INTO trips (id, district) VALUES (1, NULL)", "23502"),
-    ("SELECT id FROM trips ORDER BY 7", "42P10"),
-    ("SELECT DISTINCT id FROM trips ORDER BY fare", "42P10"),
-    ("SELECT note, id, count(*) FROM trips GROUP BY note", "42803"),
-])
+@pytest.mark.parametrize(
+    "sql, state",
+    [
+        ("SELEC 1", "42601"),
+        ("SELECT id FROM nothing", "42P01"),
+        ("SELECT id FROM other.trips", "42P01"),
+        ("INSERT INTO trips (id) VALUES (1)", "23502"),
+        ("INSERT INTO trips (id, district) VALUES (1, 'nowhere')", "23514"),
+        ("INSERT INTO trips (id, district) VALUES (1, NULL)", "23502"),
+        ("SELECT id FROM trips ORDER BY 7", "42P10"),
+        ("SELECT DISTINCT id FROM trips ORDER BY fare", "42P10"),
+        ("SELECT note, id, count(*) FROM trips GROUP BY note", "42803"),
+    ],
+)
 def test_errors_of_the_client(planner, sql, state):
     with pytest.raises(PgError) as problem:
         parts(planner, sql)
@@ -208,7 +230,9 @@
 
 
 def test_types_of_parameters_come_from_the_catalogue(planner):
-    (prepared,) = planner.statements("SELECT id FROM trips WHERE fare > $1 AND district = ANY($2) LIMIT $3")
+    (prepared,) = planner.statements(
+        "SELECT id FROM trips WHERE fare > $1 AND district = ANY($2) LIMIT $3"
+    )
     assert prepared.oids == (1700, 1009, 20)
     (insert,) = planner.statements("INSERT INTO trips (id, district, started) VALUES ($1, $2, $3)")
     assert insert.oids == (20, 25, 1184)
@@ -220,7 +244,9 @@
 
 
 def test_explain_shows_parts_and_plan(planner):
-    (prepared,) = planner.statements("EXPLAIN SELECT note, count(*) FROM trips GROUP BY note LIMIT 3")
+    (prepared,) = planner.statements(
+        "EXPLAIN SELECT note, count(*) FROM trips GROUP BY note LIMIT 3"
+    )
     text = "\n".join(explain_lines(prepared.explain, (), "lookup (safe)"))
     assert "Merge Aggregate" in text and text.count("->  Shard") == 4 and "Limit: 3" in text
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,15 +5,27 @@
 from tansycrank import interface as io
 from tansycrank.interface import Outcome
 
-UNSAFE = io.QueryClass(aim=1000.0, give_up=4000.0, worth=1.0, late_worth=0.5, effect=io.Effect.UNSAFE)
+UNSAFE = io.QueryClass(
+    aim=1000.0, give_up=4000.0, worth=1.0, late_worth=0.5, effect=io.Effect.UNSAFE
+)
 KEYED = io.QueryClass(
-    aim=1000.0, give_up=8000.0, worth=1.0, late_worth=0.5, effect=io.Effect.KEYED, dedup_window=600.0
+    aim=1000.0,
+    give_up=8000.0,
+    worth=1.0,
+    late_worth=0.5,
+    effect=io.Effect.KEYED,
+    dedup_window=600.0,
 )
 PARTIAL = io.QueryClass(aim=1000.0, give_up=4000.0, worth=1.0, floor=0.6, short_worth=0.9)
 
 
 def finals(bench):
-    return [a for _, actions in bench.done for a in actions if isinstance(a, io.Answer | io.Shed | io.Fail)]
+    return [
+        a
+        for _, actions in bench.done
+        for a in actions
+        if isinstance(a, io.Answer | io.Shed | io.Fail)
+    ]
 
 
 def test_rule_1_one_final_answer_in_time_and_no_part_after_it():
@@ -24,7 +36,9 @@
     bench.run(3000)
     assert [a.query for a in finals(bench) if a.query >= query] == [query]
     ended = next(
-        t for t, acts in bench.done if any(a.query == query for a in of(io.Shed, acts) + of(io.Fail, acts))
+        t
+        for t, acts in bench.done
+        if any(a.query == query for a in of(io.Shed, acts) + of(io.Fail, acts))
     )
     assert start < ended <= start + 900.0
     assert all(t <= ended for t, actions in bench.done if of(io.Send, actions))
@@ -95,7 +109,9 @@
             for _ in range(queries // spans):
                 bench.query()
             bench.run(every)
-        sent += [t - start for part in set(bench.attempts) - before for t, _ in bench.attempts[part]]
+        sent += [
+            t - start for part in set(bench.attempts) - before for t, _ in bench.attempts[part]
+        ]
     return sorted(sent)
 
 
@@ -120,14 +136,18 @@
             begun = max(t - 3000.0, 0.0)
             borne = 2 * 3000.0 / 100.0  # parts of 100 ms that two cores do in a window
             slack = 1.2 if routers > 1 else 1.0  # lots fall by chance, which the rule allows for
-            assert sum(begun <= other <= t for other in sent) <= slack * 2.0 * warmth * borne, routers
+            assert sum(begun <= other <= t for other in sent) <= slack * 2.0 * warmth * borne, (
+                routers
+            )
 
 
 def test_rule_4_a_fleet_of_thin_routers_uses_most_of_what_a_cold_server_of_two_cores_bears():
     """Danger: a tenth of the rule's budget used, the warm servers drowned, the cold ones idle."""
     sent = cold_burst(100, spans=3, queries=3, every=3500)  # each router asks once a window
     last = sum(6000.0 < t <= 9000.0 for t in sent)
-    borne = 2 * 3000.0 / 100.0 * (0.2 + 0.8 * 0.7)  # in the window that ends when it is seven seconds old
+    borne = (
+        2 * 3000.0 / 100.0 * (0.2 + 0.8 * 0.7)
+    )  # in the window that ends when it is seven seconds old
     assert 0.6 * 2.0 * borne <= last <= 2.0 * borne
 
 
@@ -149,7 +169,10 @@
             begun = max(t - 3000.0, 0.0)
             warmth = 0.2 + 0.8 * (begun + 1500.0) / 10_000.0  # mean of the window
             slack = 1.2 if routers > 1 else 1.0  # lots fall by chance, which the rule allows for
-            assert sum(begun <= other <= t for other in sent) <= slack * 2.0 * warmth * 2 * 3000.0 / 100.0
+            assert (
+                sum(begun <= other <= t for other in sent)
+                <= slack * 2.0 * warmth * 2 * 3000.0 / 100.0
+            )
 
 
 def test_rule_5_never_below_the_floor_and_whole_only_if_whole():
@@ -167,7 +190,9 @@
 
 
 def test_rule_5_a_second_step_on_a_short_first_one_is_not_whole():
-    cls = io.QueryClass(aim=1000.0, give_up=4000.0, worth=1.0, floor=0.6, short_worth=0.9, follow_up=1)
+    cls = io.QueryClass(
+        aim=1000.0, give_up=4000.0, worth=1.0, floor=0.6, short_worth=0.9, follow_up=1
+    )
     bench = Bench(settings(cls))
     query, parts, _ = bench.query(parts=2, weights=[0.7, 0.3])
     bench.end(parts[0], 0)
@@ -218,7 +243,9 @@
     """Danger: it waits for its connection, and is written once its window is over."""
     bench = Bench(settings(KEYED))
     _, (part,), actions = bench.query(time_left=8000.0)
-    assert [send.leave_within for send in of(io.Send, actions)] == [0.0]  # the first one opens the window
+    assert [send.leave_within for send in of(io.Send, actions)] == [
+        0.0
+    ]  # the first one opens the window
     bench.run(300)
     repeats = of(io.Send, bench.end(part, 0, Outcome.BROKEN_OFF))
     assert [send.leave_within for send in repeats] == [600.0 - 300.0 - 2 * bench.tick]
