--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -45,14 +45,17 @@
     assert kinds[0] == "R" and kinds[-2:] == ["K", "Z"] and kinds.count("S") == 13
 
 
-@pytest.mark.parametrize("packet, state", [
-    (pg.INT.pack(8) + pg.INT.pack(2 << 16), "0A000"),
-    (pg.INT.pack(20000), "08P01"),
-    (pg.INT.pack(4), "08P01"),
-    (pg.startup({"database": "x"}), "28000"),
-    (pg.startup({"user": "x", "client_encoding": "LATIN1"}), "22023"),
-    (pg.startup({"user": "x", "nonsense": "1"}), "42704"),
-])
+@pytest.mark.parametrize(
+    "packet, state",
+    [
+        (pg.INT.pack(8) + pg.INT.pack(2 << 16), "0A000"),
+        (pg.INT.pack(20000), "08P01"),
+        (pg.INT.pack(4), "08P01"),
+        (pg.startup({"database": "x"}), "28000"),
+        (pg.startup({"user": "x", "client_encoding": "LATIN1"}), "22023"),
+        (pg.startup({"user": "x", "nonsense": "1"}), "42704"),
+    ],
+)
 def test_bad_startups_end_with_a_clear_error(packet, state):
     front = Front(TEXT)
     front.session.dataReceived(packet)
@@ -116,7 +119,10 @@
 
 def test_messages_behind_a_running_statement_wait_in_order(front):
     front.core.at_once = False
-    assert front.kinds(pg.parse(ONE, ()), bind(), execute(), pg.SYNC_FRAME, pg.query("SELECT 1")) == "12"
+    assert (
+        front.kinds(pg.parse(ONE, ()), bind(), execute(), pg.SYNC_FRAME, pg.query("SELECT 1"))
+        == "12"
+    )
     done, result = front.core.held.pop()
     done(result)
     assert "".join(k for k, _ in front.heard()) == "DDDCZTDCZ"
@@ -200,23 +206,26 @@
     assert error_of(front.send(pg.query("RELEASE b"))).state == "3B001"
 
 
-@pytest.mark.parametrize("listen, frames, state", [
-    ({"max_statement": 64}, [pg.query("SELECT 1 -- " + "x" * 80)], "54000"),
-    ({"max_prepared": 2}, [named_parse(f"s{i}", ONE) for i in range(3)], "53400"),
-    ({"max_portals": 2}, [pg.parse(ONE, ()), *(bind(f"p{i}") for i in range(3))], "53400"),
-    ({}, [named_parse("s", ONE), named_parse("s", ONE)], "42P05"),
-    ({}, [pg.parse(ONE, ()), bind("p"), bind("p")], "42P03"),
-    ({}, [bind("", "none")], "26000"),
-    ({}, [execute("none")], "34000"),
-    ({}, [pg.parse(ONE, ()), bind("", "", (b"1",))], "08P01"),
-    ({}, [pg.parse("SELECT 1; SELECT 2", ())], "42601"),
-    ({}, [pg.query("SET tansycrank.class = 'none'")], "22023"),
-    ({}, [pg.query("SET tansycrank.nonsense = 1")], "42704"),
-    ({}, [pg.query("SET statement_timeout = 'soon'")], "22023"),
-    ({}, [pg.query("SET timezone = 'Asia/Saigon'")], "22023"),
-    ({}, [pg.query("SHOW nonsense")], "42704"),
-    ({}, [pg.query("SAVEPOINT a")], "25P01"),
-])
+@pytest.mark.parametrize(
+    "listen, frames, state",
+    [
+        ({"max_statement": 64}, [pg.query("SELECT 1 -- " + "x" * 80)], "54000"),
+        ({"max_prepared": 2}, [named_parse(f"s{i}", ONE) for i in range(3)], "53400"),
+        ({"max_portals": 2}, [pg.parse(ONE, ()), *(bind(f"p{i}") for i in range(3))], "53400"),
+        ({}, [named_parse("s", ONE), named_parse("s", ONE)], "42P05"),
+        ({}, [pg.parse(ONE, ()), bind("p"), bind("p")], "42P03"),
+        ({}, [bind("", "none")], "26000"),
+        ({}, [execute("none")], "34000"),
+        ({}, [pg.parse(ONE, ()), bind("", "", (b"1",))], "08P01"),
+        ({}, [pg.parse("SELECT 1; SELECT 2", ())], "42601"),
+        ({}, [pg.query("SET tansycrank.class = 'none'")], "22023"),
+        ({}, [pg.query("SET tansycrank.nonsense = 1")], "42704"),
+        ({}, [pg.query("SET statement_timeout = 'soon'")], "22023"),
+        ({}, [pg.query("SET timezone = 'Asia/Saigon'")], "22023"),
+        ({}, [pg.query("SHOW nonsense")], "42704"),
+        ({}, [pg.query("SAVEPOINT a")], "25P01"),
+    ],
+)
 def test_limits_and_errors_are_clear_and_the_session_goes_on(listen, frames, state):
     front = Front(TEXT, **listen)
     front.log_in()
--- a/tests/test_session_fuzz.py
+++ b/tests/test_session_fuzz.py
@@ -37,15 +37,23 @@
 ]
 JUNK = st.one_of(
     st.binary(max_size=40),
-    st.builds(lambda kind, body: pg.frame(bytes([kind]), body), st.integers(0, 255), st.binary(max_size=60)),
+    st.builds(
+        lambda kind, body: pg.frame(bytes([kind]), body),
+        st.integers(0, 255),
+        st.binary(max_size=60),
+    ),
     st.builds(
         lambda kind, size: bytes([kind]) + pg.INT.pack(size),
         st.sampled_from(list(b"QPBDEC")),
         st.integers(-(2**31), 2**31 - 1),
     ),
-    st.builds(lambda frame, at: frame[: at % (len(frame) + 1)], st.sampled_from(GOOD), st.integers(0, 200)),
     st.builds(
-        lambda frame, at, value: frame[: at % len(frame)] + bytes([value]) + frame[at % len(frame) + 1 :],
+        lambda frame, at: frame[: at % (len(frame) + 1)], st.sampled_from(GOOD), st.integers(0, 200)
+    ),
+    st.builds(
+        lambda frame, at, value: (
+            frame[: at % len(frame)] + bytes([value]) + frame[at % len(frame) + 1 :]
+        ),
         st.sampled_from(GOOD),
         st.integers(0, 200),
         st.integers(0, 255),
@@ -71,7 +79,11 @@
 
 
 @settings(max_examples=1500, deadline=None)
-@given(st.lists(st.one_of(st.sampled_from(GOOD), JUNK), max_size=12), st.integers(1, 400), st.booleans())
+@given(
+    st.lists(st.one_of(st.sampled_from(GOOD), JUNK), max_size=12),
+    st.integers(1, 400),
+    st.booleans(),
+)
 def test_no_message_leaves_a_session_stuck_or_kills_the_daemon(frames, cut, at_once):
     front = Front(TEXT)
     front.log_in()
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -25,7 +25,9 @@
 
     def list(self, *nodes, cached=False):
         found = self.starts.listed({node: self.told(node) for node in nodes}, self.now, cached)
-        return {node: self.now - start.at if start.at else float("inf") for node, start in found.items()}
+        return {
+            node: self.now - start.at if start.at else float("inf") for node, start in found.items()
+        }
 
     def age(self, node):
         return self.now - self.born[node]
@@ -54,7 +56,9 @@
         world.now += 3_000.0
     ages = world.list(*range(8))
     assert all(ages[node] <= world.age(node) for node in range(8))
-    assert ages[0] - ages[6] == pytest.approx(world.age(0) - world.age(6))  # their differences are known
+    assert ages[0] - ages[6] == pytest.approx(
+        world.age(0) - world.age(6)
+    )  # their differences are known
 
 
 @pytest.mark.parametrize("apart", APART)
@@ -150,7 +154,9 @@
     world.start("e")
     world.now += 200.0
     ages = world.list("d", "e")
-    assert ages["a"] == ages["b"] == pytest.approx(9_000.0)  # of 9,200: too young by the delay of the news
+    assert (
+        ages["a"] == ages["b"] == pytest.approx(9_000.0)
+    )  # of 9,200: too young by the delay of the news
     assert all(ages[node] <= world.age(node) for node in ages)
 
 
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -70,7 +70,9 @@
 
 def test_a_started_query_is_kept_for_its_answer_in_part():
     """Danger: half the weight thrown away because the pilot took more than a quarter of the aim (id542ad)."""
-    bench = Bench(settings(IN_PART, shards=8, cells=8), servers=[listed(s, cell=s) for s in range(8)])
+    bench = Bench(
+        settings(IN_PART, shards=8, cells=8), servers=[listed(s, cell=s) for s in range(8)]
+    )
     query, parts, _ = bench.query(parts=8, shards=range(8))
     bench.run(500)
     sent = [part for part in parts if part in bench.attempts]
--- a/tests/test_types.py
+++ b/tests/test_types.py
@@ -42,7 +42,11 @@
 
 
 def test_nested_and_empty_arrays():
-    for text, value in (("{}", []), ("{{1,2},{3,4}}", [[1, 2], [3, 4]]), ("[0:1]={5,NULL}", [5, None])):
+    for text, value in (
+        ("{}", []),
+        ("{{1,2},{3,4}}", [[1, 2], [3, 4]]),
+        ("[0:1]={5,NULL}", [5, None]),
+    ):
         assert types.decode(1007, 0, text.encode()) == value
     assert types.decode(1007, 1, types.encode(1007, 1, [[1, 2], [3, 4]])) == [[1, 2], [3, 4]]
 
@@ -66,7 +70,9 @@
 def test_text_order_is_that_of_bytes():
     key = types.order_key(types.TEXT, 0)
     words = ["zebra", "Ä", "a", "B", "ạ"]
-    assert sorted((w.encode() for w in words), key=key) == [w.encode() for w in ("B", "a", "zebra", "Ä", "ạ")]
+    assert sorted((w.encode() for w in words), key=key) == [
+        w.encode() for w in ("B", "a", "zebra", "Ä", "ạ")
+    ]
 
 
 def test_nan_equals_itself_and_is_the_greatest_and_minus_zero_is_zero():
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -85,7 +85,9 @@
 
 
 def request(instance, job, shard=-1.0, number=1, measure=1.0):
-    return struct.pack("<BHQfdHfHQdBf", 5, instance, job, measure, 0.0, 0, number, 0, 0, 9000.0, 0, shard)
+    return struct.pack(
+        "<BHQfdHfHQdBf", 5, instance, job, measure, 0.0, 0, number, 0, 0, 9000.0, 0, shard
+    )
 
 
 def begin(*instances):
@@ -131,7 +133,9 @@
     tail = bytes.fromhex(
         "00000000803f074a120300020000000000000000000000000000c03ff211902c01020000000000d4b7400000"
     )
-    data = frame(bytes.fromhex("07000000000002000000"), bytes.fromhex("020300032900000000"), tail=tail)
+    data = frame(
+        bytes.fromhex("07000000000002000000"), bytes.fromhex("020300032900000000"), tail=tail
+    )
     _, [(instance, event)] = wire.Decoder().decode(data)
     assert instance == 3 and event.kind is io.ListKind.CACHED
     assert event.entries[0] == io.Listed(0x03124A07, 0, 0, io.Status.READY, 0.0, 1.0)
@@ -142,14 +146,19 @@
     done = bytes.fromhex("090300c4913a5d13110a0000074a12030a000000000080324001")
     probe = bytes.fromhex("0b03000af211902c666666666666f63f0152b81e3f")
     _, [(_, ended), (_, probed)] = wire.Decoder().decode(frame(done, probe))
-    assert ended == io.AttemptEnded(0x000A11135D3A91C4, 0, 0x03124A07, io.Outcome.ANSWERED, 18.5, True, ())
+    assert ended == io.AttemptEnded(
+        0x000A11135D3A91C4, 0, 0x03124A07, io.Outcome.ANSWERED, 18.5, True, ()
+    )
     assert probed.server == 0x2C9011F2 and probed.load == (pytest.approx(0.62),)
 
 
 @pytest.mark.parametrize(
     "action, record",
     [
-        (io.Send(0x000A11135D3A91C4, 0x03124A07, 80.0), "4d0300c4913a5d13110a00074a12030000000000005440"),
+        (
+            io.Send(0x000A11135D3A91C4, 0x03124A07, 80.0),
+            "4d0300c4913a5d13110a00074a12030000000000005440",
+        ),
         (io.Wake(500.0, 77), "4c03000000000000407f404d00000000000000"),
         (io.Cancel(0x000A11135D3A91C4, 0), "410300c4913a5d13110a0000"),
         (io.Shed(0x000056E90E6F2B19, 250.0), "430300192b6f0ee95600000000000000406f40"),
@@ -170,7 +179,8 @@
     note = wire.encode([(3, io.Note("two servers known"))])
     assert (
         note
-        == bytes.fromhex("31000000010000004603000000000011000000").ljust(32, b"\0") + b"two servers known"
+        == bytes.fromhex("31000000010000004603000000000011000000").ljust(32, b"\0")
+        + b"two servers known"
     )
     told = wire.encode([(3, io.TellPeer(None, b"hi 7"))])
     assert told[8:20].hex() == "420300ffffffff0000000004" and told.endswith(b"hi 7")
@@ -208,7 +218,9 @@
 
 
 def test_host_serves_several_instances_and_ends_quietly():
-    data = begin(1, 2) + frame(request(1, 10), request(1, 11, 0.0), request(2, 20), request(2, 21, 1.0))
+    data = begin(1, 2) + frame(
+        request(1, 10), request(1, 11, 0.0), request(2, 20), request(2, 21, 1.0)
+    )
     ran = host(data)
     assert ran.returncode == 0 and not ran.stderr
     _, second = replies(ran.stdout)
