--- a/tansycrank/__init__.py
+++ b/tansycrank/__init__.py
@@ -1,6 +1,6 @@
-"""tansycrank: the decisions of a query router in front of a sharded, replicated store."""
+"""tansycrank: the routing decisions of a query router in front of a sharded, replicated store."""
 
-from tansycrank.brain import Router
-from tansycrank.interface import Settings
+from tansycrank.routing import Settings
+from tansycrank.routing.policy import RoutingPolicy
 
-__all__ = ["Router", "Settings"]
+__all__ = ["RoutingPolicy", "Settings"]
--- a/tansycrank/__main__.py
+++ b/tansycrank/__main__.py
@@ -13,7 +13,7 @@
             signal.SIGHUP, signal.SIG_IGN
         )  # till the daemon hears it: the file is not read yet
         signal.signal(signal.SIGTERM, lambda *_: os._exit(0))  # nothing is taken yet
-        from tansycrank.platform.daemon import main as run
+        from tansycrank.http_router.daemon import main as run
 
         return run()
     from tansycrank.cli import main
--- a/tansycrank/door/gate.py
+++ b/tansycrank/admission/gate.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from tansycrank.door.identity import Asker
-from tansycrank.door.policy import (
+from tansycrank.admission.identity import Asker
+from tansycrank.admission.policy import (
     Admit,
     Arrived,
     Changed,
@@ -25,7 +25,14 @@
     Tick,
     Wake,
 )
-from tansycrank.pg.errors import FAILED, QUERY_CANCELED, REFUSED, PgError, cancelled, retry_after
+from tansycrank.postgres.errors import (
+    FAILED,
+    QUERY_CANCELED,
+    REFUSED,
+    PgError,
+    cancelled,
+    retry_after,
+)
 
 BEAT = 0.05  # seconds between two looks while anything is open
 TOLD = 1000  # tenants counted between two log lines
@@ -92,7 +99,7 @@
         asker: Asker,
         query_class: int,
         parts: int,
-        time_left: float,
+        remaining: float,
         start: Callable[[float, Callable[[Any], None]], Any],
         done: Callable[[Any], None],
         statement: int = 0,
@@ -104,13 +111,13 @@
         """A query asks to be let in; `done` hears its one answer, perhaps before this returns."""
         self._ids += 1
         now = self.now
-        entry = self.entries[self._ids] = Entry(self._ids, asker, now + time_left, start, done)
+        entry = self.entries[self._ids] = Entry(self._ids, asker, now + remaining, start, done)
         if self.policy is None:
             self._admit(entry, now)
             return entry
         self._play(
             Arrived(
-                entry.id, asker.tenant, asker.client, query_class, parts, time_left, statement, mark, size,
+                entry.id, asker.tenant, asker.client, query_class, parts, remaining, statement, mark, size,
                 repeat, asker.limits, session,
             )
         )  # fmt: skip
@@ -125,7 +132,7 @@
         self,
         asker: Asker,
         query_class: int,
-        time_left: float,
+        remaining: float,
         mark: int,
         repeat: bool,
         session: int = 0,
@@ -135,13 +142,13 @@
         """
         number, who = self._ids + 1, (asker.tenant, asker.client)
         event = Arrived(
-            number, *who, query_class, 1, time_left, 0, mark, 0, repeat, asker.limits, session
+            number, *who, query_class, 1, remaining, 0, mark, 0, repeat, asker.limits, session
         )
         if not self.policy.hopeless(self.now, event):
             return None
         self._ids += 1
         told: list[PgError] = []
-        entry = Entry(event.id, asker, self.now + time_left, lambda left, done: None, told.append)
+        entry = Entry(event.id, asker, self.now + remaining, lambda left, done: None, told.append)
         self.entries[entry.id] = entry
         self._play(event)
         self._keep_beat()
--- a/tansycrank/door/policy.py
+++ b/tansycrank/admission/policy.py
@@ -20,10 +20,10 @@
 
 import xxhash
 
-from tansycrank.door.costs import Costs
-from tansycrank.door.fair import Clients, Level, Ticket
-from tansycrank.door.limit import SPAN, Limit
-from tansycrank.door.promises import Account, Book
+from tansycrank.admission.costs import Costs
+from tansycrank.admission.fair import Clients, Level, Ticket
+from tansycrank.admission.limit import SPAN, Limit
+from tansycrank.admission.promises import Account, Book
 
 LEAST_WORK = 0.1  # of the time inside that counts as work at least
 SMALL = 8.0  # times smaller than the mean of what is here: light
@@ -79,7 +79,7 @@
     client: str
     query_class: int
     parts: int
-    time_left: float
+    remaining: float
     statement: int = 0
     mark: int = 0
     size: int = 0
@@ -422,7 +422,7 @@
     def _useful(self, event: Arrived) -> float:
         """Ms for which an answer is worth something."""
         useful = self.settings.useful
-        return min(event.time_left, useful[event.query_class]) if useful else event.time_left
+        return min(event.remaining, useful[event.query_class]) if useful else event.remaining
 
     def pressed(self, key: str) -> bool:
         """Whether a new query of this tenant could be turned away."""
--- a/tansycrank/door/views.py
+++ b/tansycrank/admission/views.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from tansycrank.door.gate import Gate
-from tansycrank.door.policy import MOST_PROMISED, Limits
-from tansycrank.pg.errors import INVALID_PARAMETER, PgError
+from tansycrank.admission.gate import Gate
+from tansycrank.admission.policy import MOST_PROMISED, Limits
+from tansycrank.postgres.errors import INVALID_PARAMETER, PgError
 
 SHOWN = 200  # tenants in one view, those with most in line and refused first
 TENANT_COLUMNS = (
--- a/tansycrank/cli.py
+++ b/tansycrank/cli.py
@@ -57,7 +57,7 @@
     """Run one router of the operators' platform, as the environment and NODE_CONFIG tell, until
     SIGTERM.
     """
-    from tansycrank.platform import daemon
+    from tansycrank.http_router import daemon
 
     sys.exit(daemon.main())
 
@@ -162,7 +162,7 @@
             turn = 0
             while not times or turn < times:
                 turn += 1
-                door = dict(link.execute("SHOW tansycrank.door").fetchall())
+                door = dict(link.execute("SHOW tansycrank.admission").fetchall())
                 cursor = link.execute("SHOW tansycrank.tenants")
                 names = [c.name for c in cursor.description]
                 found = [dict(zip(names, row, strict=True)) for row in cursor.fetchmany(rows)]
@@ -193,7 +193,7 @@
 @click.option("--nodes", default=12, show_default=True, type=click.IntRange(3, 24))
 def demo(seconds: int, nodes: int) -> None:
     """Three zones of stand-in nodes, a roster and a router; one node is killed under the queries."""
-    from tansycrank.lab.demo import run
+    from tansycrank.testbed.demo import run
 
     sys.exit(run(nodes, seconds))
 
@@ -201,7 +201,7 @@
 def _experiment(
     group: str, name: str, as_json: bool, seed: int, quick: bool, out: str | None
 ) -> None:
-    from tansycrank.lab import drills, measure_door, measure_merge, measures
+    from tansycrank.testbed import drills, measure_door, measure_merge, measures
 
     known = {
         "drill": drills.DRILLS,
@@ -298,8 +298,8 @@
     clients on loopback. A seed that fails prints its first violation with the whole history of its
     request.
     """
-    from tansycrank.lab.soak import run as soaks
-    from tansycrank.lab.soak.seeded_bugs import BUGS
+    from tansycrank.testbed.soak import run as soaks
+    from tansycrank.testbed.soak.seeded_bugs import BUGS
 
     if bug and bug not in BUGS:
         raise click.BadParameter(f"{bug!r}; there are: {', '.join(BUGS)}", param_hint="--bug")
--- a/tansycrank/config.py
+++ b/tansycrank/config.py
@@ -17,11 +17,11 @@
 import msgspec
 from msgspec import Meta
 
-from tansycrank import interface as io
-from tansycrank.door.identity import PLACES, Identity, Rule, read_network
-from tansycrank.door.policy import MOST_PROMISED, Limits, Policy
-from tansycrank.door.policy import Settings as DoorSettings
-from tansycrank.pg import types
+from tansycrank import routing
+from tansycrank.admission.identity import PLACES, Identity, Rule, read_network
+from tansycrank.admission.policy import MOST_PROMISED, Limits, Policy
+from tansycrank.admission.policy import Settings as DoorSettings
+from tansycrank.postgres import types
 
 Whole = Annotated[int, Meta(ge=0)]
 Count = Annotated[int, Meta(ge=1)]
@@ -311,46 +311,52 @@
         )
         return Policy(DoorSettings(weights, useful, *bounds)) if door.enabled else None
 
-    def module_settings(self) -> io.Settings:
+    def module_settings(self) -> routing.Settings:
         """The settings of the decision module: three classes for each of ours (safe, keyed,
         unsafe).
         """
         classes = []
         for one in self.classes:
-            for effect in (io.Effect.SAFE, io.Effect.KEYED, io.Effect.UNSAFE):
+            for idempotency in (
+                routing.Idempotency.IDEMPOTENT,
+                routing.Idempotency.WITH_KEY,
+                routing.Idempotency.NOT_IDEMPOTENT,
+            ):
                 c = one.section
                 classes.append(
-                    io.QueryClass(
-                        aim=c.aim_ms,
-                        give_up=c.give_up_ms,
-                        worth=c.worth,
-                        late_worth=c.late_worth,
-                        effect=effect,
-                        dedup_window=c.dedup_window_ms if effect is io.Effect.KEYED else 0.0,
+                    routing.QueryClass(
+                        latency_objective=c.aim_ms,
+                        deadline=c.give_up_ms,
+                        priority_weight=c.worth,
+                        late_weight=c.late_worth,
+                        idempotency=idempotency,
+                        dedup_window=c.dedup_window_ms
+                        if idempotency is routing.Idempotency.WITH_KEY
+                        else 0.0,
                     )
                 )
         r, s, me = self.rules, self.store, self.router
-        return io.Settings(
+        return routing.Settings(
             classes=tuple(classes),
-            me=me.me,
+            router_index=me.me,
             routers=me.routers,
             zone=self.zones.index(me.zone),
             zones=len(self.zones),
             tick=me.tick_ms,
             shards=s.shards,
             cells=s.cells,
-            reach=s.reach,
-            attempts_cap=r.attempts_cap,
-            second_copies=r.second_copies,
-            can_hold_off=r.hold_off_max_ms > 0,
-            hold_off_max=r.hold_off_max_ms,
-            must_ask=True,
+            replica_span=s.reach,
+            max_attempts=r.attempts_cap,
+            allows_hedging=r.second_copies,
+            can_retry_after=r.hold_off_max_ms > 0,
+            max_retry_after=r.hold_off_max_ms,
+            polls_discovery=True,
             answer_grace=r.answer_grace_ms,
             drain_grace=r.drain_grace_ms,
-            cold_multiple=r.cold_multiple,
-            cold_window=r.cold_window_ms,
-            cold_from=r.cold_from,
-            cold_time=r.cold_time_ms,
+            slow_start_overload_factor=r.cold_multiple,
+            slow_start_window=r.cold_window_ms,
+            slow_start_initial_share=r.cold_from,
+            slow_start_duration=r.cold_time_ms,
             budget_floor=r.budget_floor,
             budget_share=r.budget_share,
             budget_window=r.budget_window_ms,
--- a/tansycrank/daemon.py
+++ b/tansycrank/daemon.py
@@ -14,15 +14,15 @@
 
 from tansycrank import clock
 from tansycrank.config import Config
+from tansycrank.discovery.feed import RosterFeed, RosterFile
 from tansycrank.lifecycle import Violation
 from tansycrank.merge.blocks import Keeper
 from tansycrank.merge.spill import SpillSpace
-from tansycrank.pg.errors import SHUTTING_DOWN, PgError
-from tansycrank.pg.server import FrontFactory
-from tansycrank.roster.feed import RosterFeed, RosterFile
-from tansycrank.router.coordinator import Coordinator
-from tansycrank.router.pool import Pools
-from tansycrank.router.service import Service
+from tansycrank.postgres.errors import SHUTTING_DOWN, PgError
+from tansycrank.postgres.server import FrontFactory
+from tansycrank.sql_router.coordinator import Coordinator
+from tansycrank.sql_router.pool import Pools
+from tansycrank.sql_router.service import Service
 
 SWEEP = 5.0  # seconds between two looks for links that nobody uses
 
--- a/tansycrank/roster/feed.py
+++ b/tansycrank/discovery/feed.py
@@ -10,9 +10,9 @@
 from twisted.internet.protocol import ClientFactory
 from twisted.protocols.basic import LineOnlyReceiver
 
-from tansycrank import interface as io
+from tansycrank import routing
 from tansycrank.config import Config
-from tansycrank.roster import view
+from tansycrank.discovery import view
 
 FILE_POLL = 1.0  # seconds between two looks at a roster file
 
@@ -57,7 +57,12 @@
     """Carries out what the view decides of a list, wherever the list comes from."""
 
     def __init__(
-        self, reactor, config: Config, pools, tell: Callable[[io.ServerList], None], log=None
+        self,
+        reactor,
+        config: Config,
+        pools,
+        tell: Callable[[routing.EndpointListUpdate], None],
+        log=None,
     ) -> None:
         section = config.roster
         self.reactor, self.pools, self.tell, self.log = reactor, pools, tell, log
@@ -70,17 +75,22 @@
         match action:
             case view.Tell(told):
                 self.tell(told)
-            case view.Place(server, host, port):
-                self.pools.place(server, host, port)
-            case view.Forget(server):
-                self.pools.forget(server)
+            case view.Place(endpoint, host, port):
+                self.pools.place(endpoint, host, port)
+            case view.Forget(endpoint):
+                self.pools.forget(endpoint)
 
 
 class RosterFeed(_Roster):
     """A feed over TCP."""
 
     def __init__(
-        self, reactor, config: Config, pools, tell: Callable[[io.ServerList], None], log=None
+        self,
+        reactor,
+        config: Config,
+        pools,
+        tell: Callable[[routing.EndpointListUpdate], None],
+        log=None,
     ) -> None:
         super().__init__(reactor, config, pools, tell, log)
         section = config.roster
@@ -120,7 +130,7 @@
                         line = msgspec.json.encode({"op": op, "version": version, "epoch": epoch})
                         self.protocol.sendLine(line)
                 case view.Tell(told):
-                    if self.log and told.kind is not io.ListKind.CHANGES:
+                    if self.log and told.kind is not routing.EndpointListKind.DELTA:
                         self.log.info("roster", kind=told.kind.value, nodes=len(told.entries))
                 case view.WakeAfter(ms):
                     self._tick = self.reactor.callLater(ms / 1000, self.play, view.Tick())
@@ -133,7 +143,12 @@
     """A file of `[node ID]` sections (host, port, cell, zone, status), read again when it changes."""
 
     def __init__(
-        self, reactor, config: Config, pools, tell: Callable[[io.ServerList], None], log=None
+        self,
+        reactor,
+        config: Config,
+        pools,
+        tell: Callable[[routing.EndpointListUpdate], None],
+        log=None,
     ) -> None:
         super().__init__(reactor, config, pools, tell, log)
         self.path = Path(config.roster.file)
@@ -160,7 +175,7 @@
             if self.log:
                 self.log.warning("roster", odd=f"{self.path}: {problem}; the last list stays")
             if self._stamp is None:
-                self.tell(io.ServerList(io.ListKind.FAILED))
+                self.tell(routing.EndpointListUpdate(routing.EndpointListKind.FAILED))
                 self._poll.cancel()
                 self._poll = None  # the module asks again
             return
--- a/tansycrank/roster/view.py
+++ b/tansycrank/discovery/view.py
@@ -1,9 +1,9 @@
 """Decisions about the list of nodes: what to believe of a feed, late, cut, repeated, reordered or
 new.
 
-No I/O and no clock: `step(now, events) -> actions`. The module decides when to ask (its `Watch`);
-this decides what an answer is worth. A feed's versions count within its epoch (one life of the
-roster).
+No I/O and no clock: `step(now, events) -> actions`. The module decides when to ask (its
+`WatchEndpoints`); this decides what an answer is worth. A feed's versions count within its epoch
+(one life of the roster).
 """
 
 from __future__ import annotations
@@ -13,9 +13,14 @@
 
 import msgspec
 
-from tansycrank import interface as io
-from tansycrank.start_times import Start, StartTimes
+from tansycrank import routing
+from tansycrank.routing.start_times import Start, StartTimes
 
+STATUSES = {  # the feed's words
+    "ready": routing.EndpointStatus.IN_SERVICE,
+    "draining": routing.EndpointStatus.DRAINING,
+    "gone": routing.EndpointStatus.REMOVED,
+}
 SILENT_ASKS = (
     2  # beats of the silence bound: at half of it the feed is asked, at the whole it is given up
 )
@@ -98,7 +103,7 @@
 class Tell:
     """Tell the module."""
 
-    event: io.ServerList
+    event: routing.EndpointListUpdate
 
 
 @dataclass(frozen=True, slots=True)
@@ -185,7 +190,7 @@
         """The last list stays; the module is told and asks again when it thinks fit."""
         if self._state != "off":
             self._state = "off"
-            actions.append(Tell(io.ServerList(io.ListKind.FAILED)))
+            actions.append(Tell(routing.EndpointListUpdate(routing.EndpointListKind.FAILED)))
 
     def _check_silence(self, now: float, actions: list) -> None:
         silent = now - self._heard_at
@@ -227,7 +232,7 @@
             actions += [Place(n.id, n.host, n.port) for n in nodes.values()]
             actions += [Forget(i) for i in gone]
             self._starts.forget(gone)
-            actions.append(Tell(self._list(io.ListKind.FULL, nodes.values(), now)))
+            actions.append(Tell(self._list(routing.EndpointListKind.SNAPSHOT, nodes.values(), now)))
         elif line.kind == "changes":
             if not same or line.version > self.version + 1:
                 self._want_whole(actions)
@@ -244,7 +249,7 @@
                     self.nodes[node.id] = node
                     actions.append(Place(node.id, node.host, node.port))
             # told even over a gap: a drain must be heard at once, whatever was missed before
-            actions.append(Tell(self._list(io.ListKind.CHANGES, changed, now)))
+            actions.append(Tell(self._list(routing.EndpointListKind.DELTA, changed, now)))
             self._starts.forget(node.id for node in changed if node.status == "gone")
         elif line.kind == "beat":
             if same and line.version > self.version or not same:
@@ -257,7 +262,7 @@
     def _believed(self, nodes: tuple[NodeLine, ...], actions: list) -> list[NodeLine]:
         good = []
         for node in nodes[: self._most]:
-            if node.status not in ("ready", "draining", "gone"):
+            if node.status not in STATUSES:
                 actions.append(Odd(f"node {node.id}: unknown status {node.status!r}"))
             elif not (
                 0 <= node.cell < self._cells and 0 < node.port < 65536 and 0 <= node.id < 2**32
@@ -271,15 +276,19 @@
             actions.append(Odd(f"{len(nodes)} nodes told; the bound is {self._most}"))
         return good
 
-    def _list(self, kind: io.ListKind, nodes: Iterable[NodeLine], now: float) -> io.ServerList:
+    def _list(
+        self, kind: routing.EndpointListKind, nodes: Iterable[NodeLine], now: float
+    ) -> routing.EndpointListUpdate:
         nodes = list(nodes)
         starts = self._starts.listed({node.id: node.started for node in nodes}, now)
         told = {node.id for node in nodes}
         known_better = [self.nodes[id] for id in starts if id not in told and id in self.nodes]
         listed = [self._listed(node, starts[node.id]) for node in (*known_better, *nodes)]
-        return io.ServerList(kind, tuple(listed))
+        return routing.EndpointListUpdate(kind, tuple(listed))
 
-    def _listed(self, node: NodeLine, start: Start) -> io.Listed:
+    def _listed(self, node: NodeLine, start: Start) -> routing.EndpointEntry:
         zone = self._zones.index(node.zone) if node.zone in self._zones else len(self._zones)
-        status = io.Status(node.status)
-        return io.Listed(node.id, node.cell, zone, status, start.at, incarnation=start.incarnation)
+        status = STATUSES[node.status]
+        return routing.EndpointEntry(
+            node.id, node.cell, zone, status, start.at, reported_incarnation=start.incarnation
+        )
--- a/tansycrank/platform/client_connection.py
+++ b/tansycrank/http_router/client_connection.py
@@ -14,11 +14,10 @@
 from twisted.internet.protocol import Protocol, connectionDone
 from zope.interface import implementer
 
-from tansycrank.interface import GiveUpReason
-from tansycrank.platform import request as codec
-from tansycrank.platform.coordinator import Query
-from tansycrank.platform.request import QueryRequest, Refused
-from tansycrank.platform.settings import (
+from tansycrank.http_router import request as codec
+from tansycrank.http_router.coordinator import Query
+from tansycrank.http_router.request import QueryRequest, Refused
+from tansycrank.http_router.settings import (
     IDLE_CLIENT,
     LINGER,
     MAX_BODY,
@@ -28,9 +27,10 @@
     REQUEST_WITHIN,
     UNREAD,
 )
+from tansycrank.routing import FailureReason
 
 if TYPE_CHECKING:
-    from tansycrank.platform.http_server import HttpServer
+    from tansycrank.http_router.http_server import HttpServer
 
 READY, HEALTHY = b"/-/ready", b"/-/healthy"
 ONCE_ONLY = (b"host", b"idempotency-key")  # and all of x-: which of two would count?
@@ -220,7 +220,7 @@
     def _unusable(self, slot: Slot, refused: Refused) -> None:
         self.server.counts["unusable"] += 1
         self.server.latest = str(refused)
-        more = codec.wait(self.server.hold_off) if refused.status == 503 else ()
+        more = codec.wait(self.server.retry_after) if refused.status == 503 else ()
         slot.answer = (refused.status, codec.words(str(refused)), more)
 
     def _give_back(self) -> None:
@@ -230,7 +230,7 @@
                 slot.told = None
                 self._unusable(slot, Refused(503, "its connection cannot be read any more"))
             elif slot.query is not None:
-                self.server.coordinator.give_back(slot.query, GiveUpReason.UNREADABLE)
+                self.server.coordinator.give_back(slot.query, FailureReason.UNREADABLE)
         self.flush()
 
     def flush(self) -> None:
--- a/tansycrank/platform/connection_pool.py
+++ b/tansycrank/http_router/connection_pool.py
@@ -8,20 +8,20 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from tansycrank.interface import Outcome
+from tansycrank.http_router import frames
+from tansycrank.http_router.node_connection import NodeConnection
+from tansycrank.http_router.sending import Done, Sending
+from tansycrank.http_router.settings import HALF_FRAME, IDLE_LINK, UNTAKEN
 from tansycrank.lifecycle import Attempt
-from tansycrank.platform import frames
-from tansycrank.platform.node_connection import NodeConnection
-from tansycrank.platform.sending import Done, Sending
-from tansycrank.platform.settings import HALF_FRAME, IDLE_LINK, UNTAKEN
-from tansycrank.router.connecting import OneConnection
+from tansycrank.routing import Outcome
+from tansycrank.single_connection import OneConnection
 
 
 @dataclass(slots=True, eq=False)
 class Node:
     """The links of one node and the sends of the step that is being carried out."""
 
-    server: int
+    endpoint: int
     host: str
     port: int
     links: set[NodeConnection] = field(default_factory=set)
@@ -29,15 +29,15 @@
 
 
 class ConnectionPool:
-    """The links of this router: at most `max_links`, at most `streams` parts on each, `call_parts`
-    a call.
+    """The links of this router: at most `max_links`, at most `streams` parts on each,
+    `call_batch_size` a call.
     """
 
     def __init__(
         self,
         reactor,
         streams: int,
-        call_parts: int,
+        call_batch_size: int,
         connect_timeout: float,
         idle: float,
         max_links: int,
@@ -47,7 +47,12 @@
         """`connect_timeout`, `idle` (after which nodes close unused connections) and `drain_grace`
         are ms.
         """
-        self.reactor, self.streams, self.call_parts, self.log = reactor, streams, call_parts, log
+        self.reactor, self.streams, self.call_batch_size, self.log = (
+            reactor,
+            streams,
+            call_batch_size,
+            log,
+        )
         self.connect_timeout, self.idle, self.max_links = (
             connect_timeout / 1000,
             idle / 1000,
@@ -69,35 +74,35 @@
         """Links held."""
         return len(self.links)
 
-    def place(self, server: int, host: str, port: int) -> None:
+    def place(self, endpoint: int, host: str, port: int) -> None:
         """Where a node is. One that moved gets new links; the old ones end with what is out."""
-        node = self.nodes.get(server)
+        node = self.nodes.get(endpoint)
         if node is not None and (node.host, node.port) != (host, port):
-            self.forget(server)
-        if server not in self.nodes:
-            self.nodes[server] = Node(server, host, port)
+            self.forget(endpoint)
+        if endpoint not in self.nodes:
+            self.nodes[endpoint] = Node(endpoint, host, port)
 
-    def forget(self, server: int) -> None:
+    def forget(self, endpoint: int) -> None:
         """A node is gone: nothing new goes to it, its links close once nothing is out on them."""
-        self.hold_back(server)
-        if node := self.nodes.pop(server, None):
+        self.hold_back(endpoint)
+        if node := self.nodes.pop(endpoint, None):
             for link in list(node.links):
                 link.retire()
 
-    def hold_back(self, server: int) -> None:
+    def hold_back(self, endpoint: int) -> None:
         """A node drains: what waits for a connection to it, or behind another frame, does not go
         there.
 
         Danger: told, and the connection comes up 250 ms later; or a hung node reads again after
         seconds.
         """
-        if node := self.nodes.get(server):
+        if node := self.nodes.get(endpoint):
             for link in list(node.links):
                 link.hold_back()
 
-    def close_idle(self, server: int) -> None:
+    def close_idle(self, endpoint: int) -> None:
         """Close the unused links of a node."""
-        if node := self.nodes.get(server):
+        if node := self.nodes.get(endpoint):
             for link in [link for link in node.links if link.up and not link.load]:
                 link.retire()
 
@@ -120,7 +125,7 @@
     def send(
         self,
         id: bytes,
-        server: int,
+        endpoint: int,
         shard: int,
         text: bytes,
         time_out: float,
@@ -138,9 +143,9 @@
         """
         sending = Sending(id, shard, text, self.now + time_out / 1000, done, attempt, once)
         sending.connect_within, sending.leave_within = connect_within / 1000, leave_within / 1000
-        node = self.nodes.get(server)
+        node = self.nodes.get(endpoint)
         if node is None:
-            self.reactor.callLater(0, sending.finish, Outcome.UNCONNECTED)
+            self.reactor.callLater(0, sending.finish, Outcome.CONNECT_FAILED)
             return sending
         sending.timer = self.reactor.callLater(
             time_out / 1000, self._stop, sending, Outcome.TIMED_OUT
@@ -156,8 +161,8 @@
         for node in nodes:
             pending = [sending for sending in node.pending if not sending.ended]
             node.pending = []
-            for at in range(0, len(pending), self.call_parts):
-                self._call(node, pending[at : at + self.call_parts])
+            for at in range(0, len(pending), self.call_batch_size):
+                self._call(node, pending[at : at + self.call_batch_size])
 
     def cancel(self, sending: Sending) -> None:
         """Stop waiting for a send."""
@@ -177,7 +182,7 @@
             sending.link.give_up(sending, outcome)
         else:  # it waits for its connection, or behind another frame
             sending.finish(
-                Outcome.NOT_SENT if outcome is Outcome.CANCELLED else Outcome.UNCONNECTED
+                Outcome.NOT_SENT if outcome is Outcome.CANCELLED else Outcome.CONNECT_FAILED
             )
 
     def _call(self, node: Node, call: list[Sending]) -> None:
@@ -220,12 +225,12 @@
     def _take_back(self, sending: Sending) -> None:
         """Danger: a machine that is cut off costs half an aim until the connection to it fails."""
         if not sending.out:
-            sending.finish(Outcome.UNCONNECTED)
+            sending.finish(Outcome.CONNECT_FAILED)
 
     def _too_late(self, sending: Sending) -> None:
         """Danger: a repeat that leaves when nodes know its key no longer takes effect twice."""
         if not sending.out:
-            sending.finish(Outcome.UNCONNECTED)
+            sending.finish(Outcome.CONNECT_FAILED)
         elif sending in sending.link.going:
             sending.link.close()
 
--- a/tansycrank/platform/coordinator.py
+++ b/tansycrank/http_router/coordinator.py
@@ -10,21 +10,21 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from tansycrank import interface as io
-from tansycrank.interface import GiveUpReason
-from tansycrank.lifecycle import Answer, Lifecycle, NotAllowed, Request, Violation
-from tansycrank.platform import request as codec
-from tansycrank.platform.connection_pool import ConnectionPool
-from tansycrank.platform.given_up_log import GivenUpLog
-from tansycrank.platform.request import QueryRequest, Refused
-from tansycrank.platform.sending import Sending
-from tansycrank.router.steps import StepLoop
+from tansycrank import routing
+from tansycrank.http_router import request as codec
+from tansycrank.http_router.connection_pool import ConnectionPool
+from tansycrank.http_router.given_up_log import GivenUpLog
+from tansycrank.http_router.request import QueryRequest, Refused
+from tansycrank.http_router.sending import Sending
+from tansycrank.lifecycle import AnswerKind, Lifecycle, NotAllowed, Request, Violation
+from tansycrank.policy_event_loop import PolicyEventLoop
+from tansycrank.routing import FailureReason
 
 Reply = Callable[[int, bytes, tuple[bytes, ...]], None]  # status, body, header lines
 
 
 @dataclass(slots=True, eq=False)
-class Part:
+class ShardRequest:
     """A part and its attempts; `value` is the first answer's."""
 
     id: int
@@ -42,7 +42,7 @@
     request: QueryRequest
     reply: Reply
     life: Request
-    parts: list[Part] = field(default_factory=list)
+    shard_requests: list[ShardRequest] = field(default_factory=list)
 
     @property
     def ended(self) -> bool:
@@ -56,7 +56,7 @@
     def __init__(
         self,
         reactor,
-        settings: io.Settings,
+        settings: routing.Settings,
         seed: int,
         pool: ConnectionPool,
         log: Callable[..., None],
@@ -67,7 +67,7 @@
         self.lifecycle = Lifecycle(settings, self._violated)
         self.queries: dict[bytes, Query] = {}  # by the client's id
         self._by_number: dict[int, Query] = {}
-        self._parts: dict[int, tuple[Query, Part]] = {}
+        self._parts: dict[int, tuple[Query, ShardRequest]] = {}
         self._ids = 0
         self.held = 0  # queries and parts open
         self.until = float(
@@ -77,20 +77,20 @@
             ("taken", "answered", "refused", "failed", "left", "turned_away", "sends", "cancels"), 0
         )
         self.given_up = GivenUpLog(log)
-        self.outcomes = dict.fromkeys((outcome.value for outcome in io.Outcome), 0)
+        self.outcomes = dict.fromkeys((outcome.value for outcome in routing.Outcome), 0)
         acts = {
-            io.Send: self._send,
-            io.Cancel: self._cancel,
-            io.Answer: self._answer,
-            io.Shed: self._shed,
-            io.Fail: self._fail,
-            io.CloseIdle: lambda action: pool.close_idle(action.server),
-            io.Watch: lambda action: on_watch(action.on),
-            io.FetchList: lambda action: on_fetch(),
-            io.Note: lambda action: log("note", text=action.text),
+            routing.Send: self._send,
+            routing.Cancel: self._cancel,
+            routing.Answer: self._answer,
+            routing.Reject: self._shed,
+            routing.Fail: self._fail,
+            routing.CloseIdleConnections: lambda action: pool.close_idle(action.endpoint),
+            routing.WatchEndpoints: lambda action: on_watch(action.on),
+            routing.PollEndpoints: lambda action: on_fetch(),
+            routing.LogMessage: lambda action: log("note", text=action.text),
         }
         guarded = {kind: partial(self._act, act) for kind, act in acts.items()}
-        self.loop = StepLoop(reactor, settings, seed, guarded, self._broken, pool.flush)
+        self.loop = PolicyEventLoop(reactor, settings, seed, guarded, self._broken, pool.flush)
 
     # --- in ---------------------------------------------------------------------------
 
@@ -101,49 +101,51 @@
         """
         if request.id in self.queries:
             raise Refused(409, "X-Request-Id: a request of that id is open")
-        if self.held + 1 + len(request.parts) > self.settings.open_cap:
+        if self.held + 1 + len(request.shard_requests) > self.settings.max_in_flight:
             self.counts["turned_away"] += 1
             raise Refused(503, "too many requests are open")
         cls = self.settings.classes[request.query_class]
-        if cls.effect is io.Effect.KEYED and not request.once:
+        if cls.idempotency is routing.Idempotency.WITH_KEY and not request.once:
             raise Refused(
                 400, "Idempotency-Key: this class needs one, by which nodes know a repeat"
             )
-        give_up = cls.give_up
+        give_up = cls.deadline
         late = waited if waited > self.settings.tick else 0.0  # less is within what the clock tells
-        time_left = min(request.deadline - late, give_up - late, self.until - self.loop.now)
-        if time_left <= 0:
+        remaining = min(request.deadline - late, give_up - late, self.until - self.loop.now)
+        if remaining <= 0:
             raise Refused(503, "no time is left to answer it")
         self._ids += 1
         now = self.loop.now
         life = self.lifecycle.take(
             request.id.decode(),
-            cls.effect,
+            cls.idempotency,
             cls.dedup_window,
-            now + time_left,
-            len(request.parts),
+            now + remaining,
+            len(request.shard_requests),
             now,
         )
         query = Query(self._ids, request, reply, life)
-        events: list[io.Event] = [
-            io.QueryArrived(
+        events: list[routing.Event] = [
+            routing.QueryArrived(
                 query.id,
                 query.id,
                 request.query_class,
-                time_left,
-                len(request.parts),
+                remaining,
+                len(request.shard_requests),
                 request.key,
                 request.repeat,
             )
         ]
-        for shard, weight, key in request.parts:
+        for shard, weight, key in request.shard_requests:
             self._ids += 1
-            part = Part(self._ids, b"%b.%d" % (request.id, shard), shard)
-            query.parts.append(part)
-            self._parts[part.id] = query, part
-            events.append(io.PartArrived(part.id, query.id, shard, weight, key))
+            shard_request = ShardRequest(self._ids, b"%b.%d" % (request.id, shard), shard)
+            query.shard_requests.append(shard_request)
+            self._parts[shard_request.id] = query, shard_request
+            events.append(
+                routing.ShardRequestArrived(shard_request.id, query.id, shard, weight, key)
+            )
         self.queries[request.id] = self._by_number[query.id] = query
-        self.held += 1 + len(query.parts)
+        self.held += 1 + len(query.shard_requests)
         self.counts["taken"] += 1
         self.loop.hear(*events)
         return query
@@ -154,29 +156,29 @@
             self.counts["left"] += 1
             self.lifecycle.abandon(query.life, self.loop.now)
             self._end(query)
-            self.loop.hear(io.QueryGone(query.id))
+            self.loop.hear(routing.QueryCancelled(query.id))
 
-    def give_back(self, query: Query, reason: GiveUpReason) -> None:
+    def give_back(self, query: Query, reason: FailureReason) -> None:
         """Answer a query that the module does not end: refused where no attempt may have run, else
         failed.
         """
-        if query.life.effect is io.Effect.SAFE or not query.life.may_have_run:
-            hold_off = self.settings.hold_off_max if self.settings.can_hold_off else 0.0
-            self._shed(io.Shed(query.id, hold_off, reason))
+        if query.life.idempotency is routing.Idempotency.IDEMPOTENT or not query.life.may_have_run:
+            retry_after = self.settings.max_retry_after if self.settings.can_retry_after else 0.0
+            self._shed(routing.Reject(query.id, retry_after, reason))
         else:
-            self._fail(io.Fail(query.id, reason))
-        self.loop.hear(io.QueryGone(query.id))
+            self._fail(routing.Fail(query.id, reason))
+        self.loop.hear(routing.QueryCancelled(query.id))
 
-    def give_back_all(self, reason: GiveUpReason) -> None:
+    def give_back_all(self, reason: FailureReason) -> None:
         """Answer whatever is open."""
         for query in list(self.queries.values()):
             self.give_back(query, reason)
 
     def _broken(self, error: Exception) -> None:
         self.log("the decision module failed", error=repr(error), traceback=True)
-        self.give_back_all(GiveUpReason.FAULT)
+        self.give_back_all(FailureReason.FAULT)
 
-    def _act(self, act: Callable[[io.Action], None], action: io.Action) -> None:
+    def _act(self, act: Callable[[routing.Action], None], action: routing.Action) -> None:
         """Carry out one action. Danger: one query's fault, and the answers behind it are lost."""
         try:
             act(action)
@@ -184,47 +186,56 @@
             self.log(
                 "an action failed", action=type(action).__name__, error=repr(error), traceback=True
             )
-            query, part = self._parts.get(getattr(action, "part", 0), (None, None))
+            query, shard_request = self._parts.get(
+                getattr(action, "shard_request", 0), (None, None)
+            )
             query = query or self._by_number.get(getattr(action, "query", 0))
-            if isinstance(action, io.Send):  # the module waits for its end
-                self._never_sent(action, part)
+            if isinstance(action, routing.Send):  # the module waits for its end
+                self._never_sent(action, shard_request)
             if query is not None and not query.ended:
-                self.give_back(query, GiveUpReason.FAULT)
+                self.give_back(query, FailureReason.FAULT)
 
     # --- out --------------------------------------------------------------------------
 
-    def _send(self, action: io.Send) -> None:
-        query, part = self._parts[action.part]
-        number, began = len(part.attempts), self.loop.now
+    def _send(self, action: routing.Send) -> None:
+        query, shard_request = self._parts[action.shard_request]
+        number, began = len(shard_request.attempts), self.loop.now
         self.counts["sends"] += 1
         try:
             attempt = self.lifecycle.choose(
-                query.life, part.shard, action.server, action.time_out, action.leave_within, began
+                query.life,
+                shard_request.shard,
+                action.endpoint,
+                action.time_out,
+                action.leave_within,
+                began,
             )
         except NotAllowed as refused:
             self.log("a send is not allowed", request=query.life.name, reason=refused.reason.value)
-            self._never_sent(action, part)
+            self._never_sent(action, shard_request)
             return
 
-        def ended(outcome: io.Outcome, value: str, load: tuple[float, ...]) -> None:
+        def ended(outcome: routing.Outcome, value: str, load: tuple[float, ...]) -> None:
             self.outcomes[outcome.value] += 1
             attempt.end(outcome, self.loop.now)
-            if outcome is io.Outcome.ANSWERED and part.value is None:
-                part.value = value
-                self._withdraw(part)
-            took = self.loop.now - began
+            if outcome is routing.Outcome.SUCCEEDED and shard_request.value is None:
+                shard_request.value = value
+                self._withdraw(shard_request)
+            latency = self.loop.now - began
             self.loop.hear(
-                io.AttemptEnded(part.id, number, action.server, outcome, took, query.ended, load)
+                routing.AttemptEnded(
+                    shard_request.id, number, action.endpoint, outcome, latency, query.ended, load
+                )
             )
             if query.ended:
-                self._forget(part)
+                self._forget(shard_request)
 
         time_out = attempt.deadline - began
-        part.attempts.append(
+        shard_request.attempts.append(
             self.pool.send(
-                part.name,
-                action.server,
-                part.shard,
+                shard_request.name,
+                action.endpoint,
+                shard_request.shard,
                 query.request.text,
                 time_out,
                 ended,
@@ -235,45 +246,64 @@
             )
         )
 
-    def _never_sent(self, action: io.Send, part: Part | None) -> None:
+    def _never_sent(self, action: routing.Send, shard_request: ShardRequest | None) -> None:
         """End a send that never was one; the policy counts it among the attempts of its part."""
         number = 0
-        if part is not None:
-            number = len(part.attempts)
-            part.attempts.append(Sending.never(part.name, part.shard))
-        self.outcomes[io.Outcome.NOT_SENT.value] += 1
+        if shard_request is not None:
+            number = len(shard_request.attempts)
+            shard_request.attempts.append(Sending.never(shard_request.name, shard_request.shard))
+        self.outcomes[routing.Outcome.NOT_SENT.value] += 1
         self.loop.hear(
-            io.AttemptEnded(action.part, number, action.server, io.Outcome.NOT_SENT, 0.0, False, ())
+            routing.AttemptEnded(
+                action.shard_request,
+                number,
+                action.endpoint,
+                routing.Outcome.NOT_SENT,
+                0.0,
+                False,
+                (),
+            )
         )
 
-    def _cancel(self, action: io.Cancel) -> None:
-        if action.part in self._parts:
+    def _cancel(self, action: routing.Cancel) -> None:
+        if action.shard_request in self._parts:
             self.counts["cancels"] += 1
-            self.pool.cancel(self._parts[action.part][1].attempts[action.attempt])
+            self.pool.cancel(self._parts[action.shard_request][1].attempts[action.attempt])
 
-    def _answer(self, action: io.Answer) -> None:
+    def _answer(self, action: routing.Answer) -> None:
         query = self._by_number.get(action.query)
         if query is None:
             return
-        needs_all = action.whole and self.settings.classes[query.request.query_class].whole_at >= 1
-        missing = sum(part.value is None for part in query.parts) if needs_all else 0
-        self._conclude(query, Answer.WHOLE if action.whole else Answer.PARTIAL, missing=missing)
+        needs_all = (
+            action.complete
+            and self.settings.classes[query.request.query_class].complete_coverage >= 1
+        )
+        missing = (
+            sum(shard_request.value is None for shard_request in query.shard_requests)
+            if needs_all
+            else 0
+        )
+        self._conclude(
+            query, AnswerKind.COMPLETE if action.complete else AnswerKind.PARTIAL, missing=missing
+        )
 
-    def _shed(self, action: io.Shed) -> None:
+    def _shed(self, action: routing.Reject) -> None:
         if query := self._by_number.get(action.query):
-            self._conclude(query, Answer.REFUSED, hold_off=action.hold_off, reason=action.reason)
+            self._conclude(
+                query, AnswerKind.REJECTED, retry_after=action.retry_after, reason=action.reason
+            )
 
-    def _fail(self, action: io.Fail) -> None:
+    def _fail(self, action: routing.Fail) -> None:
         if query := self._by_number.get(action.query):
-            self._conclude(query, Answer.FAILED, reason=action.reason)
+            self._conclude(query, AnswerKind.FAILED, reason=action.reason)
 
     def _conclude(
         self,
         query: Query,
-        kind: Answer,
+        kind: AnswerKind,
         missing: int = 0,
-        hold_off: float = 0.0,
-        reason: GiveUpReason = GiveUpReason.FAULT,
+        retry_after: float = 0.0,
+        reason: FailureReason = FailureReason.FAULT,
     ) -> None:
         """The one final answer of a query, as far as its life allows it; `reason` is why it is
         given up.
@@ -282,26 +312,30 @@
         if allowed is None:
             return
         self._end(query)
-        if allowed in (Answer.REFUSED, Answer.FAILED):
+        if allowed in (AnswerKind.REJECTED, AnswerKind.FAILED):
             self.given_up.note(query.life, allowed, reason, self.loop.now)
-        if allowed is Answer.REFUSED:
+        if allowed is AnswerKind.REJECTED:
             self.counts["refused"] += 1
             refusal = codec.words("not answerable in time now; asking again is harmless")
-            query.reply(503, refusal, codec.wait(hold_off))
-        elif allowed is Answer.FAILED:
+            query.reply(503, refusal, codec.wait(retry_after))
+        elif allowed is AnswerKind.FAILED:
             self.counts["failed"] += 1
             query.reply(504, codec.words("given up: it may or may not have taken effect"), ())
         else:
             self.counts["answered"] += 1
-            values = [(part.shard, part.value) for part in query.parts if part.value is not None]
-            query.reply(200, codec.hits(allowed is Answer.WHOLE, values), ())
-
-    def heard_list(self, event: io.ServerList) -> None:
+            values = [
+                (shard_request.shard, shard_request.value)
+                for shard_request in query.shard_requests
+                if shard_request.value is not None
+            ]
+            query.reply(200, codec.hits(allowed is AnswerKind.COMPLETE, values), ())
+
+    def heard_list(self, event: routing.EndpointListUpdate) -> None:
         """Service discovery spoke: nothing starts any more at an endpoint that is not in service."""
         self.lifecycle.listed(event)
         for entry in event.entries:
-            if entry.status is io.Status.DRAINING:
-                self.pool.hold_back(entry.server)
+            if entry.status is routing.EndpointStatus.DRAINING:
+                self.pool.hold_back(entry.endpoint)
         self.loop.hear(event)
 
     def _violated(self, violation: Violation) -> None:
@@ -315,16 +349,16 @@
 
     def _end(self, query: Query) -> None:
         del self.queries[query.request.id], self._by_number[query.id]
-        self.held -= 1 + len(query.parts)
-        for part in query.parts:
-            self._withdraw(part)
-            self._forget(part)
+        self.held -= 1 + len(query.shard_requests)
+        for shard_request in query.shard_requests:
+            self._withdraw(shard_request)
+            self._forget(shard_request)
 
-    def _withdraw(self, part: Part) -> None:
+    def _withdraw(self, shard_request: ShardRequest) -> None:
         """Danger: a part that starts after its query's end, where nodes take no cancels."""
-        for sending in part.attempts:
+        for sending in shard_request.attempts:
             self.pool.withdraw(sending)
 
-    def _forget(self, part: Part) -> None:
-        if all(sending.ended for sending in part.attempts):
-            self._parts.pop(part.id, None)
+    def _forget(self, shard_request: ShardRequest) -> None:
+        if all(sending.ended for sending in shard_request.attempts):
+            self._parts.pop(shard_request.id, None)
--- a/tansycrank/platform/daemon.py
+++ b/tansycrank/http_router/daemon.py
@@ -15,15 +15,14 @@
 from twisted.internet.error import CannotListenError
 from twisted.internet.task import LoopingCall
 
-from tansycrank import clock
-from tansycrank import interface as io
-from tansycrank.platform import settings as configuration
-from tansycrank.platform.connection_pool import ConnectionPool
-from tansycrank.platform.coordinator import Coordinator
-from tansycrank.platform.discovery import Discovery
-from tansycrank.platform.http_server import HttpServer
-from tansycrank.platform.names import Names
-from tansycrank.platform.settings import ConfigError, Listing, Settings
+from tansycrank import clock, routing
+from tansycrank.http_router import settings as configuration
+from tansycrank.http_router.connection_pool import ConnectionPool
+from tansycrank.http_router.coordinator import Coordinator
+from tansycrank.http_router.discovery import Discovery
+from tansycrank.http_router.http_server import HttpServer
+from tansycrank.http_router.names import Names
+from tansycrank.http_router.settings import ConfigError, Listing, Settings
 
 SWEEP = 0.25  # s between looks at what waits too long
 LATE = 0.1  # s a look may come late before the log says so
@@ -61,7 +60,7 @@
         self.pool = ConnectionPool(
             reactor,
             settings.streams,
-            settings.module.call_parts,
+            settings.module.call_batch_size,
             settings.connect_timeout,
             settings.idle,
             settings.max_links,
@@ -99,11 +98,11 @@
 
     def start(self) -> None:
         """Take the known list, ask discovery, listen."""
-        self._take(self.settings.known, io.ListKind.CACHED)
-        if self.settings.module.must_ask:
+        self._take(self.settings.known, routing.EndpointListKind.CACHED)
+        if self.settings.module.polls_discovery:
             self._listen()
         self.reactor.callLater(
-            READY_WITHIN if self.settings.module.must_ask else PUSHED_WITHIN, self._ready
+            READY_WITHIN if self.settings.module.polls_discovery else PUSHED_WITHIN, self._ready
         )
         self._swept = self.reactor.seconds()
         for call, every in zip(self._calls, (SWEEP, TELL, BEAT), strict=True):
@@ -173,17 +172,22 @@
                 self.discovery.fetch()
             else:
                 self._doubted = False
-                self._take(listing, io.ListKind.FULL if listing.full else io.ListKind.CHANGES)
+                self._take(
+                    listing,
+                    routing.EndpointListKind.SNAPSHOT
+                    if listing.full
+                    else routing.EndpointListKind.DELTA,
+                )
         self._ready()
 
     def failed(self) -> None:
         """A call to discovery, or its watch, has ended."""
         self.discovery_failures += 1
-        self.coordinator.loop.hear(io.ServerList(io.ListKind.FAILED))
-        if self.settings.module.must_ask:
+        self.coordinator.loop.hear(routing.EndpointListUpdate(routing.EndpointListKind.FAILED))
+        if self.settings.module.polls_discovery:
             self._ready()
 
-    def _take(self, listing: Listing, kind: io.ListKind) -> None:
+    def _take(self, listing: Listing, kind: routing.EndpointListKind) -> None:
         if odd := self.names.oddities(listing):
             log("a list with what the protocol does not name", version=listing.version, **odd)
         event, places = self.names.heard(listing, kind, self.coordinator.loop.now)
@@ -255,7 +259,7 @@
 
     def _give_up(self) -> None:
         """Answer what is open. `_leave` stops once all of it was read; this does before the kill."""
-        self.coordinator.give_back_all(io.GiveUpReason.STOPPING)
+        self.coordinator.give_back_all(routing.FailureReason.STOPPING)
         self.reactor.callLater(configuration.LAST_WORDS / 1000, self._stop)
 
     def _stop(self) -> None:
--- a/tansycrank/platform/discovery.py
+++ b/tansycrank/http_router/discovery.py
@@ -10,8 +10,8 @@
 from twisted.internet.error import ConnectionDone
 from twisted.internet.protocol import Protocol, connectionDone
 
-from tansycrank.platform.settings import BEAT, CALL_WITHIN, MAX_LIST, Listing
-from tansycrank.router.connecting import OneConnection
+from tansycrank.http_router.settings import BEAT, CALL_WITHIN, MAX_LIST, Listing
+from tansycrank.single_connection import OneConnection
 
 _LISTING = msgspec.json.Decoder(Listing)
 _MARKS = re.compile(
@@ -47,8 +47,8 @@
             if len(self._lines) == 1:
                 _begins(line)
             return None
-        whole, self._lines, self._depth, self._size = b"\n".join(self._lines), [], 0, 0
-        return _LISTING.decode(whole)
+        complete, self._lines, self._depth, self._size = b"\n".join(self._lines), [], 0, 0
+        return _LISTING.decode(complete)
 
 
 def _begins(line: bytes) -> None:
--- a/tansycrank/platform/frames.py
+++ b/tansycrank/http_router/frames.py
@@ -6,11 +6,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from tansycrank.interface import Outcome
-from tansycrank.platform.settings import MAX_LINE, MAX_VALUE
+from tansycrank.http_router.settings import MAX_LINE, MAX_VALUE
+from tansycrank.routing import Outcome
 
 MAX_FRAME = 1 + MAX_LINE + MAX_VALUE
-ENDS = {b"ok": Outcome.ANSWERED, b"err": Outcome.ERROR, b"busy": Outcome.REJECTED}
+ENDS = {b"ok": Outcome.SUCCEEDED, b"err": Outcome.ERROR, b"busy": Outcome.REJECTED}
 LINE = re.compile(rb"([0-9A-Za-z_-]+\.[0-9]+) (ok|err|busy) (\S+) (\S*)")
 MAX_FIGURES = 4  # of a load report, as the settings list them
 
@@ -40,7 +40,7 @@
     return (len(rest) + 1).to_bytes(4, "little") + letter + rest
 
 
-def call(parts: Iterable[tuple[bytes, int, int, bytes, bytes]]) -> bytes:
+def call(shard_requests: Iterable[tuple[bytes, int, int, bytes, bytes]]) -> bytes:
     """One call of (id, shard, ms that will be waited, text, the client's Idempotency-Key or b"")
     each.
     """
@@ -49,7 +49,7 @@
         b"".join(
             b"%b %d d=%d%b %d\n%b"
             % (id, shard, wait, b",k=" + once if once else b"", len(text), text)
-            for id, shard, wait, text, once in parts
+            for id, shard, wait, text, once in shard_requests
         ),
     )
 
--- a/tansycrank/platform/given_up_log.py
+++ b/tansycrank/http_router/given_up_log.py
@@ -7,8 +7,8 @@
 from collections import Counter
 from collections.abc import Callable
 
-from tansycrank.interface import GiveUpReason
-from tansycrank.lifecycle import Answer, Request
+from tansycrank.lifecycle import AnswerKind, Request
+from tansycrank.routing import FailureReason
 
 LINES_A_SECOND = (
     5  # of each kind of answer: an overload refuses hundreds a second, a log must not add to it
@@ -22,11 +22,11 @@
     def __init__(self, log: Callable[..., None]) -> None:
         """`log` writes one event with its fields."""
         self._log = log
-        self.counts: Counter[GiveUpReason] = Counter()
-        self._lines: Counter[Answer] = Counter()
+        self.counts: Counter[FailureReason] = Counter()
+        self._lines: Counter[AnswerKind] = Counter()
         self._since = float("-inf")  # ms: when the second that `_lines` counts began
 
-    def note(self, request: Request, answer: Answer, reason: GiveUpReason, now: float) -> None:
+    def note(self, request: Request, answer: AnswerKind, reason: FailureReason, now: float) -> None:
         """A request has got this answer for this reason; `now` is ms of the monotonic clock."""
         self.counts[reason] += 1
         if now - self._since >= SECOND:
--- a/tansycrank/platform/http_server.py
+++ b/tansycrank/http_router/http_server.py
@@ -7,9 +7,9 @@
 
 from twisted.internet.protocol import Factory
 
-from tansycrank.platform.client_connection import ClientConnection
-from tansycrank.platform.coordinator import Coordinator
-from tansycrank.platform.settings import LOOKS, RESTED, RETRY_ACCEPT, SILENT, Settings
+from tansycrank.http_router.client_connection import ClientConnection
+from tansycrank.http_router.coordinator import Coordinator
+from tansycrank.http_router.settings import LOOKS, RESTED, RETRY_ACCEPT, SILENT, Settings
 
 
 class HttpServer(Factory):
@@ -46,7 +46,7 @@
         self.latest = ""  # why a request could not be used
         self.port = None  # the listening port, which a full router pauses
         module = settings.module
-        self.hold_off = module.hold_off_max if module.can_hold_off else 0.0
+        self.retry_after = module.max_retry_after if module.can_retry_after else 0.0
 
     @property
     def now(self) -> float:
--- a/tansycrank/platform/names.py
+++ b/tansycrank/http_router/names.py
@@ -4,17 +4,17 @@
 
 from dataclasses import replace
 
-from tansycrank import interface as io
-from tansycrank.platform.settings import Entry, Listing
-from tansycrank.start_times import FIRST, LONG_AGO, Start, StartTimes
+from tansycrank import routing
+from tansycrank.http_router.settings import Entry, Listing
+from tansycrank.routing.start_times import FIRST, LONG_AGO, Start, StartTimes
 
 STATES = {
-    "in_service": io.Status.READY,
-    "terminating": io.Status.DRAINING,
-    "terminated": io.Status.GONE,
+    "in_service": routing.EndpointStatus.IN_SERVICE,
+    "terminating": routing.EndpointStatus.DRAINING,
+    "terminated": routing.EndpointStatus.REMOVED,
 }
 UNKNOWN = (
-    io.Status.DRAINING
+    routing.EndpointStatus.DRAINING
 )  # a state that the protocol does not name: it may not want anything new
 NO_START = Start(LONG_AGO, FIRST)  # of a node that is gone: it gets nothing
 FORGET = (
@@ -31,7 +31,7 @@
         self._zones = {zone: index for index, zone in enumerate(zones)}
         self._numbers: dict[str, int] = {}
         self._gone: dict[str, float] = {}  # when it went, ms
-        self._listed: dict[str, io.Listed] = {}  # as last told to the policy
+        self._listed: dict[str, routing.EndpointEntry] = {}  # as last told to the policy
         self._last = 0
         self._starts = StartTimes()
         self.version = -1
@@ -39,9 +39,9 @@
     def __len__(self) -> int:
         return len(self._numbers)
 
-    def _dated(self, id: str, start: Start) -> io.Listed:
+    def _dated(self, id: str, start: Start) -> routing.EndpointEntry:
         """A node that was not told of now, with a start that is known better."""
-        self._listed[id] = replace(self._listed[id], came_up=start.at)
+        self._listed[id] = replace(self._listed[id], started_at=start.at)
         return self._listed[id]
 
     def unchanged(self, now: float) -> None:
@@ -61,17 +61,17 @@
         return found
 
     def heard(
-        self, listing: Listing, kind: io.ListKind, now: float
-    ) -> tuple[io.ServerList, dict[int, str]]:
+        self, listing: Listing, kind: routing.EndpointListKind, now: float
+    ) -> tuple[routing.EndpointListUpdate, dict[int, str]]:
         """The event for the module, and the addresses told, "" for a node that is gone."""
         entries = list(
             {entry.id: entry for entry in listing.servers}.values()
         )  # the last of a name counts
-        if kind is not io.ListKind.CHANGES:
+        if kind is not routing.EndpointListKind.DELTA:
             standing = {entry.id for entry in entries}
             entries += [Entry(id, "terminated") for id in self._numbers if id not in standing]
         started = {entry.id: entry.started_ms for entry in entries if entry.state != "terminated"}
-        starts = self._starts.listed(started, now, cached=kind is io.ListKind.CACHED)
+        starts = self._starts.listed(started, now, cached=kind is routing.EndpointListKind.CACHED)
         places = {}
         listed = [
             self._dated(id, start)
@@ -81,12 +81,12 @@
         for entry in entries:
             status = STATES.get(entry.state, UNKNOWN)
             if entry.id not in self._numbers:
-                if status is io.Status.GONE:
+                if status is routing.EndpointStatus.REMOVED:
                     continue
                 self._last += 1
                 self._numbers[entry.id] = self._last
             number = self._numbers[entry.id]
-            if status is io.Status.GONE:
+            if status is routing.EndpointStatus.REMOVED:
                 self._gone.setdefault(entry.id, now)
                 places[number] = ""
             else:
@@ -94,7 +94,7 @@
                 places[number] = entry.addr
             zone = self._zones.get(entry.zone, len(self._zones))
             start = starts.get(entry.id, NO_START)
-            told = io.Listed(
+            told = routing.EndpointEntry(
                 number, entry.cell, zone, status, start.at, entry.weight, start.incarnation
             )
             self._listed[entry.id] = told
@@ -104,4 +104,4 @@
             del self._gone[id], self._numbers[id], self._listed[id]
         self._starts.forget(forgotten)
         self.version = listing.version
-        return io.ServerList(kind, tuple(listed)), places
+        return routing.EndpointListUpdate(kind, tuple(listed)), places
--- a/tansycrank/platform/node_connection.py
+++ b/tansycrank/http_router/node_connection.py
@@ -12,13 +12,13 @@
 from twisted.internet.protocol import Protocol, connectionDone
 from zope.interface import implementer
 
-from tansycrank.interface import Outcome
-from tansycrank.platform import frames
-from tansycrank.platform.sending import Sending
-from tansycrank.platform.settings import LATE_IDS
+from tansycrank.http_router import frames
+from tansycrank.http_router.sending import Sending
+from tansycrank.http_router.settings import LATE_IDS
+from tansycrank.routing import Outcome
 
 if TYPE_CHECKING:
-    from tansycrank.platform.connection_pool import ConnectionPool, Node
+    from tansycrank.http_router.connection_pool import ConnectionPool, Node
 
 
 @implementer(IPullProducer)
@@ -112,7 +112,7 @@
 
     def _close_untaken(self) -> None:
         self.doubt = None
-        self.pool.log("a frame its node does not take", node=self.node.server, out=len(self.out))
+        self.pool.log("a frame its node does not take", node=self.node.endpoint, out=len(self.out))
         self.close()
 
     def hold_back(self) -> None:
@@ -133,7 +133,7 @@
                     last = None
                 if isinstance(record, frames.Unusable):
                     self.pool.log(
-                        "node could not use a frame", node=self.node.server, words=record.words
+                        "node could not use a frame", node=self.node.endpoint, words=record.words
                     )
                     return self.close()
                 if record.id not in self.out and record.id not in self.past:
@@ -192,7 +192,7 @@
     def spoilt(self, problem: frames.FrameError) -> None:
         """The stream is of no further use: what is out may have run."""
         self.pool.log(
-            "spoilt answer", node=self.node.server, problem=str(problem), out=len(self.out)
+            "spoilt answer", node=self.node.endpoint, problem=str(problem), out=len(self.out)
         )
         self.close()
 
@@ -223,7 +223,7 @@
         going, self.going = self.going, []
         for sending in out.values():
             # What broke before its frame's last byte left never ran.
-            sending.finish(Outcome.UNCONNECTED if sending in going else Outcome.BROKEN_OFF)
+            sending.finish(Outcome.CONNECT_FAILED if sending in going else Outcome.CONNECTION_LOST)
         for call in waiting:
             for sending in call:
-                sending.finish(Outcome.UNCONNECTED)
+                sending.finish(Outcome.CONNECT_FAILED)
--- a/tansycrank/platform/request.py
+++ b/tansycrank/http_router/request.py
@@ -66,7 +66,7 @@
     deadline: float
     key: int
     repeat: bool
-    parts: tuple[tuple[int, float, int], ...]
+    shard_requests: tuple[tuple[int, float, int], ...]
     text: bytes
     once: bytes = b""
 
@@ -104,29 +104,39 @@
     total = _check_parts(told.shards, shards)
     # Danger: 44 weights of 0.022727 add up to 0.999988, and all parts in would not make the answer
     # whole.
-    parts = tuple((part.shard, part.weight / total, int(part.key, 16)) for part in told.shards)
+    shard_requests = tuple(
+        (shard_request.shard, shard_request.weight / total, int(shard_request.key, 16))
+        for shard_request in told.shards
+    )
     key = int(keys[0], 16) if KEY.fullmatch(keys[0]) else 0
     return QueryRequest(
-        id.encode(), classes[name], float(deadline), key, repeat == b"1", parts, text, once.encode()
+        id.encode(),
+        classes[name],
+        float(deadline),
+        key,
+        repeat == b"1",
+        shard_requests,
+        text,
+        once.encode(),
     )
 
 
-def _check_parts(parts: list[_Part], shards: int) -> float:
+def _check_parts(shard_requests: list[_Part], shards: int) -> float:
     """The sum of the weights, which are rounded decimals."""
-    if not parts:
+    if not shard_requests:
         raise Refused(400, "shards: at least one is needed")
-    if len({part.shard for part in parts}) < len(parts):
+    if len({shard_request.shard for shard_request in shard_requests}) < len(shard_requests):
         raise Refused(400, "shards: a shard appears twice")
-    for part in parts:
-        if not 0 <= part.shard < shards:
-            raise Refused(400, f"shard {part.shard}: there are {shards}")
-        if not 0 < part.weight <= 1:
-            raise Refused(400, f"weight {part.weight}: must be above 0 and at most 1")
-        if not part.cost >= 0:
-            raise Refused(400, f"cost {part.cost}: must not be negative")
-        if not KEY.fullmatch(part.key):
+    for shard_request in shard_requests:
+        if not 0 <= shard_request.shard < shards:
+            raise Refused(400, f"shard {shard_request.shard}: there are {shards}")
+        if not 0 < shard_request.weight <= 1:
+            raise Refused(400, f"weight {shard_request.weight}: must be above 0 and at most 1")
+        if not shard_request.cost >= 0:
+            raise Refused(400, f"cost {shard_request.cost}: must not be negative")
+        if not KEY.fullmatch(shard_request.key):
             raise Refused(400, "key: 16 hex digits are needed")
-    total = sum(part.weight for part in parts)
+    total = sum(shard_request.weight for shard_request in shard_requests)
     if abs(total - 1) > WEIGHT_SLACK:
         raise Refused(400, f"weights add up to {total:.4f}, not 1")
     return total
@@ -150,12 +160,12 @@
     return msgspec.json.encode({"error": text})
 
 
-def hits(whole: bool, values: Iterable[tuple[int, str]]) -> bytes:
+def hits(complete: bool, values: Iterable[tuple[int, str]]) -> bytes:
     """The body of a served query: each part that is in with the value a data node gave it."""
     found = [{"shard": shard, "doc": value} for shard, value in values]
-    return msgspec.json.encode({"complete": whole, "hits": found})
+    return msgspec.json.encode({"complete": complete, "hits": found})
 
 
-def wait(hold_off: float) -> tuple[bytes, ...]:
+def wait(retry_after: float) -> tuple[bytes, ...]:
     """The time to come back after so many ms, as header lines; none where no time is named."""
-    return (b"Retry-After: %.3f" % (hold_off / 1000),) if hold_off > 0 else ()
+    return (b"Retry-After: %.3f" % (retry_after / 1000),) if retry_after > 0 else ()
--- a/tansycrank/platform/sending.py
+++ b/tansycrank/http_router/sending.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from tansycrank.interface import Outcome
 from tansycrank.lifecycle import Attempt
+from tansycrank.routing import Outcome
 
 if TYPE_CHECKING:
-    from tansycrank.platform.node_connection import NodeConnection
+    from tansycrank.http_router.node_connection import NodeConnection
 
 Done = Callable[[Outcome, str, tuple[float, ...]], None]
 
--- a/tansycrank/platform/settings.py
+++ b/tansycrank/http_router/settings.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from tansycrank import interface as io
-from tansycrank.wire import settings_from
+from tansycrank import routing
+from tansycrank.simulator_protocol import settings_from
 
 # Bounds of what a router holds for its peers. None of them routes anything.
 MAX_BODY = 64 * 1024  # bytes of a client's request, as the protocol says
@@ -131,7 +131,7 @@
     memory_mb: float
     sockets: int
     known: Listing
-    module: io.Settings
+    module: routing.Settings
     classes: dict[str, int]
     zones: tuple[str, ...]
     streams: int
@@ -156,13 +156,13 @@
     @property
     def stop_within(self) -> float:
         """ms from SIGTERM within which everything is answered."""
-        longest = max(cls.give_up for cls in self.module.classes)
+        longest = max(cls.deadline for cls in self.module.classes)
         return min(longest, LONGEST) + KILL_AFTER - KILL_MARGIN
 
     @property
     def stop_taking(self) -> float:
         """ms from SIGTERM until which connections go on: what comes then can be served by its aim."""
-        longest = max(cls.aim for cls in self.module.classes)
+        longest = max(cls.latency_objective for cls in self.module.classes)
         return max(self.stop_within - min(longest, LONGEST), NEW_UNTIL)
 
 
@@ -221,7 +221,7 @@
         memory_mb=file.limits.memory_mb,
         sockets=file.limits.sockets,
         known=file.known,
-        module=replace(module, must_watch=True),
+        module=replace(module, watches_discovery=True),
         classes={name: index for index, name in enumerate(names)},
         zones=tuple(sockets.localities),
         streams=max(sockets.caps.streams_per_conn, 1),
--- a/tansycrank/lifecycle.py
+++ b/tansycrank/lifecycle.py
@@ -15,8 +15,15 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from tansycrank.interface import Effect, ListKind, Outcome, ServerList, Settings, Status
-from tansycrank.state import SlidingSum
+from tansycrank.routing import (
+    EndpointListKind,
+    EndpointListUpdate,
+    EndpointStatus,
+    Idempotency,
+    Outcome,
+    Settings,
+)
+from tansycrank.routing.state import SlidingSum
 
 LATE = (
     500.0  # ms after its deadline up to which an answer is merely worth nothing; later it is lost
@@ -77,12 +84,12 @@
     ABANDONED = "abandoned"
 
 
-class Answer(Enum):
+class AnswerKind(Enum):
     """The kinds of final answer."""
 
-    WHOLE = "whole"
+    COMPLETE = "complete"
     PARTIAL = "partial"
-    REFUSED = "refused"  # promises that nothing took effect
+    REJECTED = "rejected"  # promises that nothing took effect
     FAILED = "failed"
 
 
@@ -102,7 +109,7 @@
 
     lifecycle: Lifecycle
     request: Request
-    sub_request: Hashable
+    shard_request: Hashable
     endpoint: int
     deadline: float
     start_by: float
@@ -112,7 +119,7 @@
     @property
     def may_have_run(self) -> bool:
         """Whether it left this process and nothing proves that it never ran."""
-        proven = self.outcome is not None and self.outcome.never_ran
+        proven = self.outcome is not None and self.outcome.never_executed
         return self.started_at is not None and not proven
 
     def start(self, now: float) -> Reason | None:
@@ -129,7 +136,7 @@
     """One request and all attempts for it. `window` is the ms in which a keyed one may be repeated."""
 
     name: str
-    effect: Effect
+    idempotency: Idempotency
     window: float
     deadline: float
     state: RequestState = RequestState.OPEN
@@ -174,19 +181,19 @@
 
     # --- endpoints and process ----------------------------------------------------------
 
-    def listed(self, event: ServerList) -> None:
+    def listed(self, event: EndpointListUpdate) -> None:
         """Service discovery spoke: from now on nothing starts at an endpoint that is not in
         service.
         """
-        if event.kind is ListKind.FAILED:
+        if event.kind is EndpointListKind.FAILED:
             return
-        if event.kind is not ListKind.CHANGES:
+        if event.kind is not EndpointListKind.DELTA:
             self._in_service.clear()
         for entry in event.entries:
-            if entry.status is Status.READY:
-                self._in_service.add(entry.server)
+            if entry.status is EndpointStatus.IN_SERVICE:
+                self._in_service.add(entry.endpoint)
             else:
-                self._in_service.discard(entry.server)
+                self._in_service.discard(entry.endpoint)
 
     def stop(self, now: float) -> None:
         """The process ends now."""
@@ -200,20 +207,22 @@
     def take(
         self,
         name: str,
-        effect: Effect,
+        idempotency: Idempotency,
         window: float,
         deadline: float,
-        sub_requests: int,
+        shard_requests: int,
         now: float,
     ) -> Request:
         """A request is taken: from now on its final answer is owed, until `deadline`."""
-        request = Request(name, effect, window, deadline)
-        request.note(now, f"taken, {sub_requests} sub-requests, until {deadline:.1f}")
+        request = Request(name, idempotency, window, deadline)
+        request.note(now, f"taken, {shard_requests} sub-requests, until {deadline:.1f}")
         self._open.add(request)
-        self._taken.add(now, 1 + sub_requests)
+        self._taken.add(now, 1 + shard_requests)
         return request
 
-    def answer(self, request: Request, kind: Answer, now: float, missing: int = 0) -> Answer | None:
+    def answer(
+        self, request: Request, kind: AnswerKind, now: float, missing: int = 0
+    ) -> AnswerKind | None:
         """Which answer may go out: this one, a weaker one, or None, since it has had its answer.
 
         `missing` is the number of sub-requests without a value, where the answer claims to have
@@ -232,10 +241,14 @@
         self.checked[Invariant.HONEST_ANSWER] += 1
         if missing:
             self._violate(Invariant.HONEST_ANSWER, f"whole with {missing} missing", request, now)
-            kind = Answer.FAILED
-        if kind is Answer.REFUSED and request.effect is not Effect.SAFE and request.may_have_run:
+            kind = AnswerKind.FAILED
+        if (
+            kind is AnswerKind.REJECTED
+            and request.idempotency is not Idempotency.IDEMPOTENT
+            and request.may_have_run
+        ):
             self._violate(Invariant.HONEST_ANSWER, "refused although it may have run", request, now)
-            kind = Answer.FAILED
+            kind = AnswerKind.FAILED
         self._close(request, RequestState.ANSWERED, kind.value, now)
         return kind
 
@@ -263,7 +276,7 @@
     def choose(
         self,
         request: Request,
-        sub_request: Hashable,
+        shard_request: Hashable,
         endpoint: int,
         time_out: float,
         start_within: float,
@@ -276,15 +289,15 @@
         """
         start_by = now + start_within if start_within else float("inf")
         deadline = min(now + time_out, request.deadline)
-        attempt = Attempt(self, request, sub_request, endpoint, deadline, start_by)
+        attempt = Attempt(self, request, shard_request, endpoint, deadline, start_by)
         self.checked[Invariant.NO_START_AFTER_END] += 1
         if reason := self._forbids(attempt, now):
             self.refused[reason] += 1
             if invariant := _BROKEN_BY_CHOOSING.get(reason):
                 self._violate(invariant, f"chosen for {endpoint}: {reason.value}", request, now)
             raise NotAllowed(reason)
-        request.attempts.setdefault(sub_request, []).append(attempt)
-        request.note(now, f"{sub_request}: chosen for {endpoint}")
+        request.attempts.setdefault(shard_request, []).append(attempt)
+        request.note(now, f"{shard_request}: chosen for {endpoint}")
         return attempt
 
     def start(self, attempt: Attempt, now: float) -> Reason | None:
@@ -300,19 +313,19 @@
         if reason is not None:
             self.refused[reason] += 1
             request.note(
-                now, f"{attempt.sub_request}: not started at {attempt.endpoint}, {reason.value}"
+                now, f"{attempt.shard_request}: not started at {attempt.endpoint}, {reason.value}"
             )
             return reason
         attempt.started_at = now
-        request.note(now, f"{attempt.sub_request}: started at {attempt.endpoint}")
+        request.note(now, f"{attempt.shard_request}: started at {attempt.endpoint}")
         return None
 
     def end(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
         """The one outcome of an attempt."""
         attempt.outcome = outcome
-        if outcome is Outcome.ANSWERED:
-            attempt.request.answered.add(attempt.sub_request)
-        attempt.request.note(now, f"{attempt.sub_request}: {outcome.value} at {attempt.endpoint}")
+        if outcome is Outcome.SUCCEEDED:
+            attempt.request.answered.add(attempt.shard_request)
+        attempt.request.note(now, f"{attempt.shard_request}: {outcome.value} at {attempt.endpoint}")
 
     def _forbids(self, attempt: Attempt, now: float) -> Reason | None:
         request = attempt.request
@@ -320,7 +333,7 @@
             return Reason.STOPPED
         if not request.open:
             return Reason.REQUEST_ENDED
-        if attempt.sub_request in request.answered:
+        if attempt.shard_request in request.answered:
             return Reason.ANSWERED
         self.checked[Invariant.NOTHING_TO_DRAINING] += 1
         if attempt.endpoint not in self._in_service:
@@ -333,13 +346,13 @@
 
     def _forbids_repeat(self, attempt: Attempt, now: float) -> Reason | None:
         """A repeat is free where nothing ran before it, or where it has no effect."""
-        if attempt.request.effect is Effect.SAFE:
+        if attempt.request.idempotency is Idempotency.IDEMPOTENT:
             return None
         self.checked[Invariant.NO_DOUBLE_EFFECT] += 1
         ran = [one for one in self._others(attempt) if one.may_have_run]
         if not ran:
             return None
-        if attempt.request.effect is Effect.UNSAFE:
+        if attempt.request.idempotency is Idempotency.NOT_IDEMPOTENT:
             return Reason.MAY_HAVE_RUN
         first = min(one.started_at for one in ran)
         return Reason.REPEAT_WINDOW if now > first + attempt.request.window else None
@@ -348,7 +361,7 @@
     def _others(attempt: Attempt) -> list[Attempt]:
         return [
             one
-            for one in attempt.request.attempts.get(attempt.sub_request, ())
+            for one in attempt.request.attempts.get(attempt.shard_request, ())
             if one is not attempt
         ]
 
--- a/tansycrank/merge/blocks.py
+++ b/tansycrank/merge/blocks.py
@@ -12,8 +12,8 @@
 
 from tansycrank.merge import governor as gov
 from tansycrank.merge.spill import Run, SpillSpace
-from tansycrank.pg.errors import OUT_OF_MEMORY, PgError
-from tansycrank.pg.messages import INT, Field
+from tansycrank.postgres.errors import OUT_OF_MEMORY, PgError
+from tansycrank.postgres.messages import INT, Field
 
 PIECE = 256 * 1024  # bytes of a block on disk
 REPORT = 64 * 1024  # bytes between two reports of a query to the governor
--- a/tansycrank/merge/collected.py
+++ b/tansycrank/merge/collected.py
@@ -11,9 +11,9 @@
 
 from tansycrank.merge import folds
 from tansycrank.merge.values import EXACT, divide, percentile, spread_of, sum_type, total_of
-from tansycrank.pg import types
-from tansycrank.pg.errors import unsupported
-from tansycrank.pg.messages import Field
+from tansycrank.postgres import types
+from tansycrank.postgres.errors import unsupported
+from tansycrank.postgres.messages import Field
 from tansycrank.sql.plan import Aggregate
 
 DEVIATIONS = ("stddev", "stddev_samp", "stddev_pop", "variance", "var_samp", "var_pop")
--- a/tansycrank/merge/folds.py
+++ b/tansycrank/merge/folds.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Sequence
 
 from tansycrank.merge.values import add
-from tansycrank.pg import types
+from tansycrank.postgres import types
 
 Fold = Callable[[object, Sequence[bytes | None]], object]
 TRUTH = {"bool_and": lambda a, b: a and b, "bool_or": lambda a, b: a or b}
--- a/tansycrank/merge/operators.py
+++ b/tansycrank/merge/operators.py
@@ -17,9 +17,9 @@
 
 from tansycrank.merge.blocks import PIECE, Memory, PartStream, frames_of
 from tansycrank.merge.spill import Run
-from tansycrank.pg import types
-from tansycrank.pg.errors import PgError
-from tansycrank.pg.messages import HEAD, INT, SHORT, Field, read_row
+from tansycrank.postgres import types
+from tansycrank.postgres.errors import PgError
+from tansycrank.postgres.messages import HEAD, INT, SHORT, Field, read_row
 from tansycrank.sql.plan import SortKey
 
 Block = tuple[bytes, int]
--- a/tansycrank/merge/pipeline.py
+++ b/tansycrank/merge/pipeline.py
@@ -7,8 +7,8 @@
 from tansycrank.merge import operators as op
 from tansycrank.merge.blocks import Memory, PartStream
 from tansycrank.merge.rows import GroupTable, scalar
-from tansycrank.pg.errors import PgError
-from tansycrank.pg.messages import Field
+from tansycrank.postgres.errors import PgError
+from tansycrank.postgres.messages import Field
 from tansycrank.sql.plan import MergePlan
 
 TOP = 10_000  # rows of LIMIT and OFFSET up to which the first rows are kept in memory
--- a/tansycrank/merge/rows.py
+++ b/tansycrank/merge/rows.py
@@ -12,9 +12,9 @@
 
 from tansycrank.merge import collected, folds
 from tansycrank.merge.values import as_told, check_range, divide, evaluate
-from tansycrank.pg import types
-from tansycrank.pg.errors import PgError, unsupported
-from tansycrank.pg.messages import Field, data_row, read_row
+from tansycrank.postgres import types
+from tansycrank.postgres.errors import PgError, unsupported
+from tansycrank.postgres.messages import Field, data_row, read_row
 from tansycrank.sql.plan import Aggregate, MergePlan, Scalar, SortKey
 
 
--- a/tansycrank/merge/spill.py
+++ b/tansycrank/merge/spill.py
@@ -15,7 +15,7 @@
 import xxhash
 import zstandard
 
-from tansycrank.pg.errors import PgError
+from tansycrank.postgres.errors import PgError
 
 HEAD = struct.Struct("!IIQ")
 LEVEL = 1  # of zstandard: rows compress well at once, and a spill must not cost more than it saves
--- a/tansycrank/merge/values.py
+++ b/tansycrank/merge/values.py
@@ -7,8 +7,8 @@
 from collections.abc import Sequence
 from decimal import Decimal
 
-from tansycrank.pg import types
-from tansycrank.pg.errors import OUT_OF_RANGE, PgError, unsupported
+from tansycrank.postgres import types
+from tansycrank.postgres.errors import OUT_OF_RANGE, PgError, unsupported
 from tansycrank.sql.plan import Expression
 
 EXACT = decimal.Context(prec=20_000, rounding=decimal.ROUND_HALF_UP, Emax=999_999, Emin=-999_999)
--- a/tansycrank/merge/work.py
+++ b/tansycrank/merge/work.py
@@ -8,8 +8,8 @@
 
 from tansycrank.merge.blocks import Memory, PartStream, frames_of
 from tansycrank.merge.operators import Pulled
-from tansycrank.pg.errors import INTERNAL, PgError
-from tansycrank.pg.messages import Field
+from tansycrank.postgres.errors import INTERNAL, PgError
+from tansycrank.postgres.messages import Field
 
 SLICE = 0.002  # seconds of a reactor turn that all merges together may take
 STEPS = 200  # blocks of a turn at most, however short they are
--- a/tansycrank/router/steps.py
+++ b/tansycrank/policy_event_loop.py
@@ -1,5 +1,5 @@
-"""The step loop around a `Router`: events gathered, one `step` a reactor turn, actions carried out
-in order.
+"""The step loop around a `RoutingPolicy`: events gathered, one `step` a reactor turn, actions
+carried out in order.
 
 It alone holds the decision module, knows no protocol, and decides nothing.
 """
@@ -8,17 +8,17 @@
 
 from collections.abc import Callable, Mapping
 
-from tansycrank import interface as io
-from tansycrank.brain import Router
+from tansycrank import routing
+from tansycrank.routing.policy import RoutingPolicy
 
 
-class StepLoop:
+class PolicyEventLoop:
     """Times are milliseconds of the reactor's clock, which is monotonic."""
 
     def __init__(
         self,
         reactor,
-        settings: io.Settings,
+        settings: routing.Settings,
         seed: int,
         acts: Mapping[type, Callable],
         on_broken: Callable[[Exception], None],
@@ -30,11 +30,11 @@
         `on_broken` hears whatever the module raised: nobody may be left without an answer then.
         """
         self.reactor, self.on_broken, self.after = reactor, on_broken, after
-        self.router = Router(settings, seed)
+        self.policy = RoutingPolicy(settings, seed)
         self.steps = 0
         self.latest = 0.0  # ms: the most that a wake-up came too late since this was last read
-        self._acts = {**acts, io.Wake: self._set_wake}
-        self._events: list[io.Event] = []
+        self._acts = {**acts, routing.SetTimer: self._set_wake}
+        self._events: list[routing.Event] = []
         self._turn = self._wake = None
 
     @property
@@ -42,7 +42,7 @@
         """Milliseconds of the reactor's clock."""
         return self.reactor.seconds() * 1000
 
-    def hear(self, *events: io.Event) -> None:
+    def hear(self, *events: routing.Event) -> None:
         """Something happened: the next reactor turn takes a step."""
         self._events.extend(events)
         if self._turn is None:
@@ -60,7 +60,7 @@
         events, self._events = self._events, []
         self.steps += 1
         try:
-            for action in self.router.step(self.now, events):
+            for action in self.policy.step(self.now, events):
                 act = self._acts.get(type(action))
                 if act is not None:
                     act(action)
@@ -68,7 +68,7 @@
             self.on_broken(error)
         self.after()
 
-    def _set_wake(self, action: io.Wake) -> None:
+    def _set_wake(self, action: routing.SetTimer) -> None:
         if self._wake is not None and self._wake.active():
             self._wake.cancel()
         due = self.now + action.after
@@ -77,4 +77,4 @@
     def _woken(self, token: int, due: float) -> None:
         self._wake = None
         self.latest = max(self.latest, self.now - due)
-        self.hear(io.Woken(token))
+        self.hear(routing.TimerExpired(token))
--- a/tansycrank/pg/copy.py
+++ b/tansycrank/postgres/copy.py
@@ -11,8 +11,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from tansycrank.pg.errors import FEATURE_NOT_SUPPORTED, INVALID_PARAMETER, PgError
-from tansycrank.pg.messages import Field, frame, read_row
+from tansycrank.postgres.errors import FEATURE_NOT_SUPPORTED, INVALID_PARAMETER, PgError
+from tansycrank.postgres.messages import Field, frame, read_row
 
 SIGNATURE = b"PGCOPY\n\xff\r\n\0" + struct.pack("!ii", 0, 0)
 TRAILER = struct.pack("!h", -1)
--- a/tansycrank/pg/messages.py
+++ b/tansycrank/postgres/messages.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
-from tansycrank.pg.errors import PgError, ProtocolError
+from tansycrank.postgres.errors import PgError, ProtocolError
 
 PROTOCOL_3 = 196608
 CANCEL_CODE, SSL_CODE, GSS_CODE = 80877102, 80877103, 80877104
--- a/tansycrank/pg/server.py
+++ b/tansycrank/postgres/server.py
@@ -14,13 +14,13 @@
 from twisted.internet.protocol import ServerFactory
 from twisted.protocols.basic import LineReceiver
 
-from tansycrank.door.identity import Caller
-from tansycrank.door.turns import Turns
+from tansycrank.admission.identity import Caller
+from tansycrank.admission.turns import Turns
 from tansycrank.merge.rows import Result
-from tansycrank.pg import messages as pg
-from tansycrank.pg import types
-from tansycrank.pg.copy import CopyFormat, read_options
-from tansycrank.pg.errors import (
+from tansycrank.postgres import messages as pg
+from tansycrank.postgres import types
+from tansycrank.postgres.copy import CopyFormat, read_options
+from tansycrank.postgres.errors import (
     CANNOT_CONNECT_NOW,
     DUPLICATE_PORTAL,
     DUPLICATE_STATEMENT,
@@ -40,10 +40,10 @@
     ProtocolError,
     cancelled,
 )
-from tansycrank.router.service import NOBODY, Request, Running, Service
 from tansycrank.sql.local import SERVER_VERSION
 from tansycrank.sql.plan import Local, Prepared
 from tansycrank.sql.planner import split_comment
+from tansycrank.sql_router.service import NOBODY, Request, Running, Service
 
 STARTUP_LIMIT = 10_000  # bytes, as PostgreSQL has it
 MAX_SAVEPOINTS = 100  # names a block may hold
--- a/tansycrank/pg/types.py
+++ b/tansycrank/postgres/types.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from decimal import Decimal, InvalidOperation
 
-from tansycrank.pg.errors import INVALID_BINARY, INVALID_TEXT, PgError, unsupported
+from tansycrank.postgres.errors import INVALID_BINARY, INVALID_TEXT, PgError, unsupported
 
 BOOL, BYTEA, INT8, INT2, INT4, TEXT, JSON = 16, 17, 20, 21, 23, 25, 114
 FLOAT4, FLOAT8, VARCHAR, DATE, TIMESTAMP, TIMESTAMPTZ = 700, 701, 1043, 1082, 1114, 1184
--- /dev/null
+++ b/tansycrank/routing/actions.py
@@ -0,0 +1,141 @@
+"""Actions that a routing policy returns.
+
+The actions of one step take effect at that step's time, in the order given. All times are
+milliseconds.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from enum import Enum
+
+
+@dataclass(frozen=True, slots=True)
+class Send:
+    """A further attempt for a part: first try, retry or hedge.
+
+    `connect_within` is the time after which it is taken back, as `UNCONNECTED`, if nothing of it
+    was written, since its connection is not up. 0 leaves that to the host; hosts that cannot tell
+    ignore it. `leave_within` is the time after which its last byte may not leave any more (rule 2:
+    a part that may be repeated for a while only); the host takes it back then, as `UNCONNECTED`. 0
+    for no such time.
+    """
+
+    shard_request: int
+    endpoint: int
+    time_out: float = 0.0
+    connect_within: float = 0.0
+    leave_within: float = 0.0
+
+
+@dataclass(frozen=True, slots=True)
+class Cancel:
+    """Stop waiting for an attempt."""
+
+    shard_request: int
+    attempt: int
+
+
+@dataclass(frozen=True, slots=True)
+class Answer:
+    """Answer the query from the parts that are in."""
+
+    query: int
+    complete: bool
+
+
+class FailureReason(Enum):
+    """Why a query gets no answer from the shards; for counters and logs."""
+
+    NO_START = "no sub-request could start in time"
+    PROBE_LATE = "its probe sub-request was not answered in time"
+    TOO_FEW_SHARDS = "too few of its shards can still answer"
+    TARGET_PASSED = "its latency target has passed"
+    DEADLINE_PASSED = "its deadline has passed"
+    HARMFUL = "endpoints broke off as they began it"
+    INCOMPLETE = "an answer in part is of no use to its client"
+    STOPPING = "this router stops"
+    UNREADABLE = "its connection cannot be read any more"
+    FAULT = "a fault of this router"
+
+
+@dataclass(frozen=True, slots=True)
+class Reject:
+    """Refuse the query: trying again does no harm. `reason` is no part of a comparison."""
+
+    query: int
+    retry_after: float = 0.0
+    reason: FailureReason = field(default=FailureReason.FAULT, compare=False)
+
+
+@dataclass(frozen=True, slots=True)
+class Fail:
+    """Give the query up and promise nothing. `reason` is no part of a comparison."""
+
+    query: int
+    reason: FailureReason = field(default=FailureReason.FAULT, compare=False)
+
+
+@dataclass(frozen=True, slots=True)
+class SetTimer:
+    """Ask to be woken."""
+
+    after: float
+    token: int
+
+
+@dataclass(frozen=True, slots=True)
+class WatchEndpoints:
+    """Ask discovery for changes from now on, or no longer."""
+
+    on: bool = True
+
+
+@dataclass(frozen=True, slots=True)
+class PollEndpoints:
+    """Ask discovery for the whole list once."""
+
+
+@dataclass(frozen=True, slots=True)
+class CheckHealth:
+    """Ask a server how it is."""
+
+    endpoint: int
+
+
+@dataclass(frozen=True, slots=True)
+class CloseIdleConnections:
+    """Close idle connections to a server."""
+
+    endpoint: int
+
+
+@dataclass(frozen=True, slots=True)
+class SendGossip:
+    """Send a short message to one peer, or to all where `peer` is None."""
+
+    peer: int | None
+    data: bytes
+
+
+@dataclass(frozen=True, slots=True)
+class LogMessage:
+    """A line for the operators' log."""
+
+    text: str
+
+
+Action = (
+    Send
+    | Cancel
+    | Answer
+    | Reject
+    | Fail
+    | SetTimer
+    | WatchEndpoints
+    | PollEndpoints
+    | CheckHealth
+    | CloseIdleConnections
+    | SendGossip
+    | LogMessage
+)
--- /dev/null
+++ b/tansycrank/routing/events.py
@@ -0,0 +1,163 @@
+"""Events that a routing policy handles, in order of arrival. All times are milliseconds."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+
+
+class Outcome(Enum):
+    """How an attempt (or a probe) ended."""
+
+    SUCCEEDED = "succeeded"
+    ERROR = "error"
+    REJECTED = "rejected"
+    TIMED_OUT = "timed out"
+    CONNECT_FAILED = "connect failed"
+    CONNECTION_LOST = "connection lost"
+    CANCELLED = "cancelled"
+    NOT_SENT = "not sent"
+
+    @property
+    def never_executed(self) -> bool:
+        """Whether this outcome proves that the part was not run."""
+        return self in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+
+
+class EndpointStatus(Enum):
+    """What discovery says of a server."""
+
+    IN_SERVICE = "in service"
+    DRAINING = "draining"
+    REMOVED = "removed"
+
+
+class EndpointListKind(Enum):
+    """What a list event holds."""
+
+    SNAPSHOT = "snapshot"
+    CACHED = "cached"
+    DELTA = "delta"
+    FAILED = "failed"
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointEntry:
+    """One server as discovery names it; `came_up` is 0 for long ago.
+
+    `incarnation` grows with each restart of the server; where none is given, `came_up` stands for
+    it.
+    """
+
+    endpoint: int
+    cell: int
+    zone: int
+    status: EndpointStatus
+    started_at: float = 0.0
+    size_hint: float = 1.0
+    reported_incarnation: float | None = None
+
+    @property
+    def incarnation(self) -> float:
+        """Which of the server's lives this is."""
+        return self.started_at if self.reported_incarnation is None else self.reported_incarnation
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointListUpdate:
+    """Discovery speaks: a list, changes to it, or that a call failed."""
+
+    kind: EndpointListKind
+    entries: tuple[EndpointEntry, ...] = ()
+
+
+@dataclass(frozen=True, slots=True)
+class QueryArrived:
+    """A query was taken. Its parts follow in the same step with its number."""
+
+    query: int
+    number: int
+    query_class: int
+    remaining: float
+    shard_requests: int
+    key: int = 0
+    repeat: bool = False
+
+
+@dataclass(frozen=True, slots=True)
+class ShardRequestArrived:
+    """A part of the query of that number, of its first step or its second."""
+
+    shard_request: int
+    number: int
+    shard: int
+    weight: float
+    key: int = 0
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptEnded:
+    """Exactly one for each send. `load` holds figures as the server reported them."""
+
+    shard_request: int
+    attempt: int
+    endpoint: int
+    outcome: Outcome
+    latency: float
+    part_ended: bool = False
+    load: tuple[float, ...] = ()
+
+
+@dataclass(frozen=True, slots=True)
+class ResponseStarted:
+    """A streamed answer began; the attempt belongs to the client from now on."""
+
+    shard_request: int
+    attempt: int
+    endpoint: int
+    latency: float
+
+
+@dataclass(frozen=True, slots=True)
+class QueryCancelled:
+    """The client has left, and the query with its parts is over."""
+
+    query: int
+
+
+@dataclass(frozen=True, slots=True)
+class TimerExpired:
+    """A wake-up asked for has come."""
+
+    token: int
+
+
+@dataclass(frozen=True, slots=True)
+class HealthCheckEnded:
+    """What a probe brought."""
+
+    endpoint: int
+    outcome: Outcome
+    latency: float
+    load: tuple[float, ...] = ()
+
+
+@dataclass(frozen=True, slots=True)
+class GossipReceived:
+    """A message of another router of this tier."""
+
+    peer: int
+    data: bytes
+
+
+Event = (
+    EndpointListUpdate
+    | QueryArrived
+    | ShardRequestArrived
+    | AttemptEnded
+    | ResponseStarted
+    | QueryCancelled
+    | TimerExpired
+    | HealthCheckEnded
+    | GossipReceived
+)
--- a/tansycrank/state.py
+++ b/tansycrank/routing/state.py
@@ -7,7 +7,7 @@
 
 from ddsketch import DDSketch
 
-from tansycrank.interface import Outcome, QueryClass, Status
+from tansycrank.routing import EndpointStatus, Outcome, QueryClass
 
 
 class LatencyWindow:
@@ -78,18 +78,18 @@
 
 
 @dataclass(slots=True, eq=False)
-class Server:
+class Endpoint:
     """What this router knows of one server."""
 
     id: int
     cell: int
     zone: int
-    status: Status
-    came_up: float
+    status: EndpointStatus
+    started_at: float
     window: float
     sketch: LatencyWindow
     sends: SlidingSum
-    life: float  # which of its lives this record is of
+    incarnation: float  # the incarnation that this record is of
     out: int = 0
     overdue: int = 0
     last_cut: float = 0.0
@@ -127,11 +127,11 @@
     waits: bool = False
     broke: set = field(default_factory=set)
     ended: bool = False
-    parts: list = field(default_factory=list)
+    shard_requests: list = field(default_factory=list)
 
 
 @dataclass(slots=True, eq=False)
-class Part:
+class ShardRequest:
     """One part of a query's current step."""
 
     id: int
@@ -154,9 +154,9 @@
 class Attempt:
     """One send of a part."""
 
-    part: Part
+    shard_request: ShardRequest
     number: int
-    server: Server
+    endpoint: Endpoint
     sent: float
     timer: float
     idle: float = 0.0
@@ -168,9 +168,13 @@
     @property
     def wanted(self) -> bool:
         """Whether it is out and its answer is still of use."""
-        return self.outcome is None and not self.part.answered and not self.part.dropped
+        return (
+            self.outcome is None
+            and not self.shard_request.answered
+            and not self.shard_request.dropped
+        )
 
     @property
     def may_have_run(self) -> bool:
         """Whether nothing proves yet that it did not."""
-        return self.outcome is None or not self.outcome.never_ran
+        return self.outcome is None or not self.outcome.never_executed
--- a/tansycrank/simhost.py
+++ b/tansycrank/simulator_adapter.py
@@ -1,4 +1,4 @@
-"""Host of many router instances on the simulator's wire: `python -m tansycrank.simhost`.
+"""Host of many router instances on the simulator's wire: `python -m tansycrank.simulator_adapter`.
 
 It reads frames on standard input and writes one reply a frame. It decides nothing.
 """
@@ -8,16 +8,16 @@
 import sys
 from typing import BinaryIO
 
-from tansycrank import wire
-from tansycrank.brain import Router
+from tansycrank import simulator_protocol
+from tansycrank.routing.policy import RoutingPolicy
 
 
 class Host:
     """The instances of this process. They share nothing but the numbered lists of the wire."""
 
     def __init__(self) -> None:
-        self._decoder = wire.Decoder()
-        self._routers: dict[int, Router] = {}
+        self._decoder = simulator_protocol.Decoder()
+        self._routers: dict[int, RoutingPolicy] = {}
         self._broken: set[int] = set()
 
     def reply(self, frame: bytes) -> bytes:
@@ -26,11 +26,11 @@
         batches: dict[int, list] = {}
         actions: list[tuple[int, object]] = []
         for instance, record in records:
-            if isinstance(record, wire.Killed):
+            if isinstance(record, simulator_protocol.Killed):
                 self._routers.pop(instance, None)
                 self._broken.discard(instance)
                 batches.pop(instance, None)
-            elif isinstance(record, wire.Attached):
+            elif isinstance(record, simulator_protocol.Attached):
                 self._attach(instance, record, actions)
                 batches[instance] = []
             elif instance not in self._broken:
@@ -45,20 +45,22 @@
                 actions.extend((instance, action) for action in router.step(clock, events))
             except Exception as error:  # told to the operators as BROKEN, whatever it is
                 self._break(instance, f"{type(error).__name__}: {error}{_place(error)}", actions)
-        return wire.encode(actions)
+        return simulator_protocol.encode(actions)
 
-    def _attach(self, instance: int, record: wire.Attached, actions: list) -> None:
+    def _attach(self, instance: int, record: simulator_protocol.Attached, actions: list) -> None:
         self._broken.discard(instance)
         self._routers.pop(instance, None)
         try:
-            self._routers[instance] = Router(wire.settings_from(record.info), record.seed)
+            self._routers[instance] = RoutingPolicy(
+                simulator_protocol.settings_from(record.info), record.seed
+            )
         except (ValueError, TypeError) as error:
             self._break(instance, str(error), actions)
 
     def _break(self, instance: int, text: str, actions: list) -> None:
         self._broken.add(instance)
         self._routers.pop(instance, None)
-        actions.append((instance, wire.Broken(text)))
+        actions.append((instance, simulator_protocol.Broken(text)))
 
 
 def _place(error: BaseException) -> str:
@@ -83,8 +85,11 @@
     host = Host()
     while head := _read(source, 4):
         size = int.from_bytes(head, "little")
-        if len(head) < 4 or not wire.HEADER.size <= size <= wire.MAX_FRAME:
-            raise wire.FrameError(f"byte 0: {head.hex()} is no size of a frame")
+        if (
+            len(head) < 4
+            or not simulator_protocol.HEADER.size <= size <= simulator_protocol.MAX_FRAME
+        ):
+            raise simulator_protocol.FrameError(f"byte 0: {head.hex()} is no size of a frame")
         target.write(host.reply(head + _read(source, size - 4)))
         target.flush()
 
@@ -93,7 +98,7 @@
     """Serve standard input; 0 at its end, 2 for a frame that can't be read."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except wire.FrameError as error:
+    except simulator_protocol.FrameError as error:
         print(f"simhost: unreadable frame: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
--- a/tansycrank/wire.py
+++ b/tansycrank/simulator_protocol.py
@@ -8,7 +8,7 @@
 from collections.abc import Container, Iterable, Mapping
 from dataclasses import dataclass
 
-from tansycrank import interface as io
+from tansycrank import routing
 
 HEADER = struct.Struct("<IdI")
 REPLY_HEADER = struct.Struct("<II")
@@ -50,26 +50,30 @@
     SUBMIT_TO,
 ) = range(65, 78)
 OUTCOMES = {
-    10: io.Outcome.ANSWERED,
-    20: io.Outcome.ERROR,
-    30: io.Outcome.REJECTED,
-    40: io.Outcome.TIMED_OUT,
-    50: io.Outcome.UNCONNECTED,
-    60: io.Outcome.BROKEN_OFF,
-    70: io.Outcome.CANCELLED,
-    80: io.Outcome.NOT_SENT,
+    10: routing.Outcome.SUCCEEDED,
+    20: routing.Outcome.ERROR,
+    30: routing.Outcome.REJECTED,
+    40: routing.Outcome.TIMED_OUT,
+    50: routing.Outcome.CONNECT_FAILED,
+    60: routing.Outcome.CONNECTION_LOST,
+    70: routing.Outcome.CANCELLED,
+    80: routing.Outcome.NOT_SENT,
+}
+STATUSES = {
+    0: routing.EndpointStatus.REMOVED,
+    1: routing.EndpointStatus.DRAINING,
+    2: routing.EndpointStatus.IN_SERVICE,
 }
-STATUSES = {0: io.Status.GONE, 1: io.Status.DRAINING, 2: io.Status.READY}
 LIST_KINDS = {
-    0: io.ListKind.FULL,
-    1: io.ListKind.FAILED,
-    2: io.ListKind.CHANGES,
-    3: io.ListKind.CACHED,
+    0: routing.EndpointListKind.SNAPSHOT,
+    1: routing.EndpointListKind.FAILED,
+    2: routing.EndpointListKind.DELTA,
+    3: routing.EndpointListKind.CACHED,
 }
 EFFECTS = {
-    "read_like": io.Effect.SAFE,
-    "idempotency_key": io.Effect.KEYED,
-    "non_idempotent": io.Effect.UNSAFE,
+    "read_like": routing.Idempotency.IDEMPOTENT,
+    "idempotency_key": routing.Idempotency.WITH_KEY,
+    "non_idempotent": routing.Idempotency.NOT_IDEMPOTENT,
 }
 REPEAT_BIT = 2
 
@@ -102,7 +106,7 @@
     """Turns frames into (clock, [(instance, record)]); remembers the numbered lists."""
 
     def __init__(self) -> None:
-        self._lists: dict[int, tuple[io.Listed, ...]] = {}
+        self._lists: dict[int, tuple[routing.EndpointEntry, ...]] = {}
 
     def decode(self, frame: bytes) -> tuple[float, list[tuple[int, object]]]:
         """Read one whole frame, header included."""
@@ -138,26 +142,26 @@
         if code == REQ:
             return _request(fields)
         if code == DONE:
-            part, attempt, server, ended, took, closed, count, *load = fields
-            return io.AttemptEnded(
-                part,
+            shard_request, attempt, endpoint, ended, latency, closed, count, *load = fields
+            return routing.AttemptEnded(
+                shard_request,
                 attempt,
-                server,
+                endpoint,
                 _known(OUTCOMES, ended, "disposition", where),
-                took,
+                latency,
                 bool(closed),
                 tuple(load[:count]),
             )
         if code == RING:
-            return io.Woken(*fields)
+            return routing.TimerExpired(*fields)
         if code == ABORTED:
-            return io.QueryGone(*fields)
+            return routing.QueryCancelled(*fields)
         if code == VIEW:
             scope, _version, number = fields
             kind = _known(LIST_KINDS, scope, "scope", where)
-            if kind is io.ListKind.FAILED:
-                return io.ServerList(kind)
-            return io.ServerList(kind, _known(self._lists, number, "buffer", where))
+            if kind is routing.EndpointListKind.FAILED:
+                return routing.EndpointListUpdate(kind)
+            return routing.EndpointListUpdate(kind, _known(self._lists, number, "buffer", where))
         if code == ATTACH:
             seed, offset, length = fields
             try:
@@ -167,31 +171,38 @@
         if code == CRASH_NOW:
             return Killed()
         if code == PROBE_RESULT:
-            ended, server, took, count, *load = fields
-            return io.ProbeEnded(
-                server, _known(OUTCOMES, ended, "disposition", where), took, tuple(load[:count])
+            ended, endpoint, latency, count, *load = fields
+            return routing.HealthCheckEnded(
+                endpoint,
+                _known(OUTCOMES, ended, "disposition", where),
+                latency,
+                tuple(load[:count]),
             )
         if code == FROM_PEER:
             peer, offset, length = fields
-            return io.PeerSaid(peer, _slice(tail, offset, length, where))
-        return io.AnswerBegan(*fields)
+            return routing.GossipReceived(peer, _slice(tail, offset, length, where))
+        return routing.ResponseStarted(*fields)
 
     @staticmethod
-    def _entries(tail: bytes, offset: int, count: int, where: str) -> tuple[io.Listed, ...]:
+    def _entries(
+        tail: bytes, offset: int, count: int, where: str
+    ) -> tuple[routing.EndpointEntry, ...]:
         raw = _slice(tail, offset, count * ENTRY.size, where)
         return tuple(
-            io.Listed(server, cell, zone, _known(STATUSES, status, "status", where), came_up, hint)
-            for _shape, hint, server, zone, status, came_up, cell in ENTRY.iter_unpack(raw)
+            routing.EndpointEntry(
+                endpoint, cell, zone, _known(STATUSES, status, "status", where), came_up, hint
+            )
+            for _shape, hint, endpoint, zone, status, came_up, cell in ENTRY.iter_unpack(raw)
         )
 
 
 def _request(fields: tuple) -> object:
     job, measure, _work, _customer, number, query_class, key, left, options, shard = fields
     if shard < 0:
-        return io.QueryArrived(
+        return routing.QueryArrived(
             job, int(number), query_class, left, int(measure), key, bool(options & REPEAT_BIT)
         )
-    return io.PartArrived(job, int(number), int(shard), measure, key)
+    return routing.ShardRequestArrived(job, int(number), int(shard), measure, key)
 
 
 def _slice(tail: bytes, offset: int, length: int, where: str) -> bytes:
@@ -220,27 +231,27 @@
 
 def _encode(instance: int, action: object, tail: bytearray) -> bytes:
     match action:
-        case io.Send(part, server, time_out):
-            return struct.pack("<BHQId", SUBMIT_TO, instance, part, server, time_out)
-        case io.Wake(after, token):
+        case routing.Send(shard_request, endpoint, time_out):
+            return struct.pack("<BHQId", SUBMIT_TO, instance, shard_request, endpoint, time_out)
+        case routing.SetTimer(after, token):
             return struct.pack("<BHdQ", WAKE_ME, instance, after, token)
-        case io.Cancel(part, attempt):
-            return struct.pack("<BHQB", DROP_ATTEMPT, instance, part, attempt)
-        case io.Answer(query, whole):
-            return struct.pack("<BHQB", CONCLUDE, instance, query, whole)
-        case io.Shed(query, hold_off):
-            return struct.pack("<BHQd", SHED, instance, query, hold_off)
-        case io.Fail(query):
+        case routing.Cancel(shard_request, attempt):
+            return struct.pack("<BHQB", DROP_ATTEMPT, instance, shard_request, attempt)
+        case routing.Answer(query, complete):
+            return struct.pack("<BHQB", CONCLUDE, instance, query, complete)
+        case routing.Reject(query, retry_after):
+            return struct.pack("<BHQd", SHED, instance, query, retry_after)
+        case routing.Fail(query):
             return struct.pack("<BHQ", REPORT_FAILURE, instance, query)
-        case io.Watch(on):
+        case routing.WatchEndpoints(on):
             return struct.pack("<BHB", OBSERVE, instance, on)
-        case io.FetchList():
+        case routing.PollEndpoints():
             return struct.pack("<BH", RELOAD, instance)
-        case io.Probe(server):
-            return struct.pack("<BHI", SAMPLE, instance, server)
-        case io.CloseIdle(server):
-            return struct.pack("<BHI", CLOSE_IDLE, instance, server)
-        case io.TellPeer(peer, data):
+        case routing.CheckHealth(endpoint):
+            return struct.pack("<BHI", SAMPLE, instance, endpoint)
+        case routing.CloseIdleConnections(endpoint):
+            return struct.pack("<BHI", CLOSE_IDLE, instance, endpoint)
+        case routing.SendGossip(peer, data):
             code = struct.pack(
                 "<BHIII",
                 SIGNAL,
@@ -251,7 +262,7 @@
             )
             tail += data
             return code
-        case io.Note(text):
+        case routing.LogMessage(text):
             return _text(NOTE_DOWN, instance, text, tail)
         case Broken(text):
             return _text(BROKEN, instance, text, tail)
@@ -266,31 +277,31 @@
 
 
 _FIELDS = (  # of `interface.Settings`: the group of the settings object, the key there, what it is
-    ("me", "", "me", "count"),
+    ("router_index", "", "me", "count"),
     ("routers", "", "replicasOfMe", "count"),
     ("zone", "", "zone", "count"),
     ("tick", "", "step", "number"),
     ("shards", "familyInfo", "slabs", "count"),
     ("cells", "familyInfo", "positions", "count"),
-    ("reach", "familyInfo", "inARow", "count"),
-    ("call_parts", "familyInfo", "bundleMax", "count"),
+    ("replica_span", "familyInfo", "inARow", "count"),
+    ("call_batch_size", "familyInfo", "bundleMax", "count"),
     ("call_work", "familyInfo", "perCallWork", "number"),
-    ("attempts_cap", "caps", "attemptsCap", "count"),
-    ("second_copies", "caps", "secondCopies", "flag"),
+    ("max_attempts", "caps", "attemptsCap", "count"),
+    ("allows_hedging", "caps", "secondCopies", "flag"),
     ("can_cancel", "caps", "cancel", "flag"),
-    ("can_probe", "caps", "mayProbe", "flag"),
-    ("can_tell_peers", "caps", "peers", "flag"),
-    ("can_hold_off", "caps", "retryAfter", "flag"),
-    ("hold_off_max", "caps", "maxRetryAfter", "number"),
-    ("open_cap", "caps", "openCap", "count"),
-    ("marks_repeats", "clients", "marksRetry", "flag"),
-    ("ask_every", "rules", "askEvery", "number"),
+    ("can_check_health", "caps", "mayProbe", "flag"),
+    ("can_gossip", "caps", "peers", "flag"),
+    ("can_retry_after", "caps", "retryAfter", "flag"),
+    ("max_retry_after", "caps", "maxRetryAfter", "number"),
+    ("max_in_flight", "caps", "openCap", "count"),
+    ("marks_retries", "clients", "marksRetry", "flag"),
+    ("poll_interval", "rules", "askEvery", "number"),
     ("answer_grace", "rules", "graceToAnswer", "number"),
     ("drain_grace", "rules", "stopSendingWithin", "number"),
-    ("cold_multiple", "rules", "overloadFactor", "number"),
-    ("cold_window", "rules", "fall", "number"),
-    ("cold_from", "rules", "coldFrom", "number"),
-    ("cold_time", "rules", "cold", "number"),
+    ("slow_start_overload_factor", "rules", "overloadFactor", "number"),
+    ("slow_start_window", "rules", "fall", "number"),
+    ("slow_start_initial_share", "rules", "coldFrom", "number"),
+    ("slow_start_duration", "rules", "cold", "number"),
     ("price_crossing", "prices", "crossZone", "number"),
     ("price_waste", "prices", "waste", "number"),
     ("price_probe", "prices", "probe", "number"),
@@ -302,21 +313,21 @@
     ("budget_window", "rules", "countedOver", "number"),
 )
 _CLASS_FIELDS = (
-    ("aim", "aim"),
-    ("give_up", "giveUp"),
-    ("worth", "points"),
-    ("late_worth", "lateWorth"),
+    ("latency_objective", "aim"),
+    ("deadline", "giveUp"),
+    ("priority_weight", "points"),
+    ("late_weight", "lateWorth"),
     ("dedup_window", "window"),
 )
 _CLASS_SHARES = (
-    ("floor", "minShare"),
-    ("whole_at", "wholeAt"),
-    ("short_worth", "shortWorth"),
+    ("minimum_coverage", "minShare"),
+    ("complete_coverage", "wholeAt"),
+    ("partial_weight", "shortWorth"),
     ("follow_up", "followUp"),
 )
 
 
-def settings_from(info: str) -> io.Settings:
+def settings_from(info: str) -> routing.Settings:
     """Read the settings text of an instance; ValueError names the place of what is missing or
     absurd.
     """
@@ -340,12 +351,19 @@
         for index, node in enumerate(root.items("services"))
     )
     places |= {"classes": "settings.services", "zones": "settings.localities"}
-    must_ask = root.word("discovery", ("ask", "push")) == "ask"
+    polls_discovery = root.word("discovery", ("ask", "push")) == "ask"
     zones = len(root.listed("localities"))
-    return _made(io.Settings, places, classes=classes, zones=zones, must_ask=must_ask, **told)
+    return _made(
+        routing.Settings,
+        places,
+        classes=classes,
+        zones=zones,
+        polls_discovery=polls_discovery,
+        **told,
+    )
 
 
-def _class(family: _Node, node: _Node, index: int) -> io.QueryClass:
+def _class(family: _Node, node: _Node, index: int) -> routing.QueryClass:
     told: dict[str, object] = {name: node.number(key) for name, key in _CLASS_FIELDS}
     places = {name: f"{node.path}.{key}" for name, key in _CLASS_FIELDS}
     for name, key in _CLASS_SHARES:
@@ -354,7 +372,9 @@
             raise ValueError(f"{places[name]}: no figure for class {index}")
         told[name] = _number(values[index], places[name])
     _count(told["follow_up"], places["follow_up"])
-    return _made(io.QueryClass, places, effect=EFFECTS[node.word("effect", EFFECTS)], **told)
+    return _made(
+        routing.QueryClass, places, idempotency=EFFECTS[node.word("effect", EFFECTS)], **told
+    )
 
 
 def _made(kind: type, places: Mapping[str, str], **told: object):
--- a/tansycrank/sql/infer.py
+++ b/tansycrank/sql/infer.py
@@ -8,7 +8,7 @@
 from pglast.enums import A_Expr_Kind
 
 from tansycrank.config import Table
-from tansycrank.pg import types
+from tansycrank.postgres import types
 from tansycrank.sql.tree import column_name, type_oid, walk
 
 COMPARED = (A_Expr_Kind.AEXPR_OP, A_Expr_Kind.AEXPR_DISTINCT, A_Expr_Kind.AEXPR_NOT_DISTINCT)
--- a/tansycrank/sql/local.py
+++ b/tansycrank/sql/local.py
@@ -7,9 +7,9 @@
 
 from pglast import ast
 
-from tansycrank.pg import types
-from tansycrank.pg.errors import PgError
-from tansycrank.pg.messages import Field
+from tansycrank.postgres import types
+from tansycrank.postgres.errors import PgError
+from tansycrank.postgres.messages import Field
 from tansycrank.sql.plan import Local
 from tansycrank.sql.tree import NotConstant, column_name, constant, function_name, walk
 
--- a/tansycrank/sql/many.py
+++ b/tansycrank/sql/many.py
@@ -13,8 +13,8 @@
 from pglast.stream import RawStream
 
 from tansycrank.config import Config
-from tansycrank.pg import types
-from tansycrank.pg.errors import PgError, unsupported
+from tansycrank.postgres import types
+from tansycrank.postgres.errors import PgError, unsupported
 from tansycrank.sql.names import AGGREGATES, IMMUTABLE, PARTIAL, VALUES
 from tansycrank.sql.plan import Aggregate, MergePlan, Output, Scalar, SortKey
 from tansycrank.sql.scope import Scope, scope_of
--- a/tansycrank/sql/plan.py
+++ b/tansycrank/sql/plan.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from tansycrank.pg.messages import Field
+from tansycrank.postgres.messages import Field
 
 # ("group", i) | ("agg", i) | ("const", value) | ("param", n) | ("op", sign, left, right) | ...
 Expression = tuple
--- a/tansycrank/sql/planner.py
+++ b/tansycrank/sql/planner.py
@@ -16,8 +16,8 @@
 from pglast.enums import FetchDirection, TransactionStmtKind, VariableSetKind
 
 from tansycrank.config import Config, Table
-from tansycrank.pg import types
-from tansycrank.pg.errors import (
+from tansycrank.postgres import types
+from tansycrank.postgres.errors import (
     FEATURE_NOT_SUPPORTED,
     NO_SHARD,
     SYNTAX_ERROR,
@@ -25,7 +25,7 @@
     PgError,
     unsupported,
 )
-from tansycrank.pg.messages import Field
+from tansycrank.postgres.messages import Field
 from tansycrank.sql import local
 from tansycrank.sql.infer import insert_columns, parameter_types
 from tansycrank.sql.many import plan_many, text_of
--- a/tansycrank/sql/scope.py
+++ b/tansycrank/sql/scope.py
@@ -14,7 +14,7 @@
 from pglast.enums import A_Expr_Kind, JoinType
 
 from tansycrank.config import Config, Distribution, Table
-from tansycrank.pg.errors import PgError, unsupported
+from tansycrank.postgres.errors import PgError, unsupported
 from tansycrank.sql.shards import NoPlace, canonical, shard_of
 from tansycrank.sql.tree import NotConstant, column_name, conjuncts, constant, is_op
 
--- a/tansycrank/sql/shards.py
+++ b/tansycrank/sql/shards.py
@@ -7,7 +7,7 @@
 import xxhash
 
 from tansycrank.config import Distribution
-from tansycrank.pg import types
+from tansycrank.postgres import types
 
 
 class NoPlace(ValueError):
--- a/tansycrank/sql/tree.py
+++ b/tansycrank/sql/tree.py
@@ -8,7 +8,7 @@
 from pglast import ast
 from pglast.enums import A_Expr_Kind
 
-from tansycrank.pg import types
+from tansycrank.postgres import types
 
 
 def walk(node: object) -> Iterator[ast.Node]:
--- a/tansycrank/router/coordinator.py
+++ b/tansycrank/sql_router/coordinator.py
@@ -10,14 +10,14 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from tansycrank import interface as io
-from tansycrank.interface import GiveUpReason
-from tansycrank.lifecycle import Answer, Attempt, Lifecycle, NotAllowed, Request, Violation
+from tansycrank import routing
+from tansycrank.lifecycle import AnswerKind, Attempt, Lifecycle, NotAllowed, Request, Violation
 from tansycrank.merge.blocks import Keeper, Memory, PartStream
-from tansycrank.pg.errors import BROKE_OFF, FAILED, INTERNAL, REFUSED, PgError, cancelled
-from tansycrank.router.links import Ended, PartRequest
-from tansycrank.router.pool import Pools, Sending
-from tansycrank.router.steps import StepLoop
+from tansycrank.policy_event_loop import PolicyEventLoop
+from tansycrank.postgres.errors import BROKE_OFF, FAILED, INTERNAL, REFUSED, PgError, cancelled
+from tansycrank.routing import FailureReason
+from tansycrank.sql_router.links import Ended, PartRequest
+from tansycrank.sql_router.pool import Pools, Sending
 
 
 @dataclass(slots=True, eq=False)
@@ -44,13 +44,13 @@
     id: int
     number: int
     query_class: int
-    parts: list[PartState]
+    shard_requests: list[PartState]
     memory: Memory
     done: Callable[[list[PartState] | PgError], None]
     began: float
     life: Request
     story: list[tuple] = field(default_factory=list)  # (part, server, outcome, ms) for the log
-    given_up: GiveUpReason | None = None
+    given_up: FailureReason | None = None
 
     @property
     def ended(self) -> bool:
@@ -64,7 +64,7 @@
     def __init__(
         self,
         reactor,
-        settings: io.Settings,
+        settings: routing.Settings,
         seed: int,
         pools: Pools,
         keeper: Keeper,
@@ -86,17 +86,17 @@
             "cancelled": 0,
             "sends": 0,
         }
-        self.given_up: Counter[GiveUpReason] = Counter()
+        self.given_up: Counter[FailureReason] = Counter()
         acts = {
-            io.Send: self._send,
-            io.Cancel: self._cancel,
-            io.Answer: self._answer,
-            io.Shed: self._shed,
-            io.Fail: self._fail,
-            io.CloseIdle: self._close_idle,
-            io.Watch: lambda action: self.on_watch(action.on),
+            routing.Send: self._send,
+            routing.Cancel: self._cancel,
+            routing.Answer: self._answer,
+            routing.Reject: self._shed,
+            routing.Fail: self._fail,
+            routing.CloseIdleConnections: self._close_idle,
+            routing.WatchEndpoints: lambda action: self.on_watch(action.on),
         }
-        self.loop = StepLoop(reactor, settings, seed, acts, self._broken)
+        self.loop = PolicyEventLoop(reactor, settings, seed, acts, self._broken)
 
     @property
     def now(self) -> float:
@@ -121,35 +121,43 @@
     def submit(
         self,
         query_class: int,
-        time_left: float,
+        remaining: float,
         requests: Sequence[PartRequest],
         done: Callable[[list[PartState] | PgError], None],
         repeat: bool = False,
         streams: bool = False,
     ) -> Job:
-        """Take a query. `time_left` is what its client will wait, in ms.
+        """Take a query. `remaining` is what its client will wait, in ms.
 
         `streams` tells that its rows may leave before its parts are whole.
         """
         self._ids += 1
         query = number = self._ids
-        parts = []
+        shard_requests = []
         self.loop.hear(
-            io.QueryArrived(query, number, query_class, time_left, len(requests), repeat=repeat)
+            routing.QueryArrived(
+                query, number, query_class, remaining, len(requests), repeat=repeat
+            )
         )
         cls, now = self.settings.classes[query_class], self.now
         life = self.lifecycle.take(
-            str(query), cls.effect, cls.dedup_window, now + time_left, len(requests), now
+            str(query), cls.idempotency, cls.dedup_window, now + remaining, len(requests), now
+        )
+        job = Job(
+            query, number, query_class, shard_requests, self.keeper.open(streams), done, now, life
         )
-        job = Job(query, number, query_class, parts, self.keeper.open(streams), done, now, life)
         job.memory.on_refused = lambda problem: self._no_memory(job, problem)
         job.memory.on_began = lambda stream: self._began(job, stream)
         for request in requests:
             self._ids += 1
-            part = PartState(self._ids, request)
-            parts.append(part)
-            self._parts[part.id] = job, part
-            self.loop.hear(io.PartArrived(part.id, number, request.shard, 1 / len(requests)))
+            shard_request = PartState(self._ids, request)
+            shard_requests.append(shard_request)
+            self._parts[shard_request.id] = job, shard_request
+            self.loop.hear(
+                routing.ShardRequestArrived(
+                    shard_request.id, number, request.shard, 1 / len(requests)
+                )
+            )
         self.jobs[query] = job
         self.counts["taken"] += 1
         return job
@@ -159,11 +167,11 @@
         if job.ended:
             return
         self.counts["cancelled"] += 1
-        self.loop.hear(io.QueryGone(job.id))
+        self.loop.hear(routing.QueryCancelled(job.id))
         self.lifecycle.abandon(job.life, self.now)
         self._forget(job, error or cancelled())
 
-    def heard_list(self, event: io.ServerList) -> None:
+    def heard_list(self, event: routing.EndpointListUpdate) -> None:
         """The roster spoke: nothing starts any more at an endpoint that is not in service."""
         self.lifecycle.listed(event)
         self.loop.hear(event)
@@ -176,76 +184,95 @@
 
     # --- out --------------------------------------------------------------------------
 
-    def _send(self, action: io.Send) -> None:
-        job, part = self._parts[action.part]
-        number = len(part.attempts)
+    def _send(self, action: routing.Send) -> None:
+        job, shard_request = self._parts[action.shard_request]
+        number = len(shard_request.attempts)
         now = self.now
-        part.sent_at.append(now)
+        shard_request.sent_at.append(now)
         self.counts["sends"] += 1
         try:
             life = self.lifecycle.choose(
-                job.life, part.id, action.server, action.time_out, action.leave_within, now
+                job.life,
+                shard_request.id,
+                action.endpoint,
+                action.time_out,
+                action.leave_within,
+                now,
             )
         except NotAllowed:
-            self._never_sent(action, part, number)
+            self._never_sent(action, shard_request, number)
             return
-        part.lives.append(life)
-        stream = PartStream(job.memory, part.request.shard)
+        shard_request.lives.append(life)
+        stream = PartStream(job.memory, shard_request.request.shard)
 
         def ended(result: Ended) -> None:
-            self._ended(job, part, number, action.server, result)
+            self._ended(job, shard_request, number, action.endpoint, result)
 
         sending = self.pools.send(
-            action.server, part.request, stream, life.deadline - now, ended, life
+            action.endpoint, shard_request.request, stream, life.deadline - now, ended, life
         )
         stream.on_close = lambda: self.pools.cancel(sending)
-        part.attempts.append(sending)
+        shard_request.attempts.append(sending)
 
-    def _never_sent(self, action: io.Send, part: PartState, number: int) -> None:
+    def _never_sent(self, action: routing.Send, shard_request: PartState, number: int) -> None:
         """End a send that was not allowed; the policy counts it among the attempts of its part."""
-        part.lives.append(None)
-        part.attempts.append(Sending.never(action.server, part.request))
-        self.loop.hear(io.AttemptEnded(part.id, number, action.server, io.Outcome.NOT_SENT, 0.0))
+        shard_request.lives.append(None)
+        shard_request.attempts.append(Sending.never(action.endpoint, shard_request.request))
+        self.loop.hear(
+            routing.AttemptEnded(
+                shard_request.id, number, action.endpoint, routing.Outcome.NOT_SENT, 0.0
+            )
+        )
 
     def _began(self, job: Job, stream: PartStream) -> None:
         """Rows of this attempt are to leave as they come: the module hears that it has begun."""
-        for part in job.parts:
-            for number, sending in enumerate(part.attempts):
+        for shard_request in job.shard_requests:
+            for number, sending in enumerate(shard_request.attempts):
                 if (
                     sending.stream is stream
-                    and part.answer is None
+                    and shard_request.answer is None
                     and not job.ended
                     and not sending.ended
                 ):
-                    part.answer, stream.committed = stream, True
+                    shard_request.answer, stream.committed = stream, True
                     sending.untimed()
-                    took = self.now - part.sent_at[number]
-                    self.loop.hear(io.AnswerBegan(part.id, number, sending.server, took))
-
-    def _ended(self, job: Job, part: PartState, number: int, server: int, result: Ended) -> None:
-        took = self.now - part.sent_at[number]
-        part.lives[number].end(result.outcome, self.now)
-        stream = part.attempts[number].stream if number < len(part.attempts) else None
-        self.loop.hear(io.AttemptEnded(part.id, number, server, result.outcome, took))
-        job.story.append((part.request.shard, server, result.outcome.value, round(took, 1)))
-        answered = result.outcome is io.Outcome.ANSWERED
+                    latency = self.now - shard_request.sent_at[number]
+                    self.loop.hear(
+                        routing.ResponseStarted(shard_request.id, number, sending.endpoint, latency)
+                    )
+
+    def _ended(
+        self, job: Job, shard_request: PartState, number: int, endpoint: int, result: Ended
+    ) -> None:
+        latency = self.now - shard_request.sent_at[number]
+        shard_request.lives[number].end(result.outcome, self.now)
+        stream = (
+            shard_request.attempts[number].stream if number < len(shard_request.attempts) else None
+        )
+        self.loop.hear(
+            routing.AttemptEnded(shard_request.id, number, endpoint, result.outcome, latency)
+        )
+        job.story.append(
+            (shard_request.request.shard, endpoint, result.outcome.value, round(latency, 1))
+        )
+        answered = result.outcome is routing.Outcome.SUCCEEDED
         if stream is not None and stream.committed:
             self._stream_ended(job, stream, result)
-        elif answered and not job.ended and part.answer is None:
+        elif answered and not job.ended and shard_request.answer is None:
             if result.error is not None:  # the query's own fault: its client hears it at once
-                self.loop.hear(io.QueryGone(job.id))
+                self.loop.hear(routing.QueryCancelled(job.id))
                 self._end(job, result.error)
             else:
-                part.answer, part.oids = stream, result.oids
+                shard_request.answer, shard_request.oids = stream, result.oids
                 stream.finish()
         elif stream is not None:
             stream.close()
-        if job.ended and all(s.ended for s in part.attempts):
-            self._parts.pop(part.id, None)
+        if job.ended and all(s.ended for s in shard_request.attempts):
+            self._parts.pop(shard_request.id, None)
 
     def _stream_ended(self, job: Job, stream: PartStream, result: Ended) -> None:
         """The end of an attempt whose rows may have left: whole, or an honest error, never a retry."""
-        if result.outcome is io.Outcome.ANSWERED:
+        if result.outcome is routing.Outcome.SUCCEEDED:
             stream.finish(result.error)
             return
         problem = PgError(
@@ -255,85 +282,85 @@
         )
         stream.finish(problem)
         if not job.ended:
-            self.loop.hear(io.QueryGone(job.id))
+            self.loop.hear(routing.QueryCancelled(job.id))
             self._end(job, problem)
 
     def _no_memory(self, job: Job, problem: PgError) -> None:
         if not job.ended:
-            self.loop.hear(io.QueryGone(job.id))
+            self.loop.hear(routing.QueryCancelled(job.id))
             self._end(job, problem)
         else:  # its rows are on their way out
-            for part in job.parts:
-                for sending in part.attempts:
+            for shard_request in job.shard_requests:
+                for sending in shard_request.attempts:
                     if sending.stream is not None:
                         sending.stream.finish(problem)
                         self.pools.cancel(sending)
 
-    def _cancel(self, action: io.Cancel) -> None:
-        if action.part in self._parts:
-            _, part = self._parts[action.part]
-            self.pools.cancel(part.attempts[action.attempt])
+    def _cancel(self, action: routing.Cancel) -> None:
+        if action.shard_request in self._parts:
+            _, shard_request = self._parts[action.shard_request]
+            self.pools.cancel(shard_request.attempts[action.attempt])
 
-    def _answer(self, action: io.Answer) -> None:
+    def _answer(self, action: routing.Answer) -> None:
         job = self.jobs.get(action.query)
         if job is None:
             return
-        if not action.whole:
+        if not action.complete:
             # No front asks for answers in part yet.
-            self._fail(io.Fail(action.query, GiveUpReason.NOT_WHOLE))
+            self._fail(routing.Fail(action.query, FailureReason.INCOMPLETE))
             return
-        missing = sum(part.answer is None for part in job.parts)
-        allowed = self.lifecycle.answer(job.life, Answer.WHOLE, self.now, missing)
-        if allowed is Answer.WHOLE:
+        missing = sum(shard_request.answer is None for shard_request in job.shard_requests)
+        allowed = self.lifecycle.answer(job.life, AnswerKind.COMPLETE, self.now, missing)
+        if allowed is AnswerKind.COMPLETE:
             self.counts["answered"] += 1
-            self._forget(job, job.parts)
-        elif allowed is Answer.FAILED:
+            self._forget(job, job.shard_requests)
+        elif allowed is AnswerKind.FAILED:
             self.counts["failed"] += 1
             self._forget(job, given_up())
 
-    def _shed(self, action: io.Shed) -> None:
+    def _shed(self, action: routing.Reject) -> None:
         job = self.jobs.get(action.query)
         if job is not None:
             refused = PgError(
                 REFUSED,
                 "refused: not answerable in time now; trying again is harmless",
-                detail=f"retry_after_ms={action.hold_off:.0f}",
+                detail=f"retry_after_ms={action.retry_after:.0f}",
                 hint="come back after the time in the detail field",
             )
             self._give_up(job, action.reason)
-            allowed = self.lifecycle.answer(job.life, Answer.REFUSED, self.now)
-            self.counts["refused" if allowed is Answer.REFUSED else "failed"] += 1
-            self._forget(job, refused if allowed is Answer.REFUSED else given_up())
+            allowed = self.lifecycle.answer(job.life, AnswerKind.REJECTED, self.now)
+            self.counts["refused" if allowed is AnswerKind.REJECTED else "failed"] += 1
+            self._forget(job, refused if allowed is AnswerKind.REJECTED else given_up())
 
-    def _fail(self, action: io.Fail) -> None:
+    def _fail(self, action: routing.Fail) -> None:
         job = self.jobs.get(action.query)
         if job is not None:
             self.counts["failed"] += 1
             self._give_up(job, action.reason)
             self._end(job, given_up())
 
-    def _give_up(self, job: Job, reason: GiveUpReason) -> None:
+    def _give_up(self, job: Job, reason: FailureReason) -> None:
         """Keep why, for counters and for the log of queries."""
         job.given_up = reason
         self.given_up[reason] += 1
 
     def _end(self, job: Job, problem: PgError) -> None:
         """The one final answer of a query that has failed."""
-        if self.lifecycle.answer(job.life, Answer.FAILED, self.now) is not None:
+        if self.lifecycle.answer(job.life, AnswerKind.FAILED, self.now) is not None:
             self._forget(job, problem)
 
     def _forget(self, job: Job, answer: list[PartState] | PgError) -> None:
         """A query has its answer, or nobody waits for one any more."""
         self.jobs.pop(job.id, None)
-        for part in job.parts:
-            if all(s.ended for s in part.attempts):
-                self._parts.pop(part.id, None)
+        for shard_request in job.shard_requests:
+            if all(s.ended for s in shard_request.attempts):
+                self._parts.pop(shard_request.id, None)
         if isinstance(answer, PgError):
             job.memory.close()
         job.done(answer)
 
-    def _close_idle(self, action: io.CloseIdle) -> None:
-        self.pools.close_idle(action.server)
+    def _close_idle(self, action: routing.CloseIdleConnections) -> None:
+        self.pools.close_idle(action.endpoint)
 
 
 def given_up() -> PgError:
--- a/tansycrank/router/links.py
+++ b/tansycrank/sql_router/links.py
@@ -14,16 +14,16 @@
 from twisted.internet.protocol import Protocol
 from twisted.protocols.basic import LineReceiver
 
-from tansycrank.interface import Outcome
 from tansycrank.merge.blocks import PartStream
-from tansycrank.pg import messages as pg
-from tansycrank.pg.errors import (
+from tansycrank.postgres import messages as pg
+from tansycrank.postgres.errors import (
     FEATURE_NOT_SUPPORTED,
     REFUSED_BEFORE_RUN,
     PgError,
     ProtocolError,
 )
-from tansycrank.router.connecting import OneConnection
+from tansycrank.routing import Outcome
+from tansycrank.single_connection import OneConnection
 
 READ_AT_ONCE = 16 * 1024  # bytes
 REQUEST_KEY = "tansycrank.request_key"
@@ -106,7 +106,7 @@
         self.on_lost: Callable[[NodeLink, PgError | None], None] = lambda link, refusal: None
         self.used = 0.0
         self._done: Callable[[Ended], None] | None = None
-        self._ended = Ended(Outcome.ANSWERED)
+        self._ended = Ended(Outcome.SUCCEEDED)
         self._stream: PartStream | None = None
         self._stopped = self._deaf = False  # told to stop reading; not reading
         self._pending = b""  # of a large part: come, but not yet looked at
@@ -174,7 +174,7 @@
     def run(self, request: PartRequest, stream: PartStream, done: Callable[[Ended], None]) -> None:
         """Send a part; its rows go to the stream. From here on it may have run."""
         assert self.state == "idle"
-        self.state, self._done, self._ended = "busy", done, Ended(Outcome.ANSWERED)
+        self.state, self._done, self._ended = "busy", done, Ended(Outcome.SUCCEEDED)
         self._stream, stream.hold = stream, self._hold
         self.transport.write(request.wire())
 
@@ -246,7 +246,7 @@
             self._stream.add(block, count)
         except PgError as problem:  # they can't be held: the query ends, the node is healthy
             self.state = "settling"
-            self._finish(Ended(Outcome.ANSWERED, problem))
+            self._finish(Ended(Outcome.SUCCEEDED, problem))
             self.abort()
 
     def _finish(self, ended: Ended) -> None:
@@ -268,7 +268,7 @@
         if self._grace is not None and self._grace.active():
             self._grace.cancel()
         if was == "busy":
-            self._finish(Ended(Outcome.BROKEN_OFF, error=problem))
+            self._finish(Ended(Outcome.CONNECTION_LOST, error=problem))
         self.on_lost(self, self.refusal)
 
     def _message(self, kind: int, message: bytes) -> None:
@@ -323,7 +323,7 @@
     return (
         Outcome.REJECTED
         if refusal is not None and refusal.state in REFUSED_BEFORE_RUN
-        else Outcome.UNCONNECTED
+        else Outcome.CONNECT_FAILED
     )
 
 
--- a/tansycrank/router/pool.py
+++ b/tansycrank/sql_router/pool.py
@@ -9,18 +9,18 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from tansycrank.interface import Outcome
 from tansycrank.lifecycle import Attempt
 from tansycrank.merge.blocks import PartStream
-from tansycrank.router.connecting import OneConnection
-from tansycrank.router.links import Ended, NodeLink, PartRequest, refused_outcome
+from tansycrank.routing import Outcome
+from tansycrank.single_connection import OneConnection
+from tansycrank.sql_router.links import Ended, NodeLink, PartRequest, refused_outcome
 
 
 @dataclass(slots=True, eq=False)
 class Sending:
     """One send, from the module's word to its outcome."""
 
-    server: int
+    endpoint: int
     request: PartRequest
     stream: PartStream
     done: Callable[[Ended], None]
@@ -31,9 +31,9 @@
     timer: object = None
 
     @classmethod
-    def never(cls, server: int, request: PartRequest) -> Sending:
+    def never(cls, endpoint: int, request: PartRequest) -> Sending:
         """One that was not allowed; it has ended."""
-        return cls(server, request, None, lambda ended: None, None, ended=True)
+        return cls(endpoint, request, None, lambda ended: None, None, ended=True)
 
     def untimed(self) -> None:
         """Its answer has begun to leave for the client: no time-out runs any more."""
@@ -78,23 +78,23 @@
         self.opened = self.closed = 0
         self.later: Callable[[NodeLink], None] | None = None  # the line of large work
 
-    def place(self, server: int, host: str, port: int) -> None:
+    def place(self, endpoint: int, host: str, port: int) -> None:
         """Where a node is. One that moved gets new links."""
-        node = self.nodes.get(server)
+        node = self.nodes.get(endpoint)
         if node is not None and (node.host, node.port) == (host, port):
             return
         if node is not None:
             self._empty(node)
-        self.nodes[server] = NodePool(host, port)
+        self.nodes[endpoint] = NodePool(host, port)
 
-    def forget(self, server: int) -> None:
+    def forget(self, endpoint: int) -> None:
         """A node is gone: its idle links are closed; links at work finish first."""
-        if server in self.nodes:
-            self.close_idle(server)
+        if endpoint in self.nodes:
+            self.close_idle(endpoint)
 
-    def close_idle(self, server: int) -> None:
+    def close_idle(self, endpoint: int) -> None:
         """Close the unused links of a node."""
-        node = self.nodes.get(server)
+        node = self.nodes.get(endpoint)
         while node is not None and node.idle:
             node.idle[-1].leave()
 
@@ -118,7 +118,7 @@
 
     def send(
         self,
-        server: int,
+        endpoint: int,
         request: PartRequest,
         stream: PartStream,
         time_out: float,
@@ -126,10 +126,10 @@
         attempt: Attempt,
     ) -> Sending:
         """Send a part; `done` hears its one outcome, never before this returns."""
-        sending = Sending(server, request, stream, done, attempt)
-        node = self.nodes.get(server)
+        sending = Sending(endpoint, request, stream, done, attempt)
+        node = self.nodes.get(endpoint)
         if node is None:
-            self.reactor.callLater(0, sending.finish, Ended(Outcome.UNCONNECTED))
+            self.reactor.callLater(0, sending.finish, Ended(Outcome.CONNECT_FAILED))
             return sending
         if time_out > 0:
             sending.timer = self.reactor.callLater(time_out / 1000, self._timed_out, sending)
@@ -149,7 +149,7 @@
         self._stop(sending, Outcome.CANCELLED, Outcome.NOT_SENT)
 
     def _timed_out(self, sending: Sending) -> None:
-        self._stop(sending, Outcome.TIMED_OUT, Outcome.UNCONNECTED)
+        self._stop(sending, Outcome.TIMED_OUT, Outcome.CONNECT_FAILED)
 
     def _stop(self, sending: Sending, if_out: Outcome, if_not: Outcome) -> None:
         if sending.ended:
@@ -157,7 +157,7 @@
         if sending.out:
             sending.link.give_up(if_out)
             return
-        node = self.nodes.get(sending.server)
+        node = self.nodes.get(sending.endpoint)
         if node is not None and sending in node.waiting:
             node.waiting.remove(sending)  # its connection, once there, waits for the next send
         sending.finish(Ended(if_not))
--- a/tansycrank/router/service.py
+++ b/tansycrank/sql_router/service.py
@@ -13,21 +13,21 @@
 
 import xxhash
 
+from tansycrank.admission import views
+from tansycrank.admission.gate import Entry, Gate
+from tansycrank.admission.identity import Asker, Caller, Identity
 from tansycrank.config import Config, split
-from tansycrank.door import views
-from tansycrank.door.gate import Entry, Gate
-from tansycrank.door.identity import Asker, Caller, Identity
 from tansycrank.merge import pipeline
 from tansycrank.merge.blocks import frames_of
 from tansycrank.merge.rows import PartRows, Result, merge, part_formats
 from tansycrank.merge.work import RowStream, Worker
-from tansycrank.pg import types
-from tansycrank.pg.errors import INTERNAL, INVALID_PARAMETER, PgError
-from tansycrank.pg.messages import Field, data_row
-from tansycrank.router.coordinator import Coordinator, Job, PartState
-from tansycrank.router.links import PartRequest
+from tansycrank.postgres import types
+from tansycrank.postgres.errors import INTERNAL, INVALID_PARAMETER, PgError
+from tansycrank.postgres.messages import Field, data_row
 from tansycrank.sql.plan import Prepared
 from tansycrank.sql.planner import Planner, explain_lines
+from tansycrank.sql_router.coordinator import Coordinator, Job, PartState
+from tansycrank.sql_router.links import PartRequest
 
 LITERAL = re.compile(r"'(?:[^']|'')*'|\b\d+\b")  # statements alike but for these cost alike
 RUNS = re.compile(
@@ -102,10 +102,10 @@
         self, name: str, caller: Caller
     ) -> tuple[tuple[str, ...], list[tuple[str, ...]]] | None:
         """(columns, rows) of a view of the door, None where the name is none. Raises PgError 42501."""
-        if name not in ("tansycrank.tenants", "tansycrank.door"):
+        if name not in ("tansycrank.tenants", "tansycrank.admission"):
             return None
         self._check_operator(caller, name)
-        if name == "tansycrank.door":
+        if name == "tansycrank.admission":
             return ("figure", "value"), views.door(self.gate)
         return views.TENANT_COLUMNS, views.tenants(self.gate)
 
@@ -211,11 +211,11 @@
                 rows = [data_row((line.encode(),)) for line in lines]
                 done(Result(prepared.fields, rows, "EXPLAIN"))
                 return None
-            parts = prepared.bind(values)
+            shard_requests = prepared.bind(values)
         except PgError as problem:
             done(problem)
             return None
-        plan = parts.merge
+        plan = shard_requests.merge
         oids = tuple(oid or (types.TEXT if plan is not None else 0) for oid in prepared.oids)
         results = part_formats(plan, request.results)
         key = settings.get("tansycrank.request_key", "") if effect == KEYED else ""
@@ -229,26 +229,26 @@
                 results,
                 key,
             )
-            for p in parts.parts
+            for p in shard_requests.shard_requests
         ]
         began = self.coordinator.now
         streams = effect == SAFE and prepared.returns_rows and pipeline.streams(plan)
         repeat = _is_repeat(settings)
 
-        def start(time_left: float, ended: Callable[[Result | PgError], None]) -> Job:
+        def start(remaining: float, ended: Callable[[Result | PgError], None]) -> Job:
             def finished(answer: list[PartState] | PgError) -> None:
                 outcome = self._result(request, plan, values, answer, job)
                 self._log_query(request, index, effect, job, outcome, began)
                 ended(outcome)
 
             job = self.coordinator.submit(
-                3 * index + effect, time_left, requests, finished, repeat, streams
+                3 * index + effect, remaining, requests, finished, repeat, streams
             )
             return job
 
-        time_left = self._time_left(index, settings)
+        remaining = self._time_left(index, settings)
         return self._enter(
-            request, settings, 3 * index + effect, len(requests), time_left, start, done
+            request, settings, 3 * index + effect, len(requests), remaining, start, done
         )
 
     def glance(self, sql: str, caller: Caller, settings: Mapping[str, str]) -> PgError | None:
@@ -264,9 +264,9 @@
         if not self.gate.pressed(asker.tenant):
             return None
         index = self.class_of(sql, settings)
-        mark, time_left = self._mark(asker, sql, ()), self._time_left(index, settings)
+        mark, remaining = self._mark(asker, sql, ()), self._time_left(index, settings)
         return self.gate.glance(
-            asker, 3 * index + SAFE, time_left, mark, _is_repeat(settings), caller.session
+            asker, 3 * index + SAFE, remaining, mark, _is_repeat(settings), caller.session
         )
 
     def _mark(self, asker: Asker, sql: str, values: tuple[bytes | None, ...]) -> int:
@@ -280,8 +280,8 @@
         request: Request,
         settings,
         query_class: int,
-        parts: int,
-        time_left: float,
+        shard_requests: int,
+        remaining: float,
         start,
         done,
     ) -> Running:
@@ -293,8 +293,8 @@
             self.gate.enter(
                 asker,
                 query_class,
-                parts,
-                time_left,
+                shard_requests,
+                remaining,
                 start,
                 done,
                 statement=xxhash.xxh3_64_intdigest(LITERAL.sub("?", sql).encode()),
@@ -308,18 +308,20 @@
     def _result(self, request: Request, plan, values, answer: list[PartState] | PgError, job: Job):
         if isinstance(answer, PgError):
             return answer
-        parts = [part.answer for part in answer]
+        shard_requests = [shard_request.answer for shard_request in answer]
         prepared = request.prepared
         try:
-            at_once = all(p.state == "whole" and p.run is None for p in parts)
-            if at_once and sum(p.size for p in parts) <= AT_ONCE:
-                frames = [[f for block in p.blocks for f in frames_of(block)] for p in parts]
+            at_once = all(p.state == "whole" and p.run is None for p in shard_requests)
+            if at_once and sum(p.size for p in shard_requests) <= AT_ONCE:
+                frames = [
+                    [f for block in p.blocks for f in frames_of(block)] for p in shard_requests
+                ]
                 if plan is None:
-                    result = Result(parts[0].fields, frames[0], parts[0].tag)
+                    result = Result(shard_requests[0].fields, frames[0], shard_requests[0].tag)
                 else:
                     rows = [
                         PartRows(p.fields or (), f, p.tag)
-                        for p, f in zip(parts, frames, strict=True)
+                        for p, f in zip(shard_requests, frames, strict=True)
                     ]
                     result = merge(
                         plan, rows, values, prepared.oids, request.results, prepared.fields
@@ -328,9 +330,9 @@
                 return result
             told = prepared.fields
             fields, source = pipeline.build(
-                plan, parts, values, prepared.oids, request.results, told, job.memory
+                plan, shard_requests, values, prepared.oids, request.results, told, job.memory
             )
-            stream = RowStream(fields, source, parts, job.memory, self.worker)
+            stream = RowStream(fields, source, shard_requests, job.memory, self.worker)
             return Result(fields, (), "SELECT", stream, job.memory)
         except PgError as problem:
             result = problem
@@ -372,9 +374,9 @@
         if target.fields is not None or not target.returns_rows and 0 not in target.oids:
             done((target.oids, prepared.fields if prepared.explain else target.fields))
             return None
-        part = target.describe_sql()
+        shard_request = target.describe_sql()
         index = self.class_of(target.sql, settings)
-        request = PartRequest(part.shard, part.sql, target.oids, describe=True)
+        request = PartRequest(shard_request.shard, shard_request.sql, target.oids, describe=True)
 
         def finished(answer: list[PartState] | PgError) -> None:
             if isinstance(answer, PgError):
@@ -389,17 +391,17 @@
                 target.fields = fields or ()
             done((target.oids, prepared.fields if prepared.explain else target.fields))
 
-        def start(time_left: float, ended: Callable) -> Job:
+        def start(remaining: float, ended: Callable) -> Job:
             def answered(answer: list[PartState] | PgError) -> None:
                 ended(answer)
                 job.memory.close()
 
-            job = self.coordinator.submit(3 * index + SAFE, time_left, [request], answered)
+            job = self.coordinator.submit(3 * index + SAFE, remaining, [request], answered)
             return job
 
         asked = Request(prepared, caller=caller)
-        time_left = self._time_left(index, settings)
-        return self._enter(asked, settings, 3 * index + SAFE, 1, time_left, start, finished)
+        remaining = self._time_left(index, settings)
+        return self._enter(asked, settings, 3 * index + SAFE, 1, remaining, start, finished)
 
     def _log_query(
         self, request: Request, index: int, effect: int, job: Job, outcome, began: float
@@ -412,13 +414,13 @@
             sql=(request.comment + request.prepared.sql)[:200],
             cls=self.config.classes[index].name,
             effect=("safe", "keyed", "unsafe")[effect],
-            parts=len(job.parts),
+            shard_requests=len(job.shard_requests),
             attempts=job.story,
-            hedged=sum(len(p.attempts) > 1 for p in job.parts),
+            hedged=sum(len(p.attempts) > 1 for p in job.shard_requests),
             outcome=outcome.state if failed else "answered",
             given_up=job.given_up.value if job.given_up is not None else None,
-            rows=sum(p.answer.rows for p in job.parts if p.answer is not None),
-            bytes=sum(p.answer.size for p in job.parts if p.answer is not None),
+            rows=sum(p.answer.rows for p in job.shard_requests if p.answer is not None),
+            bytes=sum(p.answer.size for p in job.shard_requests if p.answer is not None),
             spilled=job.memory.spilled,
             peak=job.memory.peak,
             ms=round(self.coordinator.now - began, 2),
--- a/tansycrank/lab/bulk.py
+++ b/tansycrank/testbed/bulk.py
@@ -1,5 +1,5 @@
-"""A stand-in shard with millions of rows made on the fly: `python -m tansycrank.lab.bulk SPEC`. On
-loopback.
+"""A stand-in shard with millions of rows made on the fly: `python -m tansycrank.testbed.bulk SPEC`.
+On loopback.
 
 Table `bulk` on shard s: for i below `rows`, id = 10^9 + i * 16 + s, g = 10^7 + i % groups, v = 100
 + g % 900. All numbers have a fixed width, so that a row is one `%` and a client can check millions
@@ -17,10 +17,10 @@
 import msgspec
 from twisted.protocols.basic import LineReceiver
 
-from tansycrank.lab.process import listen, serve
-from tansycrank.pg import messages as pg
-from tansycrank.pg import types
-from tansycrank.pg.errors import cancelled
+from tansycrank.postgres import messages as pg
+from tansycrank.postgres import types
+from tansycrank.postgres.errors import cancelled
+from tansycrank.testbed.process import listen, serve
 
 ID_BASE, GROUP_BASE, STEP = 10**9, 10**7, 16
 ROWS_A_BLOCK = 1500
--- a/tansycrank/lab/bulksite.py
+++ b/tansycrank/testbed/bulksite.py
@@ -14,10 +14,10 @@
 
 import msgspec
 
-from tansycrank.lab.bulk import GROUP_BASE, ID_BASE, STEP, TABLE, BulkSpec, value_of
-from tansycrank.lab.hammer import dial
 from tansycrank.merge.blocks import frames_of
-from tansycrank.pg import messages as pg
+from tansycrank.postgres import messages as pg
+from tansycrank.testbed.bulk import GROUP_BASE, ID_BASE, STEP, TABLE, BulkSpec, value_of
+from tansycrank.testbed.hammer import dial
 
 SETTINGS = """\
 [listen]
@@ -108,7 +108,9 @@
             spec = BulkSpec(
                 shard, rows, layout.groups, pad=layout.pad, die_after=layout.die_after.get(shard, 0)
             )
-            nodes.append(self._python("tansycrank.lab.bulk", msgspec.json.encode(spec).decode()))
+            nodes.append(
+                self._python("tansycrank.testbed.bulk", msgspec.json.encode(spec).decode())
+            )
         for shard, process in enumerate(nodes):
             port = msgspec.json.decode(process.stdout.readline())["port"]
             self.node_ports.append(port)
--- a/tansycrank/lab/demo.py
+++ b/tansycrank/testbed/demo.py
@@ -10,7 +10,7 @@
 import click
 import psycopg
 
-from tansycrank.lab.site import Layout, Site
+from tansycrank.testbed.site import Layout, Site
 
 QUERIES = (
     (
--- a/tansycrank/lab/doorlab.py
+++ b/tansycrank/testbed/doorlab.py
@@ -13,11 +13,11 @@
 import time
 from dataclasses import dataclass, field, replace
 
-from tansycrank import interface as io
-from tansycrank.door.identity import Asker
-from tansycrank.door.policy import Limits, Policy, Settings
-from tansycrank.lab.simulated import SimClock, SimNode, SimRouter
-from tansycrank.pg.errors import REFUSED, PgError, retry_after
+from tansycrank import routing
+from tansycrank.admission.identity import Asker
+from tansycrank.admission.policy import Limits, Policy, Settings
+from tansycrank.postgres.errors import REFUSED, PgError, retry_after
+from tansycrank.testbed.simulated import SimClock, SimNode, SimRouter
 
 TRIES = 6  # times a patient client comes back for one query
 AIM = 1000.0
@@ -36,7 +36,7 @@
     limits: Limits = Limits()
     begins: float = 0.0
     ends: float = 1e9
-    time_left: float = GIVE_UP
+    remaining: float = GIVE_UP
 
 
 @dataclass
@@ -76,7 +76,7 @@
     nodes: int = 12
     shards: int = 12
     slots: int = 4
-    reach: int = 3
+    replica_span: int = 3
     work_ms: float = 40.0
     seed: int = 1
     door: bool = True
@@ -99,15 +99,15 @@
             n: SimNode(self.clock, n, scene.slots, random.Random(scene.seed * 1000 + n))
             for n in range(1, scene.nodes + 1)
         }
-        settings = io.Settings(
-            classes=(io.QueryClass(aim=AIM, give_up=GIVE_UP, worth=1.0),),
-            routers=scene.routers, shards=scene.shards, cells=scene.nodes, reach=scene.reach, zones=1,
-            can_hold_off=True, hold_off_max=5000.0, must_ask=False, answer_grace=50.0, tick=1.0,
+        settings = routing.Settings(
+            classes=(routing.QueryClass(latency_objective=AIM, deadline=GIVE_UP, priority_weight=1.0),),
+            routers=scene.routers, shards=scene.shards, cells=scene.nodes, replica_span=scene.replica_span, zones=1,
+            can_retry_after=True, max_retry_after=5000.0, polls_discovery=False, answer_grace=50.0, tick=1.0,
         )  # fmt: skip
         self.routers = []
         for me in range(scene.routers):
             policy = Policy(scene.bounds) if scene.door else None
-            mine = replace(settings, me=me)
+            mine = replace(settings, router_index=me)
             self.routers.append(SimRouter(self.clock, mine, scene.seed + me, self.nodes, policy))
         self.tallies = {load.name: Tally() for load in scene.loads}
         self.promises: list[Promise] = []
@@ -178,7 +178,7 @@
             self._settle(promise, entered, tries)
 
         entered: list = []
-        entry = router.ask(asker, 0, shards, scene.work_ms, load.time_left, done, mark=mark)
+        entry = router.ask(asker, 0, shards, scene.work_ms, load.remaining, done, mark=mark)
         entered.append(entry)
         if entry.ended and not entry.inside:
             entered.clear()
@@ -206,7 +206,7 @@
 
     def _shadow(self, load: Load, router: SimRouter, promise: Promise) -> None:
         left = router.policy.would_wait(self.clock.seconds() * 1000, load.name, load.parts)
-        promise.took, promise.first = promise.wait + left, left < load.time_left
+        promise.took, promise.first = promise.wait + left, left < load.remaining
 
     # --- figures ------------------------------------------------------------------------
 
--- a/tansycrank/lab/drills.py
+++ b/tansycrank/testbed/drills.py
@@ -11,9 +11,9 @@
 import msgspec
 
 from tansycrank import clock
-from tansycrank.lab.checkers import Figures, Told, judge
-from tansycrank.lab.load import LoadSpec
-from tansycrank.lab.site import TENANT_RULES, Layout, Site
+from tansycrank.testbed.checkers import Figures, Told, judge
+from tansycrank.testbed.load import LoadSpec
+from tansycrank.testbed.site import TENANT_RULES, Layout, Site
 
 Say = Callable[[str], None]
 CONSOLES = """
@@ -75,7 +75,7 @@
         **more,
     )
     process = subprocess.Popen(
-        [sys.executable, "-m", "tansycrank.lab.load", msgspec.json.encode(spec).decode()],
+        [sys.executable, "-m", "tansycrank.testbed.load", msgspec.json.encode(spec).decode()],
         cwd=Path(__file__).parents[2],
     )
     return process, out
@@ -121,7 +121,7 @@
     with Site(layout, folder) as site:
         if broken:
             site.stop_routers()
-            site.serve = ("tansycrank.lab.sabotage", str(broken))
+            site.serve = ("tansycrank.testbed.sabotage", str(broken))
             site.start_routers()
         for me in range(layout.routers):
             site.wait_ready(me)
--- a/tansycrank/lab/engine.py
+++ b/tansycrank/testbed/engine.py
@@ -16,9 +16,9 @@
 import duckdb
 
 from tansycrank.config import Config
-from tansycrank.pg import types
-from tansycrank.pg.errors import PgError
-from tansycrank.pg.messages import Field, data_row
+from tansycrank.postgres import types
+from tansycrank.postgres.errors import PgError
+from tansycrank.postgres.messages import Field, data_row
 from tansycrank.sql.shards import shard_of
 
 DISTRICTS = (
--- a/tansycrank/lab/hammer.py
+++ b/tansycrank/testbed/hammer.py
@@ -1,5 +1,5 @@
-"""Closed-loop clients that cost little themselves: `python -m tansycrank.lab.hammer SPEC`. Bounded
-in time.
+"""Closed-loop clients that cost little themselves: `python -m tansycrank.testbed.hammer SPEC`.
+Bounded in time.
 
 Each connection sends prepared bytes and waits for ReadyForQuery. Prints counts and latencies as
 JSON.
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from tansycrank.pg import messages as pg
+from tansycrank.postgres import messages as pg
 
 READY = b"Z\x00\x00\x00\x05"
 
--- a/tansycrank/lab/load.py
+++ b/tansycrank/testbed/load.py
@@ -1,4 +1,5 @@
-"""Clients with a mix of queries: `python -m tansycrank.lab.load SPEC`. Bounded in count and time.
+"""Clients with a mix of queries: `python -m tansycrank.testbed.load SPEC`. Bounded in count and
+time.
 
 Each client notes what it sent and heard (JSON a line). Answers are compared with the unsharded
 reference.
@@ -17,7 +18,7 @@
 import psycopg
 
 from tansycrank import clock, config
-from tansycrank.lab.engine import DISTRICTS, Engine
+from tansycrank.testbed.engine import DISTRICTS, Engine
 
 WRITE_IDS = 1_000_000_000  # ids of rows that loads write; readers look below
 REPORTERS = 2  # clients that ask for all trips, again and again: a large report beside the rest
--- a/tansycrank/lab/measure_door.py
+++ b/tansycrank/testbed/measure_door.py
@@ -19,12 +19,12 @@
 
 import msgspec
 
-from tansycrank.door.policy import Admit, Arrived, Ended, Limits, Policy, Settings, Tick
-from tansycrank.lab.doorlab import Load, Play, Scene, jain
-from tansycrank.lab.engine import DISTRICTS
-from tansycrank.lab.measures import cpu_seconds, machine, memory
-from tansycrank.lab.site import TENANT_RULES, Layout, Site
-from tansycrank.lab.tenants import TenantSpec, TenantsSpec
+from tansycrank.admission.policy import Admit, Arrived, Ended, Limits, Policy, Settings, Tick
+from tansycrank.testbed.doorlab import Load, Play, Scene, jain
+from tansycrank.testbed.engine import DISTRICTS
+from tansycrank.testbed.measures import cpu_seconds, machine, memory
+from tansycrank.testbed.site import TENANT_RULES, Layout, Site
+from tansycrank.testbed.tenants import TenantSpec, TenantsSpec
 
 ROOT = Path(__file__).parents[2]
 MIB = 1 << 20
@@ -50,7 +50,7 @@
                     [
                         sys.executable,
                         "-m",
-                        "tansycrank.lab.tenants",
+                        "tansycrank.testbed.tenants",
                         msgspec.json.encode(spec).decode(),
                     ],
                     stdout=subprocess.PIPE,
--- a/tansycrank/lab/measure_merge.py
+++ b/tansycrank/testbed/measure_merge.py
@@ -12,10 +12,10 @@
 
 import msgspec
 
-from tansycrank.lab.bulk import ID_BASE
-from tansycrank.lab.bulksite import BulkLayout, BulkSite, Checker, ask, skewed
-from tansycrank.lab.hammer import HammerSpec
-from tansycrank.lab.measures import cpu_seconds, machine, memory
+from tansycrank.testbed.bulk import ID_BASE
+from tansycrank.testbed.bulksite import BulkLayout, BulkSite, Checker, ask, skewed
+from tansycrank.testbed.hammer import HammerSpec
+from tansycrank.testbed.measures import cpu_seconds, machine, memory
 
 MIB = 1 << 20
 GROUPS = 1_000_000
@@ -69,7 +69,7 @@
     lookups = tuple(f"SELECT id, g, v FROM bulk WHERE id = {ID_BASE + n}" for n in range(0, 160, 7))
     report: dict = {"large merges": large}
     with BulkSite(layout) as site:
-        command = [sys.executable, "-m", "tansycrank.lab.hammer"]
+        command = [sys.executable, "-m", "tansycrank.testbed.hammer"]
 
         def hammer(
             statements: tuple[str, ...], connections: int, span: float, port=0
--- a/tansycrank/lab/measures.py
+++ b/tansycrank/testbed/measures.py
@@ -13,9 +13,9 @@
 
 import msgspec
 
-from tansycrank.lab.hammer import READY, HammerSpec, dial
-from tansycrank.lab.site import Layout, Site
-from tansycrank.pg import messages as pg
+from tansycrank.postgres import messages as pg
+from tansycrank.testbed.hammer import READY, HammerSpec, dial
+from tansycrank.testbed.site import Layout, Site
 
 Say = Callable[[str], None]
 TICK = os.sysconf("SC_CLK_TCK")
@@ -109,7 +109,12 @@
 ) -> dict:
     """Answers a second in all, and a second of the router's own CPU."""
     spec = HammerSpec(port, tuple(statements), connections, seconds)
-    command = [sys.executable, "-m", "tansycrank.lab.hammer", msgspec.json.encode(spec).decode()]
+    command = [
+        sys.executable,
+        "-m",
+        "tansycrank.testbed.hammer",
+        msgspec.json.encode(spec).decode(),
+    ]
     running = [
         subprocess.Popen(command, stdout=subprocess.PIPE, cwd=ROOT) for _ in range(processes)
     ]
--- a/tansycrank/lab/node.py
+++ b/tansycrank/testbed/node.py
@@ -1,4 +1,4 @@
-"""A stand-in data node: `python -m tansycrank.lab.node SPEC` with SPEC in JSON. Loopback only.
+"""A stand-in data node: `python -m tansycrank.testbed.node SPEC` with SPEC in JSON. Loopback only.
 
 It speaks the PostgreSQL wire, runs real SQL on the engine, behaves as the model says, and notes
 each message that passed on its sockets in a journal (JSON a line) from which checkers judge. Faults
@@ -19,15 +19,15 @@
 from twisted.protocols.basic import LineOnlyReceiver, LineReceiver
 
 from tansycrank import config as settings
-from tansycrank.lab.engine import Engine, to_engine
-from tansycrank.lab.model import Job, Nature, ServiceModel
-from tansycrank.lab.process import listen, reactor, serve
-from tansycrank.pg import messages as pg
-from tansycrank.pg import types
-from tansycrank.pg.errors import PgError, cancelled
-from tansycrank.router.links import REQUEST_KEY
+from tansycrank.postgres import messages as pg
+from tansycrank.postgres import types
+from tansycrank.postgres.errors import PgError, cancelled
 from tansycrank.sql.infer import parameter_types
 from tansycrank.sql.planner import split_comment
+from tansycrank.sql_router.links import REQUEST_KEY
+from tansycrank.testbed.engine import Engine, to_engine
+from tansycrank.testbed.model import Job, Nature, ServiceModel
+from tansycrank.testbed.process import listen, reactor, serve
 
 JOURNAL_LIMIT = 64 * 1024 * 1024  # bytes; a journal longer than that ends the node
 CLAIMED_AT = struct.Struct("=d")  # ms of the monotonic clock, which all nodes of a machine share
@@ -472,7 +472,7 @@
         )
         if len(self.node.writes) > before:
             self.node.replicate(write)
-        from tansycrank.lab.engine import Rows
+        from tansycrank.testbed.engine import Rows
 
         return Rows(None, [], tag)
 
--- a/tansycrank/lab/preload/stepped.py
+++ b/tansycrank/testbed/preload/stepped.py
@@ -1,5 +1,5 @@
-"""Runs a command under a wall clock that is stepped: `python -m tansycrank.lab.preload.stepped SEED
-COMMAND`.
+"""Runs a command under a wall clock that is stepped: `python -m tansycrank.testbed.preload.stepped
+SEED COMMAND`.
 
 All processes of the command share one wall clock, which is wrong from the start and is stepped by
 seconds or an hour, back or forward, once a second in the mean until the command ends. Its exit
@@ -16,8 +16,8 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from tansycrank.lab.preload import WallClock
-from tansycrank.lab.soak.plan import STEPS
+from tansycrank.testbed.preload import WallClock
+from tansycrank.testbed.soak.plan import STEPS
 
 BETWEEN = (0.2, 2.0)  # s between two steps
 
--- a/tansycrank/lab/roster.py
+++ b/tansycrank/testbed/roster.py
@@ -1,4 +1,4 @@
-"""A stand-in roster: `python -m tansycrank.lab.roster SPEC`. It tells what it was told, late on
+"""A stand-in roster: `python -m tansycrank.testbed.roster SPEC`. It tells what it was told, late on
 purpose.
 
 Feed: JSON a line, as `roster.view.FeedLine`. Control line: {"set": {node...}, "delay_ms": n}
@@ -12,8 +12,8 @@
 import msgspec
 from twisted.protocols.basic import LineOnlyReceiver
 
-from tansycrank.lab.process import listen, reactor, serve
-from tansycrank.roster.view import FeedLine, NodeLine
+from tansycrank.discovery.view import FeedLine, NodeLine
+from tansycrank.testbed.process import listen, reactor, serve
 
 BEAT = 1.0  # seconds
 KEPT = 1000  # changes a watcher may catch up on
--- a/tansycrank/lab/sabotage.py
+++ b/tansycrank/testbed/sabotage.py
@@ -1,4 +1,4 @@
-"""A router with one rule broken on purpose: `python -m tansycrank.lab.sabotage RULE --config F
+"""A router with one rule broken on purpose: `python -m tansycrank.testbed.sabotage RULE --config F
 --announce`.
 
 It shows that the checkers catch what they are for. Nothing of it is reachable from the product.
@@ -11,11 +11,10 @@
 
 import msgspec
 
-from tansycrank import config, daemon
-from tansycrank import interface as io
+from tansycrank import config, daemon, routing
 from tansycrank.merge.blocks import PartStream
-from tansycrank.pg.errors import PgError
-from tansycrank.router import coordinator, service
+from tansycrank.postgres.errors import PgError
+from tansycrank.sql_router import coordinator, service
 
 
 class _Unchecked:
@@ -28,12 +27,12 @@
 class _Extra(coordinator.Coordinator):
     """Sends that the module never asked for."""
 
-    def extra(self, server: int, request, time_out: float) -> None:
+    def extra(self, endpoint: int, request, time_out: float) -> None:
         """One of them; its rows are dropped."""
         memory = self.keeper.open(False)
         stream = PartStream(memory, request.shard)
         self.pools.send(
-            server, request, stream, time_out, lambda ended: memory.close(), _Unchecked()
+            endpoint, request, stream, time_out, lambda ended: memory.close(), _Unchecked()
         )
 
 
@@ -41,48 +40,60 @@
     """Rule 1: a part goes out again most of a second after its query's final answer."""
 
     def _forget(self, job, answer) -> None:
-        parts = list(job.parts)
+        shard_requests = list(job.shard_requests)
         super()._forget(job, answer)
-        for part in parts[:1]:
-            if part.attempts:
+        for shard_request in shard_requests[:1]:
+            if shard_request.attempts:
                 self.reactor.callLater(
-                    0.8, self.extra, part.attempts[0].server, part.request, 500.0
+                    0.8,
+                    self.extra,
+                    shard_request.attempts[0].endpoint,
+                    shard_request.request,
+                    500.0,
                 )
 
 
 class RepeatsUnsafe(coordinator.Coordinator):
     """Rule 2: a connection that broke after the send is called one that never stood."""
 
-    def _ended(self, job, part, number, server, result) -> None:
-        if result.outcome in (io.Outcome.BROKEN_OFF, io.Outcome.ERROR, io.Outcome.TIMED_OUT):
-            result.outcome = io.Outcome.UNCONNECTED
-        super()._ended(job, part, number, server, result)
+    def _ended(self, job, shard_request, number, endpoint, result) -> None:
+        if result.outcome in (
+            routing.Outcome.CONNECTION_LOST,
+            routing.Outcome.ERROR,
+            routing.Outcome.TIMED_OUT,
+        ):
+            result.outcome = routing.Outcome.CONNECT_FAILED
+        super()._ended(job, shard_request, number, endpoint, result)
 
 
 class DeafToDrains(coordinator.Coordinator):
     """Rule 3: a drain is heard as nothing."""
 
     def heard_list(self, event) -> None:
-        entries = tuple(replace(e, status=io.Status.READY) for e in event.entries)
-        super().heard_list(io.ServerList(event.kind, entries))
+        entries = tuple(replace(e, status=routing.EndpointStatus.IN_SERVICE) for e in event.entries)
+        super().heard_list(routing.EndpointListUpdate(event.kind, entries))
 
 
 class FloodsTheCold(_Extra):
     """Rule 4: cold nodes are taken for warm, and get each part many times."""
 
     def heard_list(self, event) -> None:
-        self.cold = getattr(self, "cold", set()) | {e.server for e in event.entries if e.came_up}
+        self.cold = getattr(self, "cold", set()) | {
+            e.endpoint for e in event.entries if e.started_at
+        }
         super().heard_list(
-            io.ServerList(event.kind, tuple(replace(e, came_up=0.0) for e in event.entries))
+            routing.EndpointListUpdate(
+                event.kind, tuple(replace(e, started_at=0.0) for e in event.entries)
+            )
         )
 
     def _send(self, action) -> None:
         super()._send(action)
-        if action.server in getattr(self, "cold", ()):
-            _, part = self._parts[action.part]
+        if action.endpoint in getattr(self, "cold", ()):
+            _, shard_request = self._parts[action.shard_request]
             self.pools.store = msgspec.structs.replace(self.pools.store, max_links=2000)
             for _ in range(200):
-                self.extra(action.server, part.request, 2000.0)
+                self.extra(action.endpoint, shard_request.request, 2000.0)
 
 
 class CopiesAll(_Extra):
@@ -90,8 +101,8 @@
 
     def _send(self, action) -> None:
         super()._send(action)
-        _, part = self._parts[action.part]
-        self.extra(action.server, part.request, 500.0)
+        _, shard_request = self._parts[action.shard_request]
+        self.extra(action.endpoint, shard_request.request, 500.0)
 
 
 class AnswersInPart(service.Service):
--- a/tansycrank/lab/simulated.py
+++ b/tansycrank/testbed/simulated.py
@@ -15,14 +15,14 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from tansycrank import interface as io
-from tansycrank.door.gate import Gate
-from tansycrank.door.policy import Policy
+from tansycrank import routing
+from tansycrank.admission.gate import Gate
+from tansycrank.admission.policy import Policy
 from tansycrank.lifecycle import Attempt
 from tansycrank.merge.blocks import Keeper
 from tansycrank.merge.spill import SpillSpace
-from tansycrank.router.coordinator import Coordinator
-from tansycrank.router.links import Ended, PartRequest
+from tansycrank.sql_router.coordinator import Coordinator
+from tansycrank.sql_router.links import Ended, PartRequest
 
 
 class Call:
@@ -91,7 +91,7 @@
     def take(self, sending: SimSending) -> None:
         """A part has come."""
         if not self.alive:
-            self.clock.callLater(0.001, sending.finish, Ended(io.Outcome.UNCONNECTED))
+            self.clock.callLater(0.001, sending.finish, Ended(routing.Outcome.CONNECT_FAILED))
             return
         self.line.append(sending)
         self._start()
@@ -111,7 +111,7 @@
             del self.running[sending]
             self.free += 1
             self.done_work += work
-            sending.finish(Ended(io.Outcome.ANSWERED))
+            sending.finish(Ended(routing.Outcome.SUCCEEDED))
             self._start()
 
     def die(self) -> None:
@@ -122,7 +122,7 @@
         self.line.clear()
         self.free = self.slots
         for sending in lost:
-            self.clock.callLater(0.001, sending.finish, Ended(io.Outcome.BROKEN_OFF))
+            self.clock.callLater(0.001, sending.finish, Ended(routing.Outcome.CONNECTION_LOST))
 
     def come_back(self) -> None:
         """It serves again."""
@@ -133,7 +133,7 @@
 class SimSending:
     """One send, with what the coordinator looks at."""
 
-    server: int
+    endpoint: int
     stream: Any
     done: Callable[[Ended], None]
     work_ms: float
@@ -161,7 +161,7 @@
 
     def send(
         self,
-        server: int,
+        endpoint: int,
         request: PartRequest,
         stream,
         time_out: float,
@@ -170,22 +170,22 @@
     ) -> SimSending:
         """As `Pools.send`."""
         if attempt.start(self.clock.seconds() * 1000) is not None:
-            sending = SimSending(server, stream, done, 0.0)
-            self.clock.callLater(0, sending.finish, Ended(io.Outcome.NOT_SENT))
+            sending = SimSending(endpoint, stream, done, 0.0)
+            self.clock.callLater(0, sending.finish, Ended(routing.Outcome.NOT_SENT))
             return sending
-        sending = SimSending(server, stream, done, float(request.sql))
+        sending = SimSending(endpoint, stream, done, float(request.sql))
         if time_out > 0:
             sending.timer = self.clock.callLater(
-                time_out / 1000, sending.finish, Ended(io.Outcome.TIMED_OUT)
+                time_out / 1000, sending.finish, Ended(routing.Outcome.TIMED_OUT)
             )
-        self.clock.callLater(0.0002, self.nodes[server].take, sending)
+        self.clock.callLater(0.0002, self.nodes[endpoint].take, sending)
         return sending
 
     def cancel(self, sending: SimSending) -> None:
         """Stop waiting; the node drops what has not begun."""
-        sending.finish(Ended(io.Outcome.CANCELLED))
+        sending.finish(Ended(routing.Outcome.CANCELLED))
 
-    def close_idle(self, server: int) -> None:
+    def close_idle(self, endpoint: int) -> None:
         """There are no links."""
 
 
@@ -194,7 +194,7 @@
     """One router: its door and its coordinator."""
 
     clock: SimClock
-    settings: io.Settings
+    settings: routing.Settings
     seed: int
     nodes: dict[int, SimNode]
     policy: Policy | None
@@ -216,14 +216,21 @@
     def list_nodes(self, cells: int, zones: int) -> None:
         """The roster speaks: all nodes that live."""
         entries = tuple(
-            io.Listed(n.number, (n.number - 1) % cells, (n.number - 1) % zones, io.Status.READY)
+            routing.EndpointEntry(
+                n.number,
+                (n.number - 1) % cells,
+                (n.number - 1) % zones,
+                routing.EndpointStatus.IN_SERVICE,
+            )
             for n in self.nodes.values()
             if n.alive
         )
-        self.coordinator.heard_list(io.ServerList(io.ListKind.FULL, entries))
+        self.coordinator.heard_list(
+            routing.EndpointListUpdate(routing.EndpointListKind.SNAPSHOT, entries)
+        )
 
     def ask(
-        self, asker, query_class: int, shards: list[int], work_ms: float, time_left: float, done,
+        self, asker, query_class: int, shards: list[int], work_ms: float, remaining: float, done,
         statement: int = 0, mark: int = 0, repeat: bool = False,
     ):  # fmt: skip
         """A query of parts at these shards; `done` hears "answered" or the error."""
@@ -238,5 +245,5 @@
             return job
 
         return self.gate.enter(
-            asker, query_class, len(shards), time_left, start, done, statement, mark, 100, repeat
+            asker, query_class, len(shards), remaining, start, done, statement, mark, 100, repeat
         )
--- a/tansycrank/lab/site.py
+++ b/tansycrank/testbed/site.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from tansycrank import clock
-from tansycrank.lab import engine
+from tansycrank.testbed import engine
 
 SETTINGS = """\
 [router]
@@ -234,7 +234,7 @@
             for node in self.nodes.values():
                 self._ports(node)
             self.roster = self._python(
-                "tansycrank.lab.roster",
+                "tansycrank.testbed.roster",
                 msgspec.json.encode([self._line(n) for n in self.nodes.values()]).decode(),
             )
             told = msgspec.json.decode(self.roster.stdout.readline())
@@ -277,7 +277,7 @@
             "claims": str(self.folder),
             "nature": {"cold_ms": layout.cold_ms, **layout.nature},
         }
-        node.process = self._python("tansycrank.lab.node", msgspec.json.encode(spec).decode())
+        node.process = self._python("tansycrank.testbed.node", msgspec.json.encode(spec).decode())
 
     def _ports(self, node: NodeProcess) -> None:
         line = node.process.stdout.readline()
--- a/tansycrank/lab/soak/clients.py
+++ b/tansycrank/testbed/soak/clients.py
@@ -1,5 +1,5 @@
-"""Clients of the routers: `python -m tansycrank.lab.soak.clients SPEC`, SPEC in JSON. Bounded in
-count.
+"""Clients of the routers: `python -m tansycrank.testbed.soak.clients SPEC`, SPEC in JSON. Bounded
+in count.
 
 Orders on the control line: {"router": n, "accepts": bool} whether new connections may be made to a
 router, {"burst": bool} whether all ask without a pause, {"stop": true}: finish what is open, write
@@ -20,10 +20,10 @@
 import msgspec
 
 from tansycrank.clock import monotonic_ms
-from tansycrank.lab.soak import records
-from tansycrank.lab.soak.plan import EFFECTS, SHARDS
-from tansycrank.lab.soak.process import announce, control, until_orphaned
-from tansycrank.lab.soak.records import ClientRecord, Ending, HalfRequest
+from tansycrank.testbed.soak import records
+from tansycrank.testbed.soak.plan import EFFECTS, SHARDS
+from tansycrank.testbed.soak.process import announce, control, until_orphaned
+from tansycrank.testbed.soak.records import ClientRecord, Ending, HalfRequest
 
 MOST_SHARDS = 4  # of one request
 THINK = 0.1  # s between two requests of a client, in the mean
@@ -232,8 +232,8 @@
 
 def request_bytes(id: str, name: str, shards: tuple[int, ...], deadline: int) -> bytes:
     """A request as clients of the platform write it."""
-    parts = [{"shard": shard, "weight": 1 / len(shards)} for shard in shards]
-    body = json.dumps({"shards": parts, "q": "c41e77d0"})
+    shard_requests = [{"shard": shard, "weight": 1 / len(shards)} for shard in shards]
+    body = json.dumps({"shards": shard_requests, "q": "c41e77d0"})
     key = f"Idempotency-Key: key-{id}\r\n" if EFFECTS[name] == "idempotency_key" else ""
     return (
         f"POST /{name}?obj=7f3a9c21e0b4d655 HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: {id}\r\n"
--- a/tansycrank/lab/soak/discovery.py
+++ b/tansycrank/testbed/soak/discovery.py
@@ -1,4 +1,5 @@
-"""A stand-in of service discovery: `python -m tansycrank.lab.soak.discovery SPEC`, SPEC in JSON.
+"""A stand-in of service discovery: `python -m tansycrank.testbed.soak.discovery SPEC`, SPEC in
+JSON.
 
 Each router has ports of its own, by which it is known. Orders on the control line: {"version": n,
 "entry": {...}} for a change, {"reset": true} to reset all open watches, {"crowded": bool} whether
@@ -14,8 +15,8 @@
 import msgspec
 
 from tansycrank.clock import monotonic_ms
-from tansycrank.lab.soak.process import Journal, announce, control, listen, until_orphaned
-from tansycrank.lab.soak.records import Told
+from tansycrank.testbed.soak.process import Journal, announce, control, listen, until_orphaned
+from tansycrank.testbed.soak.records import Told
 
 EOF_BEHIND = 0.002  # s in which an end of the connection that lies behind a request is read
 BEAT = 2.0  # s between words on a watch, as long as nothing changes
--- a/tansycrank/lab/soak/fleet.py
+++ b/tansycrank/testbed/soak/fleet.py
@@ -18,15 +18,15 @@
 import msgspec
 
 from tansycrank import clock
-from tansycrank.lab.ports import ReservedPort
-from tansycrank.lab.preload import FailingCalls, WallClock, environment
-from tansycrank.lab.soak import records
-from tansycrank.lab.soak.clients import ClientsSpec
-from tansycrank.lab.soak.discovery import DiscoverySpec
-from tansycrank.lab.soak.node import FELL, NodeSpec
-from tansycrank.lab.soak.oracle import Evidence
-from tansycrank.lab.soak.plan import SHARDS, ZONES, Fault, FaultKind, Plan
-from tansycrank.lab.soak.records import ClientRecord, FaultRecord, HalfRequest, NodeEvent, Told
+from tansycrank.testbed.ports import ReservedPort
+from tansycrank.testbed.preload import FailingCalls, WallClock, environment
+from tansycrank.testbed.soak import records
+from tansycrank.testbed.soak.clients import ClientsSpec
+from tansycrank.testbed.soak.discovery import DiscoverySpec
+from tansycrank.testbed.soak.node import FELL, NodeSpec
+from tansycrank.testbed.soak.oracle import Evidence
+from tansycrank.testbed.soak.plan import SHARDS, ZONES, Fault, FaultKind, Plan
+from tansycrank.testbed.soak.records import ClientRecord, FaultRecord, HalfRequest, NodeEvent, Told
 
 ROOT = Path(__file__).parents[3]
 STARTS_WITHIN = 30.0  # s for a process to say that it stands
@@ -64,7 +64,12 @@
 def start_module(module: str, spec: msgspec.Struct) -> tuple[subprocess.Popen, dict]:
     """A stand-in process, and what it announced."""
     process = subprocess.Popen(
-        [sys.executable, "-m", f"tansycrank.lab.soak.{module}", msgspec.json.encode(spec).decode()],
+        [
+            sys.executable,
+            "-m",
+            f"tansycrank.testbed.soak.{module}",
+            msgspec.json.encode(spec).decode(),
+        ],
         stdout=subprocess.PIPE,
         cwd=ROOT,
     )
@@ -199,7 +204,9 @@
     def __init__(self, plan: Plan, folder: Path, bug: str = "") -> None:
         """`bug` names one of `seeded_bugs`, which the routers shall have."""
         self.plan, self.folder = plan, folder
-        self.program = ("tansycrank.lab.soak.seeded_bugs", bug) if bug else ("tansycrank", "run")
+        self.program = (
+            ("tansycrank.testbed.soak.seeded_bugs", bug) if bug else ("tansycrank", "run")
+        )
         self.began = 0.0
         self.version = 1
         self.entries: dict[str, dict] = {}
--- a/tansycrank/lab/soak/node.py
+++ b/tansycrank/testbed/soak/node.py
@@ -1,4 +1,5 @@
-"""A stand-in data node of the platform: `python -m tansycrank.lab.soak.node SPEC`, SPEC in JSON.
+"""A stand-in data node of the platform: `python -m tansycrank.testbed.soak.node SPEC`, SPEC in
+JSON.
 
 It answers each sub-request with a value that names it, after some work on its cores, and notes what
 came. Orders on its control line: {"errors" | "busy" | "spoilt": share, "slow": factor, "reset":
@@ -16,8 +17,8 @@
 import msgspec
 
 from tansycrank.clock import monotonic_ms
-from tansycrank.lab.soak.process import Journal, announce, control, listen, until_orphaned
-from tansycrank.lab.soak.records import NodeEvent, NodeEventKind
+from tansycrank.testbed.soak.process import Journal, announce, control, listen, until_orphaned
+from tansycrank.testbed.soak.records import NodeEvent, NodeEventKind
 
 CORES = 2
 MEAN_WORK = 20.0  # ms
@@ -33,7 +34,7 @@
     journal: str
     seed: int
     port: int = 0
-    came_up: float = 0.0
+    started_at: float = 0.0
     idle: float = 4_000.0
     cold_time: float = 4_000.0
     cold_from: float = 0.3
@@ -76,9 +77,9 @@
 
     def warmth(self, at: float) -> float:
         """The share of its capacity that it has."""
-        if not self.spec.came_up:
+        if not self.spec.started_at:
             return 1.0
-        age = max(at - self.spec.came_up, 0.0) / self.spec.cold_time
+        age = max(at - self.spec.started_at, 0.0) / self.spec.cold_time
         return min(self.spec.cold_from + (1 - self.spec.cold_from) * age, 1.0)
 
     def count_arrival(self) -> None:
--- a/tansycrank/lab/soak/oracle.py
+++ b/tansycrank/testbed/soak/oracle.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from tansycrank.lab.soak.plan import FaultKind, Plan
-from tansycrank.lab.soak.records import (
+from tansycrank.testbed.soak.plan import FaultKind, Plan
+from tansycrank.testbed.soak.records import (
     ClientRecord,
     Ending,
     FaultRecord,
--- a/tansycrank/lab/soak/plan.py
+++ b/tansycrank/testbed/soak/plan.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from tansycrank.lab.preload import CallFailure
+from tansycrank.testbed.preload import CallFailure
 
 SHARDS = 6  # as many as the fewest data nodes, so that each shard has its three replicas
 ZONES = ("a", "b", "c")
--- a/tansycrank/lab/soak/process.py
+++ b/tansycrank/testbed/soak/process.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from tansycrank.lab.soak.records import Record
+from tansycrank.testbed.soak.records import Record
 
 Handler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 LIMIT = 1 << 20  # bytes of one line or frame
--- a/tansycrank/lab/soak/run.py
+++ b/tansycrank/testbed/soak/run.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from tansycrank.lab.soak.fleet import Fleet
-from tansycrank.lab.soak.oracle import Invariant, Oracle, Verdict
-from tansycrank.lab.soak.plan import Plan, draw
+from tansycrank.testbed.soak.fleet import Fleet
+from tansycrank.testbed.soak.oracle import Invariant, Oracle, Verdict
+from tansycrank.testbed.soak.plan import Plan, draw
 
 CONSOLE_VIOLATIONS = 5  # told of one seed
 
--- a/tansycrank/lab/soak/seeded_bugs.py
+++ b/tansycrank/testbed/soak/seeded_bugs.py
@@ -1,4 +1,4 @@
-"""Routers with one bug put in on purpose: `python -m tansycrank.lab.soak.seeded_bugs NAME`.
+"""Routers with one bug put in on purpose: `python -m tansycrank.testbed.soak.seeded_bugs NAME`.
 
 They show that the soak catches what it is for. Nothing of it is reachable from the product.
 """
@@ -8,12 +8,11 @@
 import sys
 from collections.abc import Callable
 
-from tansycrank import clock
-from tansycrank import interface as io
-from tansycrank.lifecycle import Answer, Lifecycle
-from tansycrank.platform import daemon
-from tansycrank.platform.client_connection import ClientConnection
-from tansycrank.platform.coordinator import Coordinator
+from tansycrank import clock, routing
+from tansycrank.http_router import daemon
+from tansycrank.http_router.client_connection import ClientConnection
+from tansycrank.http_router.coordinator import Coordinator
+from tansycrank.lifecycle import AnswerKind, Lifecycle
 
 
 def wall_clock() -> None:
@@ -32,17 +31,17 @@
     """A sub-request goes out once more most of a second after its request's final answer."""
     conclude = Coordinator._conclude
 
-    def concluded(self: Coordinator, query, kind: Answer, **more) -> None:
+    def concluded(self: Coordinator, query, kind: AnswerKind, **more) -> None:
         conclude(self, query, kind, **more)
-        part = query.parts[0]
-        if part.attempts:
+        shard_request = query.shard_requests[0]
+        if shard_request.attempts:
             server = next(iter(self.pool.nodes))
             self.loop.reactor.callLater(
                 0.8,
                 self.pool.send,
-                part.name,
+                shard_request.name,
                 server,
-                part.shard,
+                shard_request.shard,
                 query.request.text,
                 500.0,
                 lambda *_: None,
@@ -56,27 +55,27 @@
     """A node that drains or is gone is taken for one in service."""
     heard = Coordinator.heard_list
 
-    def as_in_service(self: Coordinator, event: io.ServerList) -> None:
+    def as_in_service(self: Coordinator, event: routing.EndpointListUpdate) -> None:
         entries = tuple(
-            io.Listed(
+            routing.EndpointEntry(
                 one.server,
                 one.cell,
                 one.zone,
-                io.Status.READY,
-                one.came_up,
+                routing.EndpointStatus.IN_SERVICE,
+                one.started_at,
                 one.size_hint,
-                one.incarnation,
+                one.reported_incarnation,
             )
             for one in event.entries
         )
-        heard(self, io.ServerList(event.kind, entries))
+        heard(self, routing.EndpointListUpdate(event.kind, entries))
 
     Coordinator.heard_list = as_in_service
 
 
 def repeats_unsafe() -> None:
     """A connection that broke after the send is called one that never stood."""
-    io.Outcome.never_ran = property(lambda self: self is not io.Outcome.ANSWERED)
+    routing.Outcome.never_executed = property(lambda self: self is not routing.Outcome.SUCCEEDED)
 
 
 def refuses_what_ran() -> None:
@@ -84,10 +83,10 @@
     answer = Lifecycle.answer
 
     def refused(
-        self: Lifecycle, request, kind: Answer, now: float, missing: int = 0
-    ) -> Answer | None:
+        self: Lifecycle, request, kind: AnswerKind, now: float, missing: int = 0
+    ) -> AnswerKind | None:
         allowed = answer(self, request, kind, now, missing)
-        return Answer.REFUSED if allowed is Answer.FAILED else allowed
+        return AnswerKind.REJECTED if allowed is AnswerKind.FAILED else allowed
 
     Lifecycle.answer = refused
 
@@ -97,11 +96,11 @@
     conclude = Coordinator._conclude
     kept: list[str | None] = [None]
 
-    def swapped(self: Coordinator, query, kind: Answer, **more) -> None:
-        part = query.parts[0]
-        if query.id % 7 == 0 and part.value is not None and kept[0] is not None:
-            part.value = kept[0]
-        kept[0] = part.value
+    def swapped(self: Coordinator, query, kind: AnswerKind, **more) -> None:
+        shard_request = query.shard_requests[0]
+        if query.id % 7 == 0 and shard_request.value is not None and kept[0] is not None:
+            shard_request.value = kept[0]
+        kept[0] = shard_request.value
         conclude(self, query, kind, **more)
 
     Coordinator._conclude = swapped
@@ -130,11 +129,11 @@
 
 def tells_long_waits() -> None:
     """Nodes are told to work on for long after their client is served or gone."""
-    from tansycrank.platform import frames
+    from tansycrank.http_router import frames
 
     call = frames.call
-    frames.call = lambda parts: call(
-        (id, shard, wait + 5_000, *rest) for id, shard, wait, *rest in parts
+    frames.call = lambda shard_requests: call(
+        (id, shard, wait + 5_000, *rest) for id, shard, wait, *rest in shard_requests
     )
 
 
--- a/tansycrank/lab/tenants.py
+++ b/tansycrank/testbed/tenants.py
@@ -1,5 +1,5 @@
-"""Open-loop tenants on real sockets: `python -m tansycrank.lab.tenants SPEC`. Bounded in count and
-time.
+"""Open-loop tenants on real sockets: `python -m tansycrank.testbed.tenants SPEC`. Bounded in count
+and time.
 
 Queries come when they come (Poisson), whether or not earlier ones were answered; times count from
 the moment a query was due, so that a slow router omits nothing. Prints counts, histograms and
@@ -20,7 +20,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from tansycrank.lab.hammer import READY, dial
+from tansycrank.testbed.hammer import READY, dial
 
 BACKLOG = 5000  # queries of a tenant that wait for a free connection; more are given up
 TRIES = 6
--- a/tests/door/test_gate.py
+++ b/tests/admission/test_gate.py
@@ -2,10 +2,10 @@
 
 from twisted.internet.task import Clock
 
-from tansycrank.door.gate import Gate, refusal
-from tansycrank.door.identity import Asker
-from tansycrank.door.policy import Limits, Policy, Settings
-from tansycrank.pg.errors import REFUSED, PgError
+from tansycrank.admission.gate import Gate, refusal
+from tansycrank.admission.identity import Asker
+from tansycrank.admission.policy import Limits, Policy, Settings
+from tansycrank.postgres.errors import REFUSED, PgError
 
 ASKER = Asker("a", "a/x", Limits())
 
@@ -18,13 +18,13 @@
         self.gate = Gate(self.clock, Policy(Settings(**bounds)))
         self.running, self.heard, self.left = {}, {}, {}
 
-    def ask(self, name, asker=ASKER, time_left=1000.0, mark=0):
+    def ask(self, name, asker=ASKER, remaining=1000.0, mark=0):
         def start(left, done):
             self.running[name], self.left[name] = done, left
             return name
 
         return self.gate.enter(
-            asker, 0, 1, time_left, start, lambda outcome: self.heard.setdefault(name, []).append(outcome),
+            asker, 0, 1, remaining, start, lambda outcome: self.heard.setdefault(name, []).append(outcome),
             mark=mark,
         )  # fmt: skip
 
@@ -33,7 +33,7 @@
 
     def crowd(self, count=40):
         for number in range(count):
-            self.ask(f"crowd-{number}", time_left=60_000.0)
+            self.ask(f"crowd-{number}", remaining=60_000.0)
         return [n for n in (f"crowd-{k}" for k in range(count)) if n not in self.running]
 
 
@@ -91,7 +91,7 @@
 def test_who_leaves_hears_once_and_frees_the_line():
     site = Site()
     site.crowd()
-    entry = site.ask("leaver", time_left=60_000.0)
+    entry = site.ask("leaver", remaining=60_000.0)
     site.gate.leave(entry, lambda running: None)
     site.gate.leave(entry, lambda running: None)
     assert [a.state for a in site.heard["leaver"]] == ["57014"]
@@ -109,7 +109,7 @@
 def test_a_line_that_is_late_is_answered_at_its_moment():
     site = Site()
     site.crowd()
-    site.ask("hurried", time_left=200.0)
+    site.ask("hurried", remaining=200.0)
     assert "hurried" not in site.heard
     site.clock.pump([0.01] * 25)
     assert site.heard["hurried"][0].state == REFUSED
