--- a/tests/door/test_identity.py
+++ b/tests/admission/test_identity.py
@@ -8,8 +8,8 @@
 from netaddr import IPAddress, IPNetwork
 
 from tansycrank import config
-from tansycrank.door.identity import Caller, Identity, Networks, Rule, read_address
-from tansycrank.door.policy import Limits
+from tansycrank.admission.identity import Caller, Identity, Networks, Rule, read_address
+from tansycrank.admission.policy import Limits
 
 
 def rule(name, tenant=None, **keys):
--- a/tests/door/test_machine.py
+++ b/tests/admission/test_machine.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from tansycrank.door.policy import (
+from tansycrank.admission.policy import (
     Admit,
     Arrived,
     Changed,
--- a/tests/door/test_policy.py
+++ b/tests/admission/test_policy.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tansycrank.door.policy import (
+from tansycrank.admission.policy import (
     Admit,
     Arrived,
     Changed,
@@ -46,11 +46,11 @@
         while self.line and len(self.running) < self.slots:
             self.running[self.line.pop(0)] = self.now + self.work
 
-    def ask(self, tenant="a", client="c", parts=1, time_left=1000.0, mark=0, **more):
+    def ask(self, tenant="a", client="c", parts=1, remaining=1000.0, mark=0, **more):
         self.ids += 1
         number = self.ids
         self.parts[number], self.tenant_of[number] = parts, tenant
-        self.play(Arrived(number, tenant, client, 0, parts, time_left, mark=mark, **more))
+        self.play(Arrived(number, tenant, client, 0, parts, remaining, mark=mark, **more))
         return number
 
     def run(self, until, step=5.0):
@@ -229,7 +229,7 @@
     world = World().load(3, {"a": 300, "b": 300})
     told = []
     for i in range(400):
-        number = world.ask(f"n{i}", mark=1000 + i, time_left=1.0)
+        number = world.ask(f"n{i}", mark=1000 + i, remaining=1.0)
         if number in world.refused:
             told.append(world.refused[number].wait)
     assert len(told) > 300
@@ -278,9 +278,9 @@
 def test_the_full_line_pushes_out_who_holds_most_of_it():
     world = World(slots=1, work=1000.0, queries=10)
     for _ in range(30):
-        world.ask("big", time_left=1e9)
+        world.ask("big", remaining=1e9)
     assert world.policy.root.size == 10
-    number = world.ask("small", time_left=1e9)
+    number = world.ask("small", remaining=1e9)
     assert number not in world.refused
     assert any(r.reason == "pushed" for r in world.refused.values())
 
@@ -288,7 +288,7 @@
 def test_bytes_in_line_are_bounded():
     world = World(slots=1, work=1000.0, bytes=1000)
     for _ in range(40):
-        world.ask("a", time_left=1e9, size=300)
+        world.ask("a", remaining=1e9, size=300)
     assert world.policy.bytes <= 1000
     assert any(r.reason == "full" for r in world.refused.values())
 
@@ -296,7 +296,7 @@
 def test_who_cannot_make_it_any_more_leaves_at_once():
     world = World(slots=1, work=5000.0)
     for _ in range(12):
-        world.ask("a", time_left=300.0)
+        world.ask("a", remaining=300.0)
     waiting = set(world.policy.waiting)
     assert waiting
     world.now = 300.0
@@ -307,7 +307,7 @@
 
 def test_a_client_that_leaves_the_line_is_forgotten():
     world = World(slots=1, work=1000.0)
-    numbers = [world.ask("a", time_left=1e9) for _ in range(20)]
+    numbers = [world.ask("a", remaining=1e9) for _ in range(20)]
     waiting = [n for n in numbers if n in world.policy.waiting]
     for number in waiting:
         world.play(Left(number))
@@ -329,7 +329,7 @@
     marks.sort(key=lambda m: m[1])
     while world.now < 13_000:
         while marks and marks[0][1] <= world.now:
-            number = world.ask("a", mark=marks.pop(0)[0], time_left=400.0)
+            number = world.ask("a", mark=marks.pop(0)[0], remaining=400.0)
             if number in world.refused:
                 assert world.refused[number].corrected
                 corrected += 1
@@ -362,7 +362,7 @@
 def test_refusals_for_one_dead_shard_do_not_close_the_door():
     world = World(slots=20).load(3, {"a": 500})
     for _ in range(400):
-        number = world.ask("b", time_left=1000.0)
+        number = world.ask("b", remaining=1000.0)
         if number in world.admitted:
             world.line = [n for n in world.line if n != number]
             world.running.pop(number, None)
--- a/tests/door/test_simulated.py
+++ b/tests/admission/test_simulated.py
@@ -1,8 +1,8 @@
 """Door, coordinator and module together in simulated time: the same run every time."""
 
-from tansycrank.door.policy import Limits
-from tansycrank.lab.doorlab import Load, Play, Scene, jain
-from tansycrank.lab.simulated import SimClock
+from tansycrank.admission.policy import Limits
+from tansycrank.testbed.doorlab import Load, Play, Scene, jain
+from tansycrank.testbed.simulated import SimClock
 
 SITE = {"nodes": 6, "shards": 6, "slots": 2, "seed": 3}
 NAMES = [f"t{n}" for n in range(6)]
--- a/tests/door/test_turns.py
+++ b/tests/admission/test_turns.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from tansycrank.door.turns import SLICE, Turns
+from tansycrank.admission.turns import SLICE, Turns
 
 
 class Reactor:
--- a/tests/e2e/conftest.py
+++ b/tests/e2e/conftest.py
@@ -3,8 +3,8 @@
 import pytest
 
 from tansycrank import config
-from tansycrank.lab.engine import Engine
-from tansycrank.lab.site import Layout, Site, settings_text
+from tansycrank.testbed.engine import Engine
+from tansycrank.testbed.site import Layout, Site, settings_text
 
 LAYOUT = Layout(nodes=6, shards=6, scale=0.25, nature={"work_ms": 1.0})
 
--- a/tests/e2e/test_door.py
+++ b/tests/e2e/test_door.py
@@ -9,8 +9,8 @@
 import psycopg
 import pytest
 
-from tansycrank.lab.site import TENANT_RULES as RULES
-from tansycrank.lab.site import Layout, Site
+from tansycrank.testbed.site import TENANT_RULES as RULES
+from tansycrank.testbed.site import Layout, Site
 
 NATURE = {"cores": 1, "work_ms": 60.0, "cached": True}
 DISTRICT = "Quan 1"
@@ -62,11 +62,13 @@
         names = [c.name for c in cursor.description]
         rows = {row[0]: dict(zip(names, row, strict=True)) for row in cursor.fetchall()}
         assert int(rows["views"]["answered"]) >= 1
-        door = dict(link.execute("SHOW tansycrank.door").fetchall())
+        door = dict(link.execute("SHOW tansycrank.admission").fetchall())
         assert door["enabled"] == "on" and float(door["limit_parts"]) > 0
         with link.cursor(binary=True) as cursor:  # and through the extended protocol
             assert (
-                dict(cursor.execute("SHOW tansycrank.door", prepare=True).fetchall())["enabled"]
+                dict(cursor.execute("SHOW tansycrank.admission", prepare=True).fetchall())[
+                    "enabled"
+                ]
                 == "on"
             )
 
@@ -138,7 +140,7 @@
         link.close()
     time.sleep(0.5)
     with connect(slow, "t_after") as link:
-        door = dict(link.execute("SHOW tansycrank.door").fetchall())
+        door = dict(link.execute("SHOW tansycrank.admission").fetchall())
         assert int(door["queued"]) == 0 and int(door["inside_parts"]) == 0
 
 
--- a/tests/e2e/test_hard_cases.py
+++ b/tests/e2e/test_hard_cases.py
@@ -9,9 +9,9 @@
 import pytest
 
 from tansycrank.clock import monotonic_ms
-from tansycrank.lab.hammer import READY, dial
-from tansycrank.lab.model import Faults
-from tansycrank.pg import messages as pg
+from tansycrank.postgres import messages as pg
+from tansycrank.testbed.hammer import READY, dial
+from tansycrank.testbed.model import Faults
 
 CLEAN = {
     "slow": 1.0,
--- a/tests/e2e/test_large.py
+++ b/tests/e2e/test_large.py
@@ -9,11 +9,11 @@
 import psycopg
 import pytest
 
-from tansycrank.lab.bulk import GROUP_BASE, value_of
-from tansycrank.lab.bulksite import BulkLayout, BulkSite, Checker, ask, skewed
-from tansycrank.lab.hammer import dial
-from tansycrank.lab.measures import memory
-from tansycrank.pg import messages as pg
+from tansycrank.postgres import messages as pg
+from tansycrank.testbed.bulk import GROUP_BASE, value_of
+from tansycrank.testbed.bulksite import BulkLayout, BulkSite, Checker, ask, skewed
+from tansycrank.testbed.hammer import dial
+from tansycrank.testbed.measures import memory
 
 MIB = 1 << 20
 LAYOUT = BulkLayout(
--- a/tests/e2e/test_many_clients.py
+++ b/tests/e2e/test_many_clients.py
@@ -9,7 +9,7 @@
 import psycopg
 import sqlalchemy as sa
 
-from tansycrank.lab.load import questions, same_rows
+from tansycrank.testbed.load import questions, same_rows
 
 PSYCOPG, ASYNCPG, ALCHEMY, EACH = 100, 70, 36, 6
 DEADLINE = 4.0
--- a/tests/e2e/test_random_statements.py
+++ b/tests/e2e/test_random_statements.py
@@ -11,8 +11,8 @@
 import psycopg
 import pytest
 
-from tansycrank.lab.engine import DISTRICTS
-from tansycrank.lab.site import Layout, Site
+from tansycrank.testbed.engine import DISTRICTS
+from tansycrank.testbed.site import Layout, Site
 
 # the data of `conftest.reference`
 LAYOUT = Layout(nodes=6, shards=6, scale=0.25, nature={"work_ms": 1.0})
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -5,10 +5,10 @@
 
 from tansycrank import config
 from tansycrank.merge.rows import Result
-from tansycrank.pg import messages as pg
-from tansycrank.pg.server import FrontFactory
-from tansycrank.router.service import Running, Service
+from tansycrank.postgres import messages as pg
+from tansycrank.postgres.server import FrontFactory
 from tansycrank.sql.planner import Planner
+from tansycrank.sql_router.service import Running, Service
 
 
 class Core(Service):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,10 +1,12 @@
 """Time driven by hand: a router, its settings and a clock that tests move."""
 
-from tansycrank import interface as io
-from tansycrank.brain import Router
+from tansycrank import routing
 from tansycrank.lifecycle import Lifecycle
+from tansycrank.routing.policy import RoutingPolicy
 
-SAFE = io.QueryClass(aim=1000.0, give_up=4000.0, worth=1.0, late_worth=0.5)
+SAFE = routing.QueryClass(
+    latency_objective=1000.0, deadline=4000.0, priority_weight=1.0, late_weight=0.5
+)
 
 
 def settings(*classes, **changes):
@@ -14,85 +16,97 @@
         tick=5.0,
         shards=1,
         cells=1,
-        reach=1,
-        attempts_cap=3,
+        replica_span=1,
+        max_attempts=3,
         answer_grace=20.0,
         drain_grace=500.0,
-        cold_multiple=2.0,
-        cold_window=1000.0,
-        cold_from=0.2,
-        cold_time=10_000.0,
+        slow_start_overload_factor=2.0,
+        slow_start_window=1000.0,
+        slow_start_initial_share=0.2,
+        slow_start_duration=10_000.0,
     )
-    return io.Settings(**(base | changes))
+    return routing.Settings(**(base | changes))
 
 
-def listed(server, cell=0, zone=0, status=io.Status.READY, came_up=0.0):
-    return io.Listed(server, cell, zone, status, came_up)
+def listed(endpoint, cell=0, zone=0, status=routing.EndpointStatus.IN_SERVICE, started_at=0.0):
+    return routing.EndpointEntry(endpoint, cell, zone, status, started_at)
 
 
 class Bench:
     """Plays events to one router and keeps what it did."""
 
-    def __init__(self, cfg, servers=(1, 2, 3), seed=7, start=100_000.0):
-        self.router, self.now, self.tick = Router(cfg, seed), start, cfg.tick
+    def __init__(self, cfg, endpoints=(1, 2, 3), seed=7, start=100_000.0):
+        self.router, self.now, self.tick = RoutingPolicy(cfg, seed), start, cfg.tick
         self.ids, self.numbers, self.attempts = 1000, 0, {}
         self.done = []
-        entries = tuple(s if isinstance(s, io.Listed) else listed(s) for s in servers)
-        self.step(io.ServerList(io.ListKind.CACHED, entries))
+        entries = tuple(s if isinstance(s, routing.EndpointEntry) else listed(s) for s in endpoints)
+        self.step(routing.EndpointListUpdate(routing.EndpointListKind.CACHED, entries))
 
     def step(self, *events, after=0.0):
         self.now += after
         actions = self.router.step(self.now, list(events))
         self.done.append((self.now, actions))
         for action in actions:
-            if isinstance(action, io.Send):
-                self.attempts.setdefault(action.part, []).append((self.now, action.server))
+            if isinstance(action, routing.Send):
+                self.attempts.setdefault(action.shard_request, []).append(
+                    (self.now, action.endpoint)
+                )
         return actions
 
     def run(self, ms):
         """Pass time in ticks, waking the router each time."""
         acted = []
         for _ in range(int(ms / self.tick)):
-            acted += self.step(io.Woken(1), after=self.tick)
+            acted += self.step(routing.TimerExpired(1), after=self.tick)
         return acted
 
     def query(
-        self, parts=1, query_class=0, time_left=4000.0, shards=None, weights=None, repeat=False
+        self,
+        shard_requests=1,
+        query_class=0,
+        remaining=4000.0,
+        shards=None,
+        weights=None,
+        repeat=False,
     ):
         """A query arrives; returns (query id, part ids, actions)."""
         self.numbers += 1
         query = self.ids = self.ids + 1
         events = [
-            io.QueryArrived(query, self.numbers, query_class, time_left, parts, repeat=repeat)
+            routing.QueryArrived(
+                query, self.numbers, query_class, remaining, shard_requests, repeat=repeat
+            )
         ]
         ids = []
-        for index in range(parts):
+        for index in range(shard_requests):
             self.ids += 1
             ids.append(self.ids)
             events.append(
-                io.PartArrived(
+                routing.ShardRequestArrived(
                     self.ids,
                     self.numbers,
                     shards[index] if shards else 0,
-                    weights[index] if weights else 1 / parts,
+                    weights[index] if weights else 1 / shard_requests,
                 )
             )
         return query, ids, self.step(*events)
 
-    def end(self, part, attempt=None, outcome=io.Outcome.ANSWERED, after=0.0):
+    def end(self, shard_request, attempt=None, outcome=routing.Outcome.SUCCEEDED, after=0.0):
         """The last (or the numbered) attempt of a part ends."""
-        number = len(self.attempts[part]) - 1 if attempt is None else attempt
-        sent, server = self.attempts[part][number]
+        number = len(self.attempts[shard_request]) - 1 if attempt is None else attempt
+        sent, endpoint = self.attempts[shard_request][number]
         return self.step(
-            io.AttemptEnded(part, number, server, outcome, max(self.now + after - sent, 1.0)),
+            routing.AttemptEnded(
+                shard_request, number, endpoint, outcome, max(self.now + after - sent, 1.0)
+            ),
             after=after,
         )
 
-    def teach(self, took=100.0, answers=30, gap=50.0):
+    def teach(self, latency=100.0, answers=30, gap=50.0):
         """Ordinary traffic: so many answers in this time, by turns."""
         for _ in range(answers):
-            _, (part,), _ = self.query()
-            self.end(part, after=took)
+            _, (shard_request,), _ = self.query()
+            self.end(shard_request, after=latency)
             self.run(gap)
 
 
@@ -103,13 +117,23 @@
 class Lives:
     """Attempts for tests of connections: each the only one of a request of its own."""
 
-    def __init__(self, servers=range(1, 10)):
-        settings = io.Settings(classes=(io.QueryClass(aim=1000.0, give_up=2000.0, worth=1.0),))
+    def __init__(self, endpoints=range(1, 10)):
+        settings = routing.Settings(
+            classes=(
+                routing.QueryClass(latency_objective=1000.0, deadline=2000.0, priority_weight=1.0),
+            )
+        )
         self.violations = []
         self.lifecycle = Lifecycle(settings, self.violations.append)
-        self.lifecycle.listed(io.ServerList(io.ListKind.FULL, tuple(map(listed, servers))))
+        self.lifecycle.listed(
+            routing.EndpointListUpdate(
+                routing.EndpointListKind.SNAPSHOT, tuple(map(listed, endpoints))
+            )
+        )
 
-    def attempt(self, now, server=1, time_out=1000.0, start_within=0.0, name="q"):
+    def attempt(self, now, endpoint=1, time_out=1000.0, start_within=0.0, name="q"):
         """`now` is ms of the clock of the connections."""
-        request = self.lifecycle.take(name, io.Effect.SAFE, 0.0, now + 60_000.0, 1, now)
-        return self.lifecycle.choose(request, 0, server, time_out, start_within, now)
+        request = self.lifecycle.take(
+            name, routing.Idempotency.IDEMPOTENT, 0.0, now + 60_000.0, 1, now
+        )
+        return self.lifecycle.choose(request, 0, endpoint, time_out, start_within, now)
--- a/tests/platform/live.py
+++ b/tests/http_router/live.py
@@ -8,8 +8,8 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from tansycrank.platform import settings as configuration
-from tansycrank.platform.daemon import Daemon
+from tansycrank.http_router import settings as configuration
+from tansycrank.http_router.daemon import Daemon
 
 START = 1_700_000_000.0  # s; nodes' starts are told on the same clock
 
@@ -151,14 +151,14 @@
 
 def parts_of(call):
     """The parts of a call, as a node reads them: (id, shard, ms, text)."""
-    parts = []
+    shard_requests = []
     while call:
         line, _, call = call.partition(b"\n")
         id, shard, told, length = line.decode().split()
         wait = told.partition(",")[0].removeprefix("d=")
-        parts.append((id, int(shard), int(wait), call[: int(length)]))
+        shard_requests.append((id, int(shard), int(wait), call[: int(length)]))
         call = call[int(length) :]
-    return parts
+    return shard_requests
 
 
 class Peer:
@@ -179,7 +179,7 @@
 
     def calls(self):
         """The parts sent since this was last asked: (id, shard, ms, text)."""
-        data, parts = self.transport.take(), []
+        data, shard_requests = self.transport.take(), []
         self.given_up = []
         while data:
             size = int.from_bytes(data[:4], "little")
@@ -187,8 +187,8 @@
             if letter == b"X":
                 self.given_up.append(rest.decode())
                 continue
-            parts += parts_of(rest)
-        return parts
+            shard_requests += parts_of(rest)
+        return shard_requests
 
     def say(self, data):
         self.protocol.dataReceived(data)
--- a/tests/platform/real.py
+++ b/tests/http_router/real.py
@@ -20,7 +20,7 @@
 
 from live import TOLD, answer, config, entry, parts_of
 
-from tansycrank.lab.ports import ReservedPort
+from tansycrank.testbed.ports import ReservedPort
 
 ROOT = Path(__file__).parent.parent.parent
 PATIENCE = 30  # s until a peer that waits for something fails; nothing asserts how long it took
@@ -61,7 +61,7 @@
         self.serves, self.wakes, self.accepts = serves, threading.Event(), threading.Event()
         if reads:
             self.wakes.set()
-        self.parts, self.given_up, self.connections = [], [], []  # parts: (connection, id)
+        self.shard_requests, self.given_up, self.connections = [], [], []  # parts: (connection, id)
         self.waits = {}  # ms that the router said it waits, by id
         self.changed = threading.Condition()
         if comes_up:
@@ -99,20 +99,20 @@
             self.given_up.append(rest.decode())
             return
         for id, _, wait, text in parts_of(rest):
-            self.parts.append((connection, id))
+            self.shard_requests.append((connection, id))
             self.waits[id] = wait
             if self.serves:
                 connection.sendall(answer(id, value=text.decode()[:16]))
 
     @property
     def ids(self):
-        return [id for _, id in self.parts]
+        return [id for _, id in self.shard_requests]
 
     def got(self, id):
         """Wait for a part; the connection that brought it."""
         with self.changed:
             assert self.changed.wait_for(lambda: id in self.ids, PATIENCE), f"{id} never came"
-            return next(connection for connection, one in self.parts if one == id)
+            return next(connection for connection, one in self.shard_requests if one == id)
 
     @property
     def called(self):
--- a/tests/platform/test_belief.py
+++ b/tests/http_router/test_belief.py
@@ -10,7 +10,9 @@
 
 def out(live):
     """Parts out by node: as the module believes, and as the links have them."""
-    believed = {s.id: s.out for s in live.daemon.coordinator.loop.router.servers.values() if s.out}
+    believed = {
+        s.id: s.out for s in live.daemon.coordinator.loop.policy.endpoints.values() if s.out
+    }
     pools = live.daemon.pool
     held = {n.server: sum(link.load for link in n.links) for n in pools.nodes.values()}
     return believed, {server: load for server, load in held.items() if load}
@@ -51,7 +53,7 @@
     live.run(0)
     assert (
         25.0
-        <= live.daemon.coordinator.loop.router.all.read(live.daemon.coordinator.loop.now)[0]
+        <= live.daemon.coordinator.loop.policy.all.read(live.daemon.coordinator.loop.now)[0]
         <= 40.0
     )
 
@@ -75,11 +77,13 @@
             live.run(1.0)
             watch.say(b"1\r\n\n\r\n")
     live.run(3)
-    coordinator, router = live.daemon.coordinator, live.daemon.coordinator.loop.router
+    coordinator, router = live.daemon.coordinator, live.daemon.coordinator.loop.policy
     assert coordinator.counts["taken"] == 1500
     assert not coordinator.queries and not coordinator._parts and not coordinator._by_number
-    assert not router.queries and not router.numbers and not router.parts and not router.out
+    assert (
+        not router.queries and not router.numbers and not router.shard_requests and not router.out
+    )
     assert not live.daemon.server.connections and not live.daemon.server.unused
-    assert len(router.servers) <= 6 and len(live.daemon.names) < 100
+    assert len(router.endpoints) <= 6 and len(live.daemon.names) < 100
     assert len(live.daemon.pool.nodes) == 3 and live.daemon.pool.count <= 6
     assert len(router.agenda) < 100 and len(router.taken._entries) < 100
--- a/tests/platform/test_crossings.py
+++ b/tests/http_router/test_crossings.py
@@ -161,7 +161,7 @@
     with node.changed:
         assert node.changed.wait_for(lambda: node.ids.count("same.0") == 2, 30)
     early.sendall(answer("same.0", value="of the first one"))
-    node.parts[1][0].sendall(answer("same.0", value="of the second"))
+    node.shard_requests[1][0].sendall(answer("same.0", value="of the second"))
     status, body = read_answer(second)
     assert status == 200 and json.loads(body)["hits"][0]["doc"] == "of the second"
 
@@ -310,9 +310,9 @@
 def test_a_list_that_a_reset_cuts_counts_only_when_it_comes_whole(start):
     old, new = Node(), Node()
     program = start(old, new, listed=(1,))
-    whole = json.dumps({"version": 6, "full": True, "servers": [program.entry(2)]}).encode()
+    complete = json.dumps({"version": 6, "full": True, "servers": [program.entry(2)]}).encode()
     program.discovery.connection.sendall(
-        b"%x\r\n%b" % (len(whole) + 1, whole)
+        b"%x\r\n%b" % (len(complete) + 1, complete)
     )  # all but the end of its line
     program.turned()
     leave(program.discovery.connection, "RST")
@@ -396,7 +396,7 @@
     )
     program.halt()
     for node in nodes:
-        for connection, id in node.parts:
+        for connection, id in node.shard_requests:
             connection.sendall(answer(id))
     new = [program.client() for _ in range(2 * FULL)]
     program.go_on()
--- a/tests/platform/test_discovery.py
+++ b/tests/http_router/test_discovery.py
@@ -8,10 +8,10 @@
 from twisted.internet.error import ConnectionDone, ConnectionLost
 from twisted.python.failure import Failure
 
-from tansycrank import interface as io
-from tansycrank.platform import settings as configuration
-from tansycrank.platform.names import FORGET, Names
-from tansycrank.platform.settings import Entry, Listing
+from tansycrank import routing
+from tansycrank.http_router import settings as configuration
+from tansycrank.http_router.names import FORGET, Names
+from tansycrank.http_router.settings import Entry, Listing
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -35,7 +35,7 @@
 
 def states(live):
     return {
-        server: one.status for server, one in live.daemon.coordinator.loop.router.servers.items()
+        server: one.status for server, one in live.daemon.coordinator.loop.policy.endpoints.items()
     }
 
 
@@ -48,7 +48,10 @@
 def test_changes_reach_the_module_and_drained_nodes_get_nothing(live):
     live.watch.say(HEAD + line(5, entry(1, "terminating"), entry(2, "terminated")))
     live.run(0)
-    assert states(live) == {1: io.Status.DRAINING, 3: io.Status.READY}
+    assert states(live) == {
+        1: routing.EndpointStatus.DRAINING,
+        3: routing.EndpointStatus.IN_SERVICE,
+    }
     for n in range(6):
         live.ask(post(id=f"r{n}"))
     assert {peer.host for peer, _, _ in live.sent()} == {"127.0.0.3"}
@@ -59,7 +62,10 @@
     for at in range(0, len(data), 7):
         live.watch.say(data[at : at + 7])
     live.run(0)
-    assert states(live) == {2: io.Status.READY, 4: io.Status.READY}
+    assert states(live) == {
+        2: routing.EndpointStatus.IN_SERVICE,
+        4: routing.EndpointStatus.IN_SERVICE,
+    }
 
 
 def test_an_older_list_brings_nobody_back(live):
@@ -99,7 +105,10 @@
     text = json.dumps(told, indent=1).encode() + b"\n"
     call.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(text) + text)
     live.run(0)
-    assert states(live) == {2: io.Status.READY, 4: io.Status.READY}
+    assert states(live) == {
+        2: routing.EndpointStatus.IN_SERVICE,
+        4: routing.EndpointStatus.IN_SERVICE,
+    }
     assert len(live.discovery) == 2 and not live.daemon.discovery.calls
 
 
@@ -133,7 +142,7 @@
 
     def heard(now, *entries):
         listing = msgspec.convert({"version": 1, "servers": list(entries)}, Listing)
-        return names.heard(listing, io.ListKind.CHANGES, now)
+        return names.heard(listing, routing.EndpointListKind.DELTA, now)
 
     heard(0, entry(1), entry(2))
     heard(10, entry(1, "terminated"))
@@ -182,15 +191,15 @@
 
 def changed(raw, path, value):
     """The configuration with one value replaced; ... takes it out."""
-    whole = json.loads(raw)
-    at = whole
+    complete = json.loads(raw)
+    at = complete
     for key in path[:-1]:
         at = at[key]
     if value is ...:
         del at[path[-1]]
     else:
         at[path[-1]] = value
-    return json.dumps(whole).encode()
+    return json.dumps(complete).encode()
 
 
 def figures(node, path=()):
@@ -265,7 +274,10 @@
     for piece in pieces:
         live.watch.say(chunk(piece) if framing == "chunked" else piece)
     live.run(0)
-    assert states(live) == {2: io.Status.READY, 4: io.Status.READY}
+    assert states(live) == {
+        2: routing.EndpointStatus.IN_SERVICE,
+        4: routing.EndpointStatus.IN_SERVICE,
+    }
     assert len(live.discovery) == 1 and not live.watch.transport.over
 
 
@@ -314,11 +326,11 @@
     live.daemon.discovery.fetch()
     live.run(0)
     nobody = b'{"version":9,"full":true,"servers":[]}'
-    whole = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(nobody) + nobody
-    live.discovery[1].accept().say(whole)
+    complete = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(nobody) + nobody
+    live.discovery[1].accept().say(complete)
     live.run(0)
     assert len(live.discovery) == 3 and len(states(live)) == 3
-    live.discovery[2].accept().say(whole)
+    live.discovery[2].accept().say(complete)
     live.run(0)
     assert not states(live)
 
@@ -371,7 +383,7 @@
     assert len(states(live)) == 3
     call.protocol.connectionLost(Failure(end()))
     live.run(0)
-    assert (states(live) == {2: io.Status.READY}) == believed
+    assert (states(live) == {2: routing.EndpointStatus.IN_SERVICE}) == believed
 
 
 def test_a_list_of_a_stated_length_that_ends_too_soon_is_none(live):
@@ -397,17 +409,28 @@
         return {entry.server: entry for entry in event.entries}
 
     first = told(
-        io.ListKind.FULL, 50_000.0, 1, old=0.0, one=nodes_clock + 30_000, two=nodes_clock + 49_000
+        routing.EndpointListKind.SNAPSHOT,
+        50_000.0,
+        1,
+        old=0.0,
+        one=nodes_clock + 30_000,
+        two=nodes_clock + 49_000,
     )
-    assert first[1].came_up == 0.0 and first[2].came_up == first[3].came_up == 50_000.0
+    assert first[1].started_at == 0.0 and first[2].started_at == first[3].started_at == 50_000.0
     names.unchanged(60_000.0)
     second = told(
-        io.ListKind.CHANGES, 60_500.0, 2, three=nodes_clock + 60_400, four=nodes_clock + 60_300
+        routing.EndpointListKind.DELTA,
+        60_500.0,
+        2,
+        three=nodes_clock + 60_400,
+        four=nodes_clock + 60_300,
     )
-    assert second[4].came_up >= 60_000.0 and second[5].came_up >= 60_000.0
-    assert second[2].came_up == pytest.approx(30_200.0)  # known better: 30,000 by the nodes' clock
+    assert second[4].started_at >= 60_000.0 and second[5].started_at >= 60_000.0
+    assert second[2].started_at == pytest.approx(
+        30_200.0
+    )  # known better: 30,000 by the nodes' clock
     assert second[2].life == first[2].life
     third = told(
-        io.ListKind.CHANGES, 61_000.0, 3, one=nodes_clock - 500_000
+        routing.EndpointListKind.DELTA, 61_000.0, 3, one=nodes_clock - 500_000
     )  # its own clock was set back
-    assert third[2].life > second[2].life and third[2].came_up >= 60_500.0
+    assert third[2].life > second[2].life and third[2].started_at >= 60_500.0
--- a/tests/platform/test_endings.py
+++ b/tests/http_router/test_endings.py
@@ -222,12 +222,12 @@
             return
         query, attempt = peer.out.pop(at % len(peer.out))
         shard, value = attempt[3], f"{query.id}/{attempt[3]}"
-        whole = answer(f"{query.id}.{shard}", end if end in ("err", "busy") else "ok", value)
+        complete = answer(f"{query.id}.{shard}", end if end in ("err", "busy") else "ok", value)
         if end == "busy":
             attempt[1] = "busy"
         if end == "ok":
             query.values[shard].add(value)
-        peer.say({"half": whole[:-3], "spoilt": frame(b"A", b"\x91\x07\xfe")}.get(end, whole))
+        peer.say({"half": complete[:-3], "spoilt": frame(b"A", b"\x91\x07\xfe")}.get(end, complete))
         self.look()
 
     @rule()
@@ -347,13 +347,13 @@
         ]
         assert not owed, f"{owed} were never answered"
         daemon = self.live.daemon
-        coordinator, router = daemon.coordinator, daemon.coordinator.loop.router
+        coordinator, router = daemon.coordinator, daemon.coordinator.loop.policy
         assert not coordinator.queries and not coordinator._parts and not coordinator._by_number
         assert coordinator.held == 0 and not daemon.server.settling
         assert not coordinator.lifecycle.violated and not coordinator.lifecycle._open
         if not daemon.stopped:
             assert sum(coordinator.outcomes.values()) == coordinator.counts["sends"]
-            assert not router.queries and not router.parts and not router.out
+            assert not router.queries and not router.shard_requests and not router.out
             assert not any(
                 link.out or link.going or link.words for link in daemon.pool.links if link.up
             )
--- a/tests/platform/test_failing_calls.py
+++ b/tests/http_router/test_failing_calls.py
@@ -13,8 +13,8 @@
 from live import config, post
 from real import Node, Program, read_answer
 
-from tansycrank.lab.preload import CallFailure, FailingCalls
-from tansycrank.platform import settings as configuration
+from tansycrank.http_router import settings as configuration
+from tansycrank.testbed.preload import CallFailure, FailingCalls
 
 DEADLINE = 1500  # ms that a client waits
 SLACK = 0.5  # s after its time in which a late answer only earns nothing
--- a/tests/platform/test_front.py
+++ b/tests/http_router/test_front.py
@@ -7,7 +7,7 @@
 from twisted.internet.error import CannotListenError
 from twisted.internet.testing import MemoryReactorClock
 
-from tansycrank.platform import settings as configuration
+from tansycrank.http_router import settings as configuration
 
 
 @pytest.fixture
@@ -109,8 +109,8 @@
 def test_no_bytes_in_no_split_raise_or_are_served(noise, cuts, at):
     live = Live()
     protocol, transport = live.client()
-    whole = post()
-    data = whole[:at] + noise
+    complete = post()
+    data = complete[:at] + noise
     for cut in [*cuts, len(data)]:
         if data and not transport.over:
             protocol.dataReceived(data[:cut])
@@ -132,12 +132,12 @@
 
 def test_a_request_may_come_in_chunks_and_byte_by_byte(live):
     text = b'{"shards":[{"shard":1,"weight":1}],"q":"x"}'
-    whole = (
+    complete = (
         b"POST /look HTTP/1.1\r\nHost: a\r\nX-Request-Id: c1\r\nX-Deadline-Ms: 900\r\n"
         b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n0\r\n\r\n" % (len(text), text)
     )
     protocol, _ = live.client()
-    for byte in whole:
+    for byte in complete:
         protocol.dataReceived(bytes([byte]))
     assert [id for _, id, _ in live.sent()] == ["c1.1"]
 
@@ -347,21 +347,21 @@
     assert transport.take().startswith(b"GET /api/targets?watch=1&after=4 HTTP/1.1\r\n")
 
 
-@pytest.mark.parametrize("parts", [3, 23, 44, 57])
-def test_weights_of_six_decimals_make_a_whole_answer_whatever_their_number(parts):
+@pytest.mark.parametrize("shard_requests", [3, 23, 44, 57])
+def test_weights_of_six_decimals_make_a_whole_answer_whatever_their_number(shard_requests):
     """Danger: 44 times 0.022727 is 0.999988: a class of 44 parts given up at its first answer."""
     told = TOLD | {"familyInfo": TOLD["familyInfo"] | {"slabs": 99}}
     live = Live(config(settings=told))
     live.discovery[0].refuse()
-    weight = float(f"{1 / parts:.6f}")
-    transport = live.ask(post(shards=[(shard, weight) for shard in range(parts)]))
-    for _ in range(2 * parts):
+    weight = float(f"{1 / shard_requests:.6f}")
+    transport = live.ask(post(shards=[(shard, weight) for shard in range(shard_requests)]))
+    for _ in range(2 * shard_requests):
         for peer, id, _ in live.sent():
             peer.say(answer(id))
     live.run(0)
     written = transport.take()
     assert status(written) == 200
-    assert body(written)["complete"] and len(body(written)["hits"]) == parts
+    assert body(written)["complete"] and len(body(written)["hits"]) == shard_requests
 
 
 @pytest.mark.parametrize("can_cancel", [True, False])
--- a/tests/platform/test_given_up.py
+++ b/tests/http_router/test_given_up.py
@@ -7,8 +7,8 @@
 import pytest
 from live import Live, answer, entry, post, status
 
-from tansycrank.interface import GiveUpReason
-from tansycrank.platform.given_up_log import LINES_A_SECOND
+from tansycrank.http_router.given_up_log import LINES_A_SECOND
+from tansycrank.routing import FailureReason
 
 
 @pytest.fixture
@@ -75,19 +75,19 @@
 
 def a_fault_of_the_policy(live):
     live.ask(post())
-    live.daemon.coordinator.loop.router.step = None
+    live.daemon.coordinator.loop.policy.step = None
     live.run(0.5)
 
 
 @pytest.mark.parametrize(
     "happens, reason, kind",
     [
-        (nobody_could_be_sent_to, GiveUpReason.NO_START, "refused"),
-        (silent_to_the_end, GiveUpReason.DEADLINE_PASSED, "refused"),
-        (lost_after_it_was_sent, GiveUpReason.TOO_FEW_SHARDS, "failed"),
-        (out_when_the_router_stops_and_its_policy_sleeps, GiveUpReason.STOPPING, "failed"),
-        (its_answers_are_not_read, GiveUpReason.UNREADABLE, "refused"),
-        (a_fault_of_the_policy, GiveUpReason.FAULT, "refused"),
+        (nobody_could_be_sent_to, FailureReason.NO_START, "refused"),
+        (silent_to_the_end, FailureReason.DEADLINE_PASSED, "refused"),
+        (lost_after_it_was_sent, FailureReason.TOO_FEW_SHARDS, "failed"),
+        (out_when_the_router_stops_and_its_policy_sleeps, FailureReason.STOPPING, "failed"),
+        (its_answers_are_not_read, FailureReason.UNREADABLE, "refused"),
+        (a_fault_of_the_policy, FailureReason.FAULT, "refused"),
     ],
     ids=lambda value: getattr(value, "__name__", ""),
 )
--- a/tests/platform/test_node_links.py
+++ b/tests/http_router/test_node_links.py
@@ -7,9 +7,9 @@
 from live import Live, Peer, answer, frame, post
 from twisted.internet.testing import MemoryReactorClock
 
-from tansycrank.interface import Outcome
-from tansycrank.platform import frames
-from tansycrank.platform.connection_pool import ConnectionPool
+from tansycrank.http_router import frames
+from tansycrank.http_router.connection_pool import ConnectionPool
+from tansycrank.routing import Outcome
 
 VALUE = "0123456789abcdef"
 
@@ -17,13 +17,13 @@
 class Node:
     """ConnectionPool with one node, whose end of the links is played."""
 
-    def __init__(self, streams=8, call_parts=4, max_links=8):
+    def __init__(self, streams=8, call_batch_size=4, max_links=8):
         self.reactor = MemoryReactorClock()
         self.log = []
         self.pool = ConnectionPool(
             self.reactor,
             streams,
-            call_parts,
+            call_batch_size,
             250.0,
             10_000.0,
             max_links,
@@ -33,16 +33,16 @@
         self.lives = Lives()
         self.ends = {}
 
-    def send(self, *ids, time_out=1000.0, server=1, connect_within=0.0, leave_within=0.0):
+    def send(self, *ids, time_out=1000.0, endpoint=1, connect_within=0.0, leave_within=0.0):
         sendings = [
             self.pool.send(
                 id.encode(),
-                server,
+                endpoint,
                 0,
                 b"text",
                 time_out,
                 self.hear(id),
-                self.lives.attempt(self.reactor.seconds() * 1000, server, time_out, leave_within),
+                self.lives.attempt(self.reactor.seconds() * 1000, endpoint, time_out, leave_within),
                 connect_within,
                 b"",
                 leave_within,
@@ -113,7 +113,7 @@
 @pytest.mark.parametrize(
     "end, outcome",
     [
-        ("ok", Outcome.ANSWERED),
+        ("ok", Outcome.SUCCEEDED),
         ("err", Outcome.ERROR),
         ("busy", Outcome.REJECTED),
     ],
@@ -128,13 +128,13 @@
     node = Node()
     node.send("refused.1")
     node.peers[0].refuse()
-    assert outcomes(node) == {"refused.1": [Outcome.UNCONNECTED]}
+    assert outcomes(node) == {"refused.1": [Outcome.CONNECT_FAILED]}
 
 
 def test_a_connection_lost_may_have_run_what_was_out():
     node = Node()
     node.up("a.1", "a.2").transport.end()
-    assert outcomes(node) == {"a.1": [Outcome.BROKEN_OFF], "a.2": [Outcome.BROKEN_OFF]}
+    assert outcomes(node) == {"a.1": [Outcome.CONNECTION_LOST], "a.2": [Outcome.CONNECTION_LOST]}
     assert node.pool.count == 0
 
 
@@ -229,7 +229,7 @@
     node = Node()
     peer = node.up("a.1", "a.2")
     peer.say(SPOILT[name])
-    assert outcomes(node) == {"a.1": [Outcome.BROKEN_OFF], "a.2": [Outcome.BROKEN_OFF]}
+    assert outcomes(node) == {"a.1": [Outcome.CONNECTION_LOST], "a.2": [Outcome.CONNECTION_LOST]}
     assert peer.transport.over
 
 
@@ -239,7 +239,7 @@
     peer.say(answer("a.1")[:-3])
     node.reactor.advance(0.6)
     node.pool.sweep()
-    assert outcomes(node) == {"a.1": [Outcome.BROKEN_OFF]} and peer.transport.over
+    assert outcomes(node) == {"a.1": [Outcome.CONNECTION_LOST]} and peer.transport.over
 
 
 @pytest.mark.parametrize("behind", [b"\x91\x07\xfe\x44\x10\x22", b"\x09", b"zzzzzzzzz"])
@@ -247,32 +247,32 @@
     node = Node()
     peer = node.up("a.1")
     peer.say(answer("a.1") + behind)
-    assert outcomes(node) == {"a.1": [Outcome.ANSWERED]} and peer.transport.over
+    assert outcomes(node) == {"a.1": [Outcome.SUCCEEDED]} and peer.transport.over
 
 
 def test_noise_behind_an_answer_while_others_wait_means_that_its_length_did_not_fit():
     node = Node()
     node.up("a.1", "a.2").say(answer("a.1", value="0123") + b"zzzzzzzzz")
-    assert outcomes(node) == {"a.1": [Outcome.BROKEN_OFF], "a.2": [Outcome.BROKEN_OFF]}
+    assert outcomes(node) == {"a.1": [Outcome.CONNECTION_LOST], "a.2": [Outcome.CONNECTION_LOST]}
 
 
 def test_a_second_copy_of_an_answer_does_no_harm():
     node = Node()
     peer = node.up("a.1")
     peer.say(answer("a.1") + answer("a.1"))
-    assert outcomes(node) == {"a.1": [Outcome.ANSWERED]} and not peer.transport.over
+    assert outcomes(node) == {"a.1": [Outcome.SUCCEEDED]} and not peer.transport.over
 
 
 def test_a_load_report_that_cannot_be_read_is_none():
     node = Node()
     node.up("a.1").say(answer("a.1", report="%%%"))
-    assert node.ends["a.1"] == [(Outcome.ANSWERED, VALUE, ())]
+    assert node.ends["a.1"] == [(Outcome.SUCCEEDED, VALUE, ())]
 
 
 def test_a_frame_the_node_could_not_use_may_have_run():
     node = Node()
     node.up("a.1").say(frame(b"E", b"bad"))
-    assert outcomes(node) == {"a.1": [Outcome.BROKEN_OFF]}
+    assert outcomes(node) == {"a.1": [Outcome.CONNECTION_LOST]}
 
 
 def test_unused_links_close_before_the_node_closes_them():
@@ -293,9 +293,9 @@
     node.pool.forget(1)
     node.send("b.1")
     node.reactor.advance(0)
-    assert outcomes(node) == {"b.1": [Outcome.UNCONNECTED]}
+    assert outcomes(node) == {"b.1": [Outcome.CONNECT_FAILED]}
     peer.say(answer("a.1"))
-    assert outcomes(node)["a.1"] == [Outcome.ANSWERED] and peer.transport.over
+    assert outcomes(node)["a.1"] == [Outcome.SUCCEEDED] and peer.transport.over
 
 
 def test_a_node_that_moved_is_called_at_its_new_place():
@@ -334,7 +334,7 @@
     coordinator = live.daemon.coordinator
     assert sum(coordinator.outcomes.values()) == coordinator.counts["sends"]
     assert not coordinator.queries and not coordinator._parts and coordinator.held == 0
-    assert not coordinator.loop.router.out
+    assert not coordinator.loop.policy.out
 
 
 def test_a_part_is_taken_back_from_a_connection_that_does_not_come_up_in_its_time():
@@ -344,7 +344,7 @@
     node.reactor.advance(0.05)
     assert not node.ends
     node.reactor.advance(0.02)
-    assert outcomes(node) == {"a.1": [Outcome.UNCONNECTED], "a.2": [Outcome.UNCONNECTED]}
+    assert outcomes(node) == {"a.1": [Outcome.CONNECT_FAILED], "a.2": [Outcome.CONNECT_FAILED]}
     late = node.peers[0].accept()
     assert not late.calls()  # it never leaves: another attempt may be out by now
     node.send("b.1", connect_within=60.0)
@@ -428,7 +428,7 @@
     node.reactor.advance(0.11)
     assert peer.transport.over
     if end != "time out":  # its last byte has not left: it never ran
-        assert outcomes(node)["a.2"] == [Outcome.UNCONNECTED]
+        assert outcomes(node)["a.2"] == [Outcome.CONNECT_FAILED]
     assert not node.reactor.getDelayedCalls()
 
 
@@ -441,7 +441,7 @@
     node.reactor.advance(0.2)
     assert not peer.transport.over
     peer.transport.end()
-    assert outcomes(node)["a.2"] == [Outcome.BROKEN_OFF]  # all of it had left: it may have run
+    assert outcomes(node)["a.2"] == [Outcome.CONNECTION_LOST]  # all of it had left: it may have run
 
 
 def test_a_connection_that_breaks_under_a_half_written_frame_proves_that_it_never_ran():
@@ -453,9 +453,9 @@
     node.send("b.1")
     early.transport.end()
     assert outcomes(node) == {
-        "early.1": [Outcome.BROKEN_OFF],
-        "a.1": [Outcome.UNCONNECTED],
-        "b.1": [Outcome.UNCONNECTED],
+        "early.1": [Outcome.CONNECTION_LOST],
+        "a.1": [Outcome.CONNECT_FAILED],
+        "b.1": [Outcome.CONNECT_FAILED],
     }
 
 
@@ -489,7 +489,7 @@
     node.reactor.advance(0.08)
     assert "a.1" not in node.ends
     node.reactor.advance(0.02)
-    assert outcomes(node)["a.1"] == [Outcome.UNCONNECTED]
+    assert outcomes(node)["a.1"] == [Outcome.CONNECT_FAILED]
     if waits == "half written":
         assert peer.transport.over  # what the system has of it can never become a whole frame
     else:
@@ -504,7 +504,7 @@
     peer = node.up("a.1", leave_within=90.0)
     node.reactor.advance(0.2)
     peer.say(answer("a.1"))
-    assert outcomes(node) == {"a.1": [Outcome.ANSWERED]} and not node.reactor.getDelayedCalls()
+    assert outcomes(node) == {"a.1": [Outcome.SUCCEEDED]} and not node.reactor.getDelayedCalls()
 
 
 def test_a_part_behind_a_frame_that_is_not_taken_is_taken_back_by_its_hedge_timer():
@@ -513,4 +513,4 @@
     peer = stuck(node, "a.1")
     node.send("b.1", connect_within=60.0)
     node.reactor.advance(0.07)
-    assert outcomes(node)["b.1"] == [Outcome.UNCONNECTED] and not peer.transport.over
+    assert outcomes(node)["b.1"] == [Outcome.CONNECT_FAILED] and not peer.transport.over
--- a/tests/platform/test_size.py
+++ b/tests/http_router/test_size.py
@@ -10,9 +10,9 @@
 from live import TOLD, Live, answer, config, entry, post, status
 from test_discovery import HEAD, line
 
-from tansycrank import interface as io
-from tansycrank.platform import settings as configuration
-from tansycrank.platform.daemon import Daemon
+from tansycrank import routing
+from tansycrank.http_router import settings as configuration
+from tansycrank.http_router.daemon import Daemon
 
 SIZE = 1024
 
@@ -34,8 +34,8 @@
 def served(live, id, shards):
     transport = live.ask(post(id=id, shards=[(shard, 1 / len(shards)) for shard in shards]))
     for _ in range(3):
-        for peer, part, _ in live.sent():
-            peer.say(answer(part))
+        for peer, shard_request, _ in live.sent():
+            peer.say(answer(shard_request))
         live.run(0)
     return status(transport.take())
 
@@ -60,8 +60,14 @@
 def test_a_whole_list_of_as_many_new_nodes_is_taken(live):
     live.watch.say(line(5, *(node(n) for n in range(SIZE, 2 * SIZE)), full=True))
     live.run(0)
-    router = live.daemon.coordinator.loop.router
-    assert sum(server.status is io.Status.READY for server in router.servers.values()) == SIZE
+    router = live.daemon.coordinator.loop.policy
+    assert (
+        sum(
+            server.status is routing.EndpointStatus.IN_SERVICE
+            for server in router.endpoints.values()
+        )
+        == SIZE
+    )
     assert served(live, "q1", range(0, 3 * SIZE, 97)) == 200
 
 
@@ -75,7 +81,7 @@
         tracemalloc.start()
         live = Live()
         daemon = Daemon(live.reactor, found, {})
-        daemon._take(found.known, io.ListKind.CACHED)
+        daemon._take(found.known, routing.EndpointListKind.CACHED)
         live.run(0)
         taken.append(tracemalloc.get_traced_memory()[0])
         tracemalloc.stop()
@@ -97,8 +103,8 @@
     assert told[0]["unknown_states"].startswith("300, 'on_holiday'")
     assert told[0]["named_twice"].startswith("300")
     assert told[1]["nodes"] == 100
-    states = [one.status for one in live.daemon.coordinator.loop.router.servers.values()]
-    assert states.count(io.Status.DRAINING) == 300  # it may not want anything new
+    states = [one.status for one in live.daemon.coordinator.loop.policy.endpoints.values()]
+    assert states.count(routing.EndpointStatus.DRAINING) == 300  # it may not want anything new
     assert served(live, "q1", range(300, SIZE, 31)) == 200
 
 
@@ -106,8 +112,11 @@
     live.watch.say(line(900, node(3, "terminating")))
     live.watch.say(line(17, *(node(n, "terminated") for n in range(SIZE)), full=True))
     live.run(0)
-    states = [one.status for one in live.daemon.coordinator.loop.router.servers.values()]
-    assert states.count(io.Status.READY) == SIZE - 1 and states.count(io.Status.DRAINING) == 1
+    states = [one.status for one in live.daemon.coordinator.loop.policy.endpoints.values()]
+    assert (
+        states.count(routing.EndpointStatus.IN_SERVICE) == SIZE - 1
+        and states.count(routing.EndpointStatus.DRAINING) == 1
+    )
 
 
 def test_a_list_of_nobody_is_believed_when_it_comes_again(live, caplog):
@@ -126,5 +135,5 @@
     data = json.dumps({"version": 9, "full": True, "servers": []}).encode()
     again.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(data), data))
     live.run(0)
-    states = [one.status for one in live.daemon.coordinator.loop.router.servers.values()]
-    assert io.Status.READY not in states
+    states = [one.status for one in live.daemon.coordinator.loop.policy.endpoints.values()]
+    assert routing.EndpointStatus.IN_SERVICE not in states
--- a/tests/platform/test_wall_clock.py
+++ b/tests/http_router/test_wall_clock.py
@@ -8,7 +8,7 @@
 from live import entry, post
 from real import Node, Program, read_answer
 
-from tansycrank.lab.preload import WallClock
+from tansycrank.testbed.preload import WallClock
 
 HOUR = 3600.0
 STEPS = {
--- a/tests/recorded_streams.py
+++ b/tests/recorded_streams.py
@@ -25,8 +25,8 @@
 
 sys.path[:0] = [str(Path(__file__).parent), str(Path(__file__).parent.parent)]
 
-from tansycrank import interface as io
-from tansycrank.brain import Router
+from tansycrank import routing
+from tansycrank.routing.policy import RoutingPolicy
 
 FOLDER = Path(__file__).parent / "streams"
 SUFFIX = ".stream"
@@ -34,12 +34,12 @@
 MAX_STREAM_BYTES = 1 << 28
 
 EVENTS = (
-    io.ServerList, io.QueryArrived, io.PartArrived, io.AttemptEnded, io.AnswerBegan, io.QueryGone, io.Woken,
-    io.ProbeEnded, io.PeerSaid,
+    routing.EndpointListUpdate, routing.QueryArrived, routing.ShardRequestArrived, routing.AttemptEnded, routing.ResponseStarted, routing.QueryCancelled, routing.TimerExpired,
+    routing.HealthCheckEnded, routing.GossipReceived,
 )  # fmt: skip
 ACTIONS = (
-    io.Send, io.Cancel, io.Answer, io.Shed, io.Fail, io.Wake, io.Watch, io.FetchList, io.Probe, io.CloseIdle,
-    io.TellPeer, io.Note,
+    routing.Send, routing.Cancel, routing.Answer, routing.Reject, routing.Fail, routing.SetTimer, routing.WatchEndpoints, routing.PollEndpoints, routing.CheckHealth, routing.CloseIdleConnections,
+    routing.SendGossip, routing.LogMessage,
 )  # fmt: skip
 
 
@@ -71,9 +71,9 @@
         )
         return msgspec.msgpack.decode(data, type=cls)
 
-    def new_router(self) -> Router:
+    def new_router(self) -> RoutingPolicy:
         """A router of its settings and seed that has taken no step yet."""
-        return Router(to_record(io.Settings, self.settings), self.seed)
+        return RoutingPolicy(to_record(routing.Settings, self.settings), self.seed)
 
     def replay(self) -> Iterator[tuple[Step, list]]:
         """Each step with the actions that the code of today takes."""
@@ -131,9 +131,9 @@
 class Recorder:
     """Stands in for a router and writes down what passes through it."""
 
-    def __init__(self, settings: io.Settings, seed: int) -> None:
+    def __init__(self, settings: routing.Settings, seed: int) -> None:
         self.stream = Stream(plain(settings), seed, [])
-        self._router = Router(settings, seed)
+        self._router = RoutingPolicy(settings, seed)
 
     def step(self, now_ms: float, events) -> list:
         """Take the step, note it, and hand its actions on."""
@@ -146,19 +146,19 @@
 
 def record_fleet(kept: tuple[int, ...] = (0, 1)) -> list[Stream]:
     """Two routers of a simulated fleet through cold nodes, a discovery that fails, and a restart."""
-    from tansycrank.lab import fleet as simulation
+    from tansycrank.testbed import fleet as simulation
 
     classes = (
-        io.QueryClass(500.0, 1600.0, 5.0),
-        io.QueryClass(500.0, 1600.0, 1.0, 0.1),
-        io.QueryClass(500.0, 2000.0, 1.0, 0.1, io.Effect.UNSAFE),
+        routing.QueryClass(500.0, 1600.0, 5.0),
+        routing.QueryClass(500.0, 1600.0, 1.0, 0.1),
+        routing.QueryClass(500.0, 2000.0, 1.0, 0.1, routing.Idempotency.NOT_IDEMPOTENT),
     )
-    settings = io.Settings(classes, 0, 12, 0, 3, 1.0, 36, 12, 4, 16, 9.0, 3, True, True, False, False, True, 500.0,
+    settings = routing.Settings(classes, 0, 12, 0, 3, 1.0, 36, 12, 4, 16, 9.0, 3, True, True, False, False, True, 500.0,
         False, 1000, True, False, 10_000.0, 0.0, 500.0, 2.0, 3000.0, 0.15, 18_000.0, 5.0, 0.2, 5000.0, 0.05, 0.08,
     )  # fmt: skip
     made = simulation.Fleet(settings, 5, 25.0)
     recorders = []
-    simulation.Router = lambda *given: recorders.append(Recorder(*given)) or recorders[-1]
+    simulation.RoutingPolicy = lambda *given: recorders.append(Recorder(*given)) or recorders[-1]
     made.start(range(12))
     made.traffic(range(12), 9000.0, 160.0, 12)
     made.run(2500.0)
@@ -166,7 +166,7 @@
     made.restart(cold)
     made.tell(cold)
     for number in range(12):
-        made.hear(number, io.ServerList(io.ListKind.FAILED))
+        made.hear(number, routing.EndpointListUpdate(routing.EndpointListKind.FAILED))
     made.run(6000.0)
     made.start([1])
     made.run(11_000.0)
@@ -176,48 +176,79 @@
 def record_part_given_up_alone() -> Stream:
     """A host that gives up one part of a query, not the query."""
     recorder = Recorder(
-        io.Settings((io.QueryClass(1000.0, 4000.0, 1.0, 0.0, io.Effect.SAFE, 0.0, 0.5),)), 1
+        routing.Settings(
+            (
+                routing.QueryClass(
+                    1000.0, 4000.0, 1.0, 0.0, routing.Idempotency.IDEMPOTENT, 0.0, 0.5
+                ),
+            )
+        ),
+        1,
     )
-    recorder.step(0.0, [io.ServerList(io.ListKind.FULL, (io.Listed(1, 0, 0, io.Status.READY),))])
-    parts = [io.PartArrived(number, 1, 0, 0.5) for number in (11, 12)]
-    recorder.step(1.0, [io.QueryArrived(10, 1, 0, 4000.0, 2), *parts])
-    recorder.step(2.0, [io.QueryGone(11)])
-    recorder.step(30.0, [io.AttemptEnded(12, 0, 1, io.Outcome.ANSWERED, 29.0)])
-    recorder.step(31.0, [io.AnswerBegan(99, 0, 1, 1.0)])
+    recorder.step(
+        0.0,
+        [
+            routing.EndpointListUpdate(
+                routing.EndpointListKind.SNAPSHOT,
+                (routing.EndpointEntry(1, 0, 0, routing.EndpointStatus.IN_SERVICE),),
+            )
+        ],
+    )
+    shard_requests = [routing.ShardRequestArrived(number, 1, 0, 0.5) for number in (11, 12)]
+    recorder.step(1.0, [routing.QueryArrived(10, 1, 0, 4000.0, 2), *shard_requests])
+    recorder.step(2.0, [routing.QueryCancelled(11)])
+    recorder.step(30.0, [routing.AttemptEnded(12, 0, 1, routing.Outcome.SUCCEEDED, 29.0)])
+    recorder.step(31.0, [routing.ResponseStarted(99, 0, 1, 1.0)])
     for time, came_up in ((100.0, 90.0), (110.0, 50.0)):
-        entry = io.Listed(1, 0, 0, io.Status.READY, came_up)
-        recorder.step(time, [io.ServerList(io.ListKind.CHANGES, (entry,))])
-    recorder.step(900.0, [io.Woken(1)])
+        entry = routing.EndpointEntry(1, 0, 0, routing.EndpointStatus.IN_SERVICE, came_up)
+        recorder.step(time, [routing.EndpointListUpdate(routing.EndpointListKind.DELTA, (entry,))])
+    recorder.step(900.0, [routing.TimerExpired(1)])
     return recorder.stream
 
 
 def record_hedge_beyond_the_attempts() -> Stream:
     """One attempt a part is allowed: a hedge timer that fires gets no second one."""
-    settings = io.Settings((io.QueryClass(1000.0, 4000.0, 1.0),), attempts_cap=1)
+    settings = routing.Settings((routing.QueryClass(1000.0, 4000.0, 1.0),), max_attempts=1)
     recorder = Recorder(settings, 2)
-    servers = tuple(io.Listed(number, 0, 0, io.Status.READY) for number in (1, 2))
-    recorder.step(0.0, [io.ServerList(io.ListKind.FULL, servers)])
-    recorder.step(1.0, [io.QueryArrived(10, 1, 0, 4000.0, 1), io.PartArrived(11, 1, 0, 1.0)])
+    servers = tuple(
+        routing.EndpointEntry(number, 0, 0, routing.EndpointStatus.IN_SERVICE) for number in (1, 2)
+    )
+    recorder.step(0.0, [routing.EndpointListUpdate(routing.EndpointListKind.SNAPSHOT, servers)])
+    recorder.step(
+        1.0, [routing.QueryArrived(10, 1, 0, 4000.0, 1), routing.ShardRequestArrived(11, 1, 0, 1.0)]
+    )
     for time in range(10, 1100, 90):
-        recorder.step(float(time), [io.Woken(1)])
+        recorder.step(float(time), [routing.TimerExpired(1)])
     return recorder.stream
 
 
 def record_repeat_window_that_passes_in_line() -> Stream:
     """A keyed part waits for room until its window has passed."""
     classes = (
-        io.QueryClass(1000.0, 8000.0, 1.0, 0.5, io.Effect.KEYED, 300.0),
-        io.QueryClass(1000.0, 8000.0, 1.0, 0.5, io.Effect.UNSAFE),
+        routing.QueryClass(1000.0, 8000.0, 1.0, 0.5, routing.Idempotency.WITH_KEY, 300.0),
+        routing.QueryClass(1000.0, 8000.0, 1.0, 0.5, routing.Idempotency.NOT_IDEMPOTENT),
+    )
+    recorder = Recorder(routing.Settings(classes, routers=6), 3)
+    recorder.step(
+        0.0,
+        [
+            routing.EndpointListUpdate(
+                routing.EndpointListKind.SNAPSHOT,
+                (routing.EndpointEntry(1, 0, 0, routing.EndpointStatus.IN_SERVICE),),
+            )
+        ],
+    )
+    recorder.step(
+        1.0, [routing.QueryArrived(10, 1, 0, 8000.0, 1), routing.ShardRequestArrived(11, 1, 0, 1.0)]
     )
-    recorder = Recorder(io.Settings(classes, routers=6), 3)
-    recorder.step(0.0, [io.ServerList(io.ListKind.FULL, (io.Listed(1, 0, 0, io.Status.READY),))])
-    recorder.step(1.0, [io.QueryArrived(10, 1, 0, 8000.0, 1), io.PartArrived(11, 1, 0, 1.0)])
     for number in range(2, 9):
-        query = io.QueryArrived(10 * number, number, 1, 8000.0, 1)
-        recorder.step(float(number), [query, io.PartArrived(10 * number + 1, number, 0, 1.0)])
-    recorder.step(100.0, [io.AttemptEnded(11, 0, 1, io.Outcome.TIMED_OUT, 99.0)])
+        query = routing.QueryArrived(10 * number, number, 1, 8000.0, 1)
+        recorder.step(
+            float(number), [query, routing.ShardRequestArrived(10 * number + 1, number, 0, 1.0)]
+        )
+    recorder.step(100.0, [routing.AttemptEnded(11, 0, 1, routing.Outcome.TIMED_OUT, 99.0)])
     for time in range(150, 3000, 50):
-        recorder.step(float(time), [io.Woken(1)])
+        recorder.step(float(time), [routing.TimerExpired(1)])
     return recorder.stream
 
 
--- a/tests/soak/test_oracle.py
+++ b/tests/soak/test_oracle.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from tansycrank.lab.soak.oracle import Evidence, Invariant, Oracle
-from tansycrank.lab.soak.plan import FaultKind, draw
-from tansycrank.lab.soak.records import (
+from tansycrank.testbed.soak.oracle import Evidence, Invariant, Oracle
+from tansycrank.testbed.soak.plan import FaultKind, draw
+from tansycrank.testbed.soak.records import (
     ClientRecord,
     Ending,
     FaultRecord,
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -10,13 +10,13 @@
 from click.testing import CliRunner
 
 from tansycrank.cli import main
-from tansycrank.lab.ports import ReservedPort
-from tansycrank.lab.soak.clients import judge
-from tansycrank.lab.soak.fleet import Fleet
-from tansycrank.lab.soak.oracle import Invariant, Verdict, Violation
-from tansycrank.lab.soak.plan import HOUR, Fault, FaultKind, draw
-from tansycrank.lab.soak.records import Ending
-from tansycrank.lab.soak.run import Report, play, soak, totals
+from tansycrank.testbed.ports import ReservedPort
+from tansycrank.testbed.soak.clients import judge
+from tansycrank.testbed.soak.fleet import Fleet
+from tansycrank.testbed.soak.oracle import Invariant, Verdict, Violation
+from tansycrank.testbed.soak.plan import HOUR, Fault, FaultKind, draw
+from tansycrank.testbed.soak.records import Ending
+from tansycrank.testbed.soak.run import Report, play, soak, totals
 
 SECONDS = 9.0
 SEED = 5  # of six routers, with wall clocks wrong from the start and stepped
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tansycrank.lab.checkers import Figures, Told, judge
+from tansycrank.testbed.checkers import Figures, Told, judge
 
 FIGURES = Figures(budget=(1.0, 0.0, 1000.0))
 
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -7,9 +7,8 @@
 
 import pytest
 
-from tansycrank import clock
-from tansycrank import interface as io
-from tansycrank.router.steps import StepLoop
+from tansycrank import clock, routing
+from tansycrank.policy_event_loop import PolicyEventLoop
 
 PACKAGE = Path(__file__).parent.parent / "tansycrank"
 SOURCES = sorted(PACKAGE.rglob("*.py"))
@@ -58,8 +57,10 @@
 
 @pytest.mark.parametrize("step", [-HOUR, HOUR])
 def test_the_policys_time_goes_on_at_the_pace_of_real_time(reactor, step_wall_clock, step):
-    settings = io.Settings(classes=(io.QueryClass(aim=100.0, give_up=200.0, worth=1.0),))
-    loop = StepLoop(reactor, settings, 1, {}, lambda error: pytest.fail(repr(error)))
+    settings = routing.Settings(
+        classes=(routing.QueryClass(latency_objective=100.0, deadline=200.0, priority_weight=1.0),)
+    )
+    loop = PolicyEventLoop(reactor, settings, 1, {}, lambda error: pytest.fail(repr(error)))
     before = loop.now
     step_wall_clock(step)
     time.sleep(0.02)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -4,7 +4,7 @@
 from test_planner import TEXT
 
 from tansycrank import config
-from tansycrank.interface import Effect
+from tansycrank.routing import Idempotency
 
 
 @pytest.mark.parametrize(
@@ -62,8 +62,16 @@
         TEXT + "\n[class report]\naim_ms = 5\ngive_up_ms = 9\ndedup_window_ms = 7\n"
     )
     settings = found.module_settings()
-    assert [c.effect for c in settings.classes] == [Effect.SAFE, Effect.KEYED, Effect.UNSAFE] * 2
-    assert settings.classes[4].dedup_window == 7 and settings.must_ask and settings.reach == 3
+    assert [c.idempotency for c in settings.classes] == [
+        Idempotency.IDEMPOTENT,
+        Idempotency.WITH_KEY,
+        Idempotency.NOT_IDEMPOTENT,
+    ] * 2
+    assert (
+        settings.classes[4].dedup_window == 7
+        and settings.polls_discovery
+        and settings.replica_span == 3
+    )
 
 
 def test_the_operators_page_lists_every_key():
--- a/tests/test_edge_forms.py
+++ b/tests/test_edge_forms.py
@@ -12,11 +12,11 @@
 import msgspec
 import pytest
 
-from tansycrank import config, wire
+from tansycrank import config, simulator_protocol
+from tansycrank.discovery import view
+from tansycrank.http_router import discovery, frames, request, settings
 from tansycrank.merge.spill import SpillSpace
-from tansycrank.pg import errors
-from tansycrank.platform import discovery, frames, request, settings
-from tansycrank.roster import view
+from tansycrank.postgres import errors
 
 ROOT = Path(__file__).parent.parent
 
@@ -53,7 +53,9 @@
 
 
 def test_the_simulator_s_settings_keep_their_keys():
-    told = {key for key in re.findall(r'"([A-Za-z_]+)"', Path(wire.__file__).read_text())}
+    told = {
+        key for key in re.findall(r'"([A-Za-z_]+)"', Path(simulator_protocol.__file__).read_text())
+    }
     wanted = """familyInfo caps clients rules prices services localities discovery me replicasOfMe zone step slabs positions
     inARow bundleMax perCallWork attemptsCap secondCopies cancel mayProbe peers retryAfter maxRetryAfter openCap marksRetry
     askEvery graceToAnswer stopSendingWithin overloadFactor fall coldFrom cold crossZone waste probe lateFail extraFloor
@@ -63,10 +65,17 @@
 
 
 def test_the_simulator_s_codes_keep_their_numbers():
-    assert sorted(wire.EVENTS) == [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11]
-    assert sorted(wire.OUTCOMES) == [10, 20, 30, 40, 50, 60, 70, 80]
-    assert (sorted(wire.STATUSES), sorted(wire.LIST_KINDS)) == ([0, 1, 2], [0, 1, 2, 3])
-    assert (wire.DROP_ATTEMPT, wire.SUBMIT_TO, wire.EVERY_PEER) == (65, 77, 0xFFFFFFFF)
+    assert sorted(simulator_protocol.EVENTS) == [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11]
+    assert sorted(simulator_protocol.OUTCOMES) == [10, 20, 30, 40, 50, 60, 70, 80]
+    assert (sorted(simulator_protocol.STATUSES), sorted(simulator_protocol.LIST_KINDS)) == (
+        [0, 1, 2],
+        [0, 1, 2, 3],
+    )
+    assert (
+        simulator_protocol.DROP_ATTEMPT,
+        simulator_protocol.SUBMIT_TO,
+        simulator_protocol.EVERY_PEER,
+    ) == (65, 77, 0xFFFFFFFF)
 
 
 def test_frames_to_data_nodes_keep_their_bytes():
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -3,13 +3,21 @@
 import pytest
 from helpers import settings
 
-from tansycrank import interface as io
-from tansycrank.lab.fleet import Fleet
+from tansycrank import routing
+from tansycrank.testbed.fleet import Fleet
 
 CLASSES = (
-    io.QueryClass(aim=500.0, give_up=1600.0, worth=5.0),
-    io.QueryClass(aim=500.0, give_up=1600.0, worth=1.0, late_worth=0.1),
-    io.QueryClass(aim=500.0, give_up=2000.0, worth=1.0, late_worth=0.1, effect=io.Effect.UNSAFE),
+    routing.QueryClass(latency_objective=500.0, deadline=1600.0, priority_weight=5.0),
+    routing.QueryClass(
+        latency_objective=500.0, deadline=1600.0, priority_weight=1.0, late_weight=0.1
+    ),
+    routing.QueryClass(
+        latency_objective=500.0,
+        deadline=2000.0,
+        priority_weight=1.0,
+        late_weight=0.1,
+        idempotency=routing.Idempotency.NOT_IDEMPOTENT,
+    ),
 )
 ROUTERS = NODES = 200
 
@@ -22,18 +30,18 @@
                 routers=ROUTERS,
                 shards=3 * NODES,
                 cells=NODES,
-                reach=4,
+                replica_span=4,
                 tick=1.0,
-                call_parts=16,
+                call_batch_size=16,
                 call_work=9.0,
-                cold_multiple=2.0,
-                cold_window=3000.0,
-                cold_from=0.15,
-                cold_time=18_000.0,
+                slow_start_overload_factor=2.0,
+                slow_start_window=3000.0,
+                slow_start_initial_share=0.15,
+                slow_start_duration=18_000.0,
                 price_waste=0.08,
-                can_hold_off=True,
-                hold_off_max=500.0,
-                must_ask=True,
+                can_retry_after=True,
+                max_retry_after=500.0,
+                polls_discovery=True,
             )
             | changes
         ),
@@ -89,7 +97,7 @@
     made.watches.clear()
     for wave in range(6):
         for number in made.routers:
-            made.hear(number, io.ServerList(io.ListKind.FAILED))
+            made.hear(number, routing.EndpointListUpdate(routing.EndpointListKind.FAILED))
         made.run(made.now + 3000.0)
         times = sorted(time for time, _ in made.watches)
         made.watches.clear()
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -5,13 +5,13 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from tansycrank.config import StoreSection
-from tansycrank.interface import Outcome
 from tansycrank.merge.blocks import Keeper, PartStream
 from tansycrank.merge.spill import SpillSpace
-from tansycrank.pg import messages as pg
-from tansycrank.pg.errors import PgError
-from tansycrank.router.links import PartRequest
-from tansycrank.router.pool import Pools
+from tansycrank.postgres import messages as pg
+from tansycrank.postgres.errors import PgError
+from tansycrank.routing import Outcome
+from tansycrank.sql_router.links import PartRequest
+from tansycrank.sql_router.pool import Pools
 
 ADDRESS = ("10.0.0.1", 5432)
 HELLO = pg.AUTHENTICATION_OK + pg.backend_key(7, 99) + pg.ready("I")
@@ -76,7 +76,7 @@
     link.dataReceived(ANSWER)
     assert not node.ended  # danger: an error at the commit may still come
     link.dataReceived(pg.ready("I"))
-    assert node.outcomes == [Outcome.ANSWERED] and node.streams[0].rows == 1
+    assert node.outcomes == [Outcome.SUCCEEDED] and node.streams[0].rows == 1
     node.send()
     assert len(node.reactor.tcpClients) == 1  # the same link again
 
@@ -84,12 +84,12 @@
 @pytest.mark.parametrize(
     "state, outcome",
     [
-        ("22012", Outcome.ANSWERED),
-        ("42P01", Outcome.ANSWERED),
-        ("23505", Outcome.ANSWERED),
-        ("0A000", Outcome.ANSWERED),
-        ("P0001", Outcome.ANSWERED),
-        ("21000", Outcome.ANSWERED),
+        ("22012", Outcome.SUCCEEDED),
+        ("42P01", Outcome.SUCCEEDED),
+        ("23505", Outcome.SUCCEEDED),
+        ("0A000", Outcome.SUCCEEDED),
+        ("P0001", Outcome.SUCCEEDED),
+        ("21000", Outcome.SUCCEEDED),
         ("53200", Outcome.ERROR),
         ("57P01", Outcome.ERROR),
         ("57P02", Outcome.ERROR),
@@ -110,7 +110,7 @@
     [
         ("53300", Outcome.REJECTED),
         ("57P03", Outcome.REJECTED),
-        ("28P01", Outcome.UNCONNECTED),
+        ("28P01", Outcome.CONNECT_FAILED),
     ],
 )
 def test_refusals_before_it_went_out_prove_that_it_never_ran(state, outcome):
@@ -119,14 +119,14 @@
     link = node.accept(greet=False)
     link.dataReceived(pg.error_response(PgError(state, "x", severity="FATAL")))
     link.connectionLost()
-    assert node.outcomes == [outcome] and outcome.never_ran
+    assert node.outcomes == [outcome] and outcome.never_executed
 
 
 def test_no_connection():
     node = Node()
     node.send()
     node.reactor.tcpClients[-1][2].clientConnectionFailed(None, _Failure())
-    assert node.outcomes == [Outcome.UNCONNECTED]
+    assert node.outcomes == [Outcome.CONNECT_FAILED]
 
 
 class _Failure:
@@ -139,14 +139,14 @@
     node.send()
     node.accept(greet=False)
     node.reactor.advance(0.6)
-    assert node.outcomes == [Outcome.UNCONNECTED]
+    assert node.outcomes == [Outcome.CONNECT_FAILED]
 
 
 def test_a_connection_lost_after_the_send_may_have_run():
     node, link = ready()
     link.dataReceived(ANSWER)
     link.connectionLost()
-    assert node.outcomes == [Outcome.BROKEN_OFF]
+    assert node.outcomes == [Outcome.CONNECTION_LOST]
 
 
 def test_an_idle_link_that_is_lost_is_nobodys_outcome():
@@ -207,7 +207,7 @@
     node = Node()
     node.send(time_out=100.0)
     node.reactor.advance(0.2)
-    assert node.outcomes == [Outcome.UNCONNECTED]
+    assert node.outcomes == [Outcome.CONNECT_FAILED]
 
 
 def test_links_a_node_are_bounded():
@@ -223,7 +223,7 @@
     node.send()
     link = node.accept()
     link.dataReceived(b"D" + pg.INT.pack(1 << 20) + b"x" * 10)
-    assert node.outcomes == [Outcome.BROKEN_OFF] and link.transport.aborted
+    assert node.outcomes == [Outcome.CONNECTION_LOST] and link.transport.aborted
 
 
 def test_rows_that_cant_be_held_end_the_query_and_not_the_nodes_good_name():
@@ -234,7 +234,7 @@
 
     node.streams[0].memory.grew = lambda stream, size: full(size)
     link.dataReceived(ANSWER)
-    assert node.outcomes == [Outcome.ANSWERED] and node.ended[0].error.state == "53100"
+    assert node.outcomes == [Outcome.SUCCEEDED] and node.ended[0].error.state == "53100"
     assert link.transport.aborted
 
 
@@ -251,7 +251,7 @@
 def test_junk_from_a_node_breaks_its_link_alone():
     node, link = ready()
     link.dataReceived(b"T\x00\x00\x00\x08\x00\x09ab")
-    assert node.outcomes == [Outcome.BROKEN_OFF] and link.transport.aborted
+    assert node.outcomes == [Outcome.CONNECTION_LOST] and link.transport.aborted
 
 
 def test_close_idle_closes_the_unused_and_leaves_the_busy():
@@ -293,4 +293,4 @@
     node, link = ready()
     node.streams[0].memory.grew = lambda stream, size: node.streams[0].hold_back(True)
     link.dataReceived(ANSWER + pg.ready("I"))
-    assert node.outcomes == [Outcome.ANSWERED] and link.transport.producerState == "producing"
+    assert node.outcomes == [Outcome.SUCCEEDED] and link.transport.producerState == "producing"
--- a/tests/test_merge.py
+++ b/tests/test_merge.py
@@ -8,9 +8,9 @@
 
 from tansycrank.merge.rows import PartRows, merge
 from tansycrank.merge.values import divide, evaluate, spread_of
-from tansycrank.pg import types
-from tansycrank.pg.errors import PgError
-from tansycrank.pg.messages import Field, data_row, read_row
+from tansycrank.postgres import types
+from tansycrank.postgres.errors import PgError
+from tansycrank.postgres.messages import Field, data_row, read_row
 from tansycrank.sql.plan import Aggregate, MergePlan, Output, Scalar, SortKey
 
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -12,9 +12,9 @@
 from tansycrank.merge.pipeline import build
 from tansycrank.merge.spill import SpillSpace
 from tansycrank.merge.work import RowStream, Worker
-from tansycrank.pg import types
-from tansycrank.pg.errors import PgError
-from tansycrank.pg.messages import Field, RowFrames, data_row, frame, read_row
+from tansycrank.postgres import types
+from tansycrank.postgres.errors import PgError
+from tansycrank.postgres.messages import Field, RowFrames, data_row, frame, read_row
 from tansycrank.sql.plan import Aggregate, MergePlan, Output, Scalar, SortKey
 
 MIB = 1 << 20
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -3,7 +3,7 @@
 import pytest
 
 from tansycrank import config
-from tansycrank.pg.errors import PgError
+from tansycrank.postgres.errors import PgError
 from tansycrank.sql.planner import Planner, explain_lines, split_comment
 from tansycrank.sql.shards import shard_of
 
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -1,8 +1,8 @@
 """What the router believes of a roster: late, cut, repeated, reordered, reborn, false."""
 
-from tansycrank import interface as io
-from tansycrank.roster import view
-from tansycrank.roster.view import FeedLine, NodeLine, RosterView
+from tansycrank import routing
+from tansycrank.discovery import view
+from tansycrank.discovery.view import FeedLine, NodeLine, RosterView
 
 
 def node(number, status="ready", started=0.0, cell=0, port=5000):
@@ -35,7 +35,10 @@
     feed = Feed()
     actions = feed.hear("full", 1, node(1), node(2))
     assert [a.id for a in actions if isinstance(a, view.Place)] == [1, 2]
-    assert told(actions)[0].kind is io.ListKind.FULL and len(told(actions)[0].entries) == 2
+    assert (
+        told(actions)[0].kind is routing.EndpointListKind.SNAPSHOT
+        and len(told(actions)[0].entries) == 2
+    )
 
 
 def test_an_old_whole_list_brings_no_dead_back():
@@ -56,7 +59,10 @@
     feed = Feed()
     feed.hear("full", 5, node(1), node(2))
     actions = feed.hear("changes", 9, node(2, "draining"))
-    assert says(actions) == ["list"] and told(actions)[0].entries[0].status is io.Status.DRAINING
+    assert (
+        says(actions) == ["list"]
+        and told(actions)[0].entries[0].status is routing.EndpointStatus.DRAINING
+    )
     assert says(feed.hear("changes", 11, node(1, "draining"))) == []
     assert told(feed.hear("full", 11, node(1, "draining")))
 
@@ -82,7 +88,7 @@
     feed.hear("full", 1, node(1))
     assert says(feed.play(view.Tick(), after=2100.0)) == ["list"]
     actions = feed.play(view.Tick(), after=2100.0)
-    assert told(actions)[0].kind is io.ListKind.FAILED
+    assert told(actions)[0].kind is routing.EndpointListKind.FAILED
     assert any(isinstance(a, view.Drop) for a in actions)
     assert feed.view.nodes  # the last list stays
     assert any(isinstance(a, view.Connect) for a in feed.play(view.Asked()))
@@ -90,7 +96,7 @@
 
 def test_a_lost_feed_is_told_once():
     feed = Feed()
-    assert told(feed.play(view.Lost()))[0].kind is io.ListKind.FAILED
+    assert told(feed.play(view.Lost()))[0].kind is routing.EndpointListKind.FAILED
     assert not told(feed.play(view.Lost()))
 
 
@@ -110,7 +116,7 @@
     feed.play(view.Heard(FeedLine("beat", 1, 1)))
     [after] = told(feed.hear("changes", 2, node(1, started=3_600_000.0)))[0].entries
     assert after.life > before.life
-    assert after.came_up == feed.now
+    assert after.started_at == feed.now
 
 
 def test_an_unreadable_line_asks_for_the_whole_list():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,21 +2,31 @@
 
 from helpers import Bench, listed, of, settings
 
-from tansycrank import interface as io
-from tansycrank.interface import Outcome
-
-UNSAFE = io.QueryClass(
-    aim=1000.0, give_up=4000.0, worth=1.0, late_worth=0.5, effect=io.Effect.UNSAFE
+from tansycrank import routing
+from tansycrank.routing import Outcome
+
+UNSAFE = routing.QueryClass(
+    latency_objective=1000.0,
+    deadline=4000.0,
+    priority_weight=1.0,
+    late_weight=0.5,
+    idempotency=routing.Idempotency.NOT_IDEMPOTENT,
 )
-KEYED = io.QueryClass(
-    aim=1000.0,
-    give_up=8000.0,
-    worth=1.0,
-    late_worth=0.5,
-    effect=io.Effect.KEYED,
+KEYED = routing.QueryClass(
+    latency_objective=1000.0,
+    deadline=8000.0,
+    priority_weight=1.0,
+    late_weight=0.5,
+    idempotency=routing.Idempotency.WITH_KEY,
     dedup_window=600.0,
 )
-PARTIAL = io.QueryClass(aim=1000.0, give_up=4000.0, worth=1.0, floor=0.6, short_worth=0.9)
+PARTIAL = routing.QueryClass(
+    latency_objective=1000.0,
+    deadline=4000.0,
+    priority_weight=1.0,
+    minimum_coverage=0.6,
+    partial_weight=0.9,
+)
 
 
 def finals(bench):
@@ -24,7 +34,7 @@
         a
         for _, actions in bench.done
         for a in actions
-        if isinstance(a, io.Answer | io.Shed | io.Fail)
+        if isinstance(a, routing.Answer | routing.Reject | routing.Fail)
     ]
 
 
@@ -32,67 +42,73 @@
     bench = Bench(settings())
     bench.teach()  # a router that knows its queues sends all parts at once
     start = bench.now
-    query, parts, _ = bench.query(parts=3, time_left=900.0)
+    query, shard_requests, _ = bench.query(shard_requests=3, remaining=900.0)
     bench.run(3000)
     assert [a.query for a in finals(bench) if a.query >= query] == [query]
     ended = next(
         t
         for t, acts in bench.done
-        if any(a.query == query for a in of(io.Shed, acts) + of(io.Fail, acts))
+        if any(a.query == query for a in of(routing.Reject, acts) + of(routing.Fail, acts))
     )
     assert start < ended <= start + 900.0
-    assert all(t <= ended for t, actions in bench.done if of(io.Send, actions))
-    for part in parts:  # late outcomes of an ended query start nothing
-        assert not of(io.Send, bench.end(part, 0, Outcome.BROKEN_OFF))
+    assert all(t <= ended for t, actions in bench.done if of(routing.Send, actions))
+    for shard_request in shard_requests:  # late outcomes of an ended query start nothing
+        assert not of(routing.Send, bench.end(shard_request, 0, Outcome.CONNECTION_LOST))
 
 
 def test_rule_1_parts_waiting_for_room_are_never_sent_after_the_client_left():
-    bench = Bench(settings(), servers=(1,))
+    bench = Bench(settings(), endpoints=(1,))
     first = [bench.query()[0] for _ in range(30)]
-    bench.step(*(io.QueryGone(q) for q in first))
+    bench.step(*(routing.QueryCancelled(q) for q in first))
     sent = set(bench.attempts)
-    for part in list(sent):
-        bench.end(part, 0, Outcome.CANCELLED)
+    for shard_request in list(sent):
+        bench.end(shard_request, 0, Outcome.CANCELLED)
     assert set(bench.attempts) == sent
 
 
 def test_rule_2_an_unsafe_part_that_may_have_run_is_failed_at_once():
-    for outcome in (Outcome.ERROR, Outcome.TIMED_OUT, Outcome.BROKEN_OFF, Outcome.CANCELLED):
+    for outcome in (Outcome.ERROR, Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.CANCELLED):
         bench = Bench(settings(UNSAFE))
-        query, (part,), _ = bench.query()
-        assert bench.end(part, 0, outcome)[0:] and finals(bench) == [io.Fail(query)], outcome
-        assert len(bench.attempts[part]) == 1
+        query, (shard_request,), _ = bench.query()
+        assert bench.end(shard_request, 0, outcome)[0:] and finals(bench) == [
+            routing.Fail(query)
+        ], outcome
+        assert len(bench.attempts[shard_request]) == 1
 
 
 def test_rule_2_an_unsafe_part_that_never_ran_goes_elsewhere_and_is_never_hedged():
     bench = Bench(settings(UNSAFE))
-    _, (part,), _ = bench.query()
-    bench.end(part, 0, Outcome.UNCONNECTED)
-    assert len({server for _, server in bench.attempts[part]}) == 2
+    _, (shard_request,), _ = bench.query()
+    bench.end(shard_request, 0, Outcome.CONNECT_FAILED)
+    assert len({endpoint for _, endpoint in bench.attempts[shard_request]}) == 2
     bench.run(900)
-    assert len(bench.attempts[part]) == 2
+    assert len(bench.attempts[shard_request]) == 2
 
 
 def test_rule_2_a_keyed_part_is_sent_again_only_within_its_window():
     for wait, sends in ((100.0, 2), (700.0, 1)):
         bench = Bench(settings(KEYED))
-        _, (part,), _ = bench.query(time_left=8000.0)
+        _, (shard_request,), _ = bench.query(remaining=8000.0)
         bench.run(wait)
-        bench.end(part, 0, Outcome.BROKEN_OFF)
+        bench.end(shard_request, 0, Outcome.CONNECTION_LOST)
         bench.run(50)
-        assert len(bench.attempts[part]) == sends
+        assert len(bench.attempts[shard_request]) == sends
 
 
 def test_rule_3_nothing_goes_to_a_server_told_to_drain_or_gone():
-    for status in (io.Status.DRAINING, io.Status.GONE):
-        bench = Bench(settings(), servers=(1, 2))
-        bench.step(io.ServerList(io.ListKind.CHANGES, (listed(1, status=status),)))
+    for status in (routing.EndpointStatus.DRAINING, routing.EndpointStatus.REMOVED):
+        bench = Bench(settings(), endpoints=(1, 2))
+        bench.step(
+            routing.EndpointListUpdate(routing.EndpointListKind.DELTA, (listed(1, status=status),))
+        )
         for _ in range(5):
-            _, (part,), _ = bench.query()
-            assert bench.attempts[part][0][1] == 2
-    bench.step(io.ServerList(io.ListKind.FULL, (listed(1),)))  # absent from a full list: removed
-    _, (part,), _ = bench.query()
-    assert bench.attempts[part][0][1] == 1
+            _, (shard_request,), _ = bench.query()
+            assert bench.attempts[shard_request][0][1] == 2
+    bench.step(
+        routing.EndpointListUpdate(routing.EndpointListKind.SNAPSHOT, (listed(1),))
+    )  # absent from a full list: removed
+    _, (shard_request,), _ = bench.query()
+    assert bench.attempts[shard_request][0][1] == 1
 
 
 def cold_burst(routers, spans=8, queries=60, light=(), every=1000):
@@ -101,31 +117,37 @@
     """
     sent = []
     for me in range(routers):
-        bench = Bench(settings(routers=routers, me=me, cold_window=3000.0), seed=me)
-        bench.teach(took=100.0, gap=0.0)
-        for took in light:
-            bench.teach(took=took, answers=1, gap=0.0)
-        bench.step(io.ServerList(io.ListKind.FULL, (listed(1, came_up=bench.now),)))
+        bench = Bench(settings(routers=routers, router_index=me, slow_start_window=3000.0), seed=me)
+        bench.teach(latency=100.0, gap=0.0)
+        for latency in light:
+            bench.teach(latency=latency, answers=1, gap=0.0)
+        bench.step(
+            routing.EndpointListUpdate(
+                routing.EndpointListKind.SNAPSHOT, (listed(1, started_at=bench.now),)
+            )
+        )
         start, before = bench.now, set(bench.attempts)
         for _ in range(spans):
             for _ in range(queries // spans):
                 bench.query()
             bench.run(every)
         sent += [
-            t - start for part in set(bench.attempts) - before for t, _ in bench.attempts[part]
+            t - start
+            for shard_request in set(bench.attempts) - before
+            for t, _ in bench.attempts[shard_request]
         ]
     return sorted(sent)
 
 
 def test_rule_3_the_guard_itself_refuses_a_server_that_is_not_ready():
-    bench = Bench(settings(), servers=(1,))
-    query, (part,), _ = bench.query()
+    bench = Bench(settings(), endpoints=(1,))
+    query, (shard_request,), _ = bench.query()
     router = bench.router
-    server, held = router.servers[1], router.parts[part]
+    endpoint, held = router.endpoints[1], router.shard_requests[shard_request]
     held.attempts.clear()
-    assert router._may_send(held, server, hedge=False)
-    server.status = io.Status.DRAINING
-    assert not router._may_send(held, server, hedge=False)
+    assert router._may_send(held, endpoint, hedge=False)
+    endpoint.status = routing.EndpointStatus.DRAINING
+    assert not router._may_send(held, endpoint, hedge=False)
 
 
 def test_rule_4_all_routers_together_keep_a_cold_sole_replica_within_what_it_bears():
@@ -154,11 +176,15 @@
 
 
 def test_rule_4_a_server_that_starts_with_nothing_gets_nothing_at_first():
-    bench = Bench(settings(cold_from=0.0, cold_window=3000.0), servers=(1,))
-    bench.step(io.ServerList(io.ListKind.FULL, (listed(1, came_up=bench.now),)))
-    bench.router.servers[1].lot_until = bench.now + 60_000.0
-    _, (part,), _ = bench.query()
-    assert part not in bench.attempts
+    bench = Bench(settings(slow_start_initial_share=0.0, slow_start_window=3000.0), endpoints=(1,))
+    bench.step(
+        routing.EndpointListUpdate(
+            routing.EndpointListKind.SNAPSHOT, (listed(1, started_at=bench.now),)
+        )
+    )
+    bench.router.endpoints[1].lot_until = bench.now + 60_000.0
+    _, (shard_request,), _ = bench.query()
+    assert shard_request not in bench.attempts
 
 
 def test_rule_4_light_parts_and_warm_keys_do_not_raise_what_two_cold_cores_get():
@@ -181,42 +207,47 @@
 
 def test_rule_5_never_below_the_floor_and_whole_only_if_whole():
     bench = Bench(settings(PARTIAL, shards=3))
-    query, parts, _ = bench.query(parts=3, weights=[0.5, 0.3, 0.2])
-    bench.end(parts[0], 0)
+    query, shard_requests, _ = bench.query(shard_requests=3, weights=[0.5, 0.3, 0.2])
+    bench.end(shard_requests[0], 0)
     bench.run(1200)
-    assert finals(bench) and not of(io.Answer, finals(bench))  # 0.5 is under the floor
+    assert finals(bench) and not of(routing.Answer, finals(bench))  # 0.5 is under the floor
     bench = Bench(settings(PARTIAL, shards=3))
-    query, parts, _ = bench.query(parts=3, weights=[0.5, 0.3, 0.2])
-    bench.end(parts[0], 0)
-    bench.end(parts[1], 0)
+    query, shard_requests, _ = bench.query(shard_requests=3, weights=[0.5, 0.3, 0.2])
+    bench.end(shard_requests[0], 0)
+    bench.end(shard_requests[1], 0)
     bench.run(1200)
-    assert finals(bench) == [io.Answer(query, False)]
+    assert finals(bench) == [routing.Answer(query, False)]
 
 
 def test_rule_5_a_second_step_on_a_short_first_one_is_not_whole():
-    cls = io.QueryClass(
-        aim=1000.0, give_up=4000.0, worth=1.0, floor=0.6, short_worth=0.9, follow_up=1
+    cls = routing.QueryClass(
+        latency_objective=1000.0,
+        deadline=4000.0,
+        priority_weight=1.0,
+        minimum_coverage=0.6,
+        partial_weight=0.9,
+        follow_up=1,
     )
     bench = Bench(settings(cls))
-    query, parts, _ = bench.query(parts=2, weights=[0.7, 0.3])
-    bench.end(parts[0], 0)
+    query, shard_requests, _ = bench.query(shard_requests=2, weights=[0.7, 0.3])
+    bench.end(shard_requests[0], 0)
     bench.run(1000)
-    if finals(bench) == [io.Answer(query, False)]:
-        bench.step(io.PartArrived(9, 1, 0, 1.0))
+    if finals(bench) == [routing.Answer(query, False)]:
+        bench.step(routing.ShardRequestArrived(9, 1, 0, 1.0))
         bench.end(9)
-        assert finals(bench) == [io.Answer(query, False)] * 2
+        assert finals(bench) == [routing.Answer(query, False)] * 2
     else:
         raise AssertionError(finals(bench))
 
 
 def test_rule_6_hedges_and_retries_share_one_budget():
     cfg = settings(budget_floor=2.0, budget_share=0.1, budget_window=1000.0)
-    bench = Bench(cfg, servers=range(1, 9))
+    bench = Bench(cfg, endpoints=range(1, 9))
     taken, extras = [], []
     for _ in range(20):
-        _, (part,), _ = bench.query()
+        _, (shard_request,), _ = bench.query()
         taken += [bench.now, bench.now]
-        bench.end(part, 0, Outcome.REJECTED)
+        bench.end(shard_request, 0, Outcome.REJECTED)
         bench.run(20)
     for sends in bench.attempts.values():
         extras += [t for t, _ in sends[1:]]
@@ -230,43 +261,46 @@
     """Danger: 63 parts of a query answered and thrown away, because the last waits for a lot till
     its aim.
     """
-    bench = Bench(settings(routers=1000, cold_window=3000.0), servers=(1,))
-    bench.teach(took=100.0)
-    query, (part,), _ = bench.query()
-    bench.step(io.QueryGone(query))
+    bench = Bench(settings(routers=1000, slow_start_window=3000.0), endpoints=(1,))
+    bench.teach(latency=100.0)
+    query, (shard_request,), _ = bench.query()
+    bench.step(routing.QueryCancelled(query))
     bench.run(200)
-    bench.end(part, outcome=Outcome.BROKEN_OFF)  # it is set aside
-    cold = tuple(listed(server, came_up=bench.now) for server in (2, 3, 4))
-    bench.step(io.ServerList(io.ListKind.CHANGES, cold))
-    assert bench.now < bench.router.servers[1].flag_until
-    for server in (2, 3, 4):
-        bench.router.servers[server].lot_until = bench.now + 3000.0  # lots drawn, and lost
-    _, (part,), _ = bench.query()
-    assert [server for _, server in bench.attempts.get(part, [])] == [1]
+    bench.end(shard_request, outcome=Outcome.CONNECTION_LOST)  # it is set aside
+    cold = tuple(listed(endpoint, started_at=bench.now) for endpoint in (2, 3, 4))
+    bench.step(routing.EndpointListUpdate(routing.EndpointListKind.DELTA, cold))
+    assert bench.now < bench.router.endpoints[1].flag_until
+    for endpoint in (2, 3, 4):
+        bench.router.endpoints[endpoint].lot_until = bench.now + 3000.0  # lots drawn, and lost
+    _, (shard_request,), _ = bench.query()
+    assert [endpoint for _, endpoint in bench.attempts.get(shard_request, [])] == [1]
 
 
 def test_rule_2_a_keyed_repeat_is_told_until_when_it_may_leave():
     """Danger: it waits for its connection, and is written once its window is over."""
     bench = Bench(settings(KEYED))
-    _, (part,), actions = bench.query(time_left=8000.0)
-    assert [send.leave_within for send in of(io.Send, actions)] == [
+    _, (shard_request,), actions = bench.query(remaining=8000.0)
+    assert [send.leave_within for send in of(routing.Send, actions)] == [
         0.0
     ]  # the first one opens the window
     bench.run(300)
-    repeats = of(io.Send, bench.end(part, 0, Outcome.BROKEN_OFF))
+    repeats = of(routing.Send, bench.end(shard_request, 0, Outcome.CONNECTION_LOST))
     assert [send.leave_within for send in repeats] == [600.0 - 300.0 - 2 * bench.tick]
-    for cls in (UNSAFE, io.QueryClass(aim=1000.0, give_up=4000.0, worth=1.0)):
+    for cls in (
+        UNSAFE,
+        routing.QueryClass(latency_objective=1000.0, deadline=4000.0, priority_weight=1.0),
+    ):
         bench = Bench(settings(cls))
-        _, (part,), _ = bench.query()
-        [repeat] = of(io.Send, bench.end(part, 0, Outcome.UNCONNECTED))
+        _, (shard_request,), _ = bench.query()
+        [repeat] = of(routing.Send, bench.end(shard_request, 0, Outcome.CONNECT_FAILED))
         assert repeat.leave_within == 0.0
 
 
 def test_rule_1_a_server_is_told_no_longer_wait_than_the_client_has_left():
     """Where late answers earn nothing, the wait lasted to the aim, past a deadline before it."""
-    look = io.QueryClass(aim=1000.0, give_up=4000.0, worth=1.0)
+    look = routing.QueryClass(latency_objective=1000.0, deadline=4000.0, priority_weight=1.0)
     bench = Bench(settings(look))
     bench.teach()
-    _, _, actions = bench.query(time_left=100.0)
-    [send] = of(io.Send, actions)
+    _, _, actions = bench.query(remaining=100.0)
+    [send] = of(routing.Send, actions)
     assert send.time_out <= 100.0
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -4,7 +4,7 @@
 from harness import Front, error_of
 from test_planner import TEXT
 
-from tansycrank.pg import messages as pg
+from tansycrank.postgres import messages as pg
 
 ONE = "SELECT id FROM trips WHERE district = 'a'"
 INSERT = "INSERT INTO trips (id, district) VALUES (1, 'a')"
--- a/tests/test_session_fuzz.py
+++ b/tests/test_session_fuzz.py
@@ -6,7 +6,7 @@
 from test_planner import TEXT
 from test_session import INSERT, ONE, bind, close, execute, named_parse
 
-from tansycrank.pg import messages as pg
+from tansycrank.postgres import messages as pg
 
 STARTUP = pg.startup({"user": "x"})
 GOOD = [
--- a/tests/test_wire.py
+++ b/tests/test_simulator_protocol.py
@@ -8,8 +8,7 @@
 
 import pytest
 
-from tansycrank import interface as io
-from tansycrank import wire
+from tansycrank import routing, simulator_protocol
 
 ROOT = Path(__file__).parent.parent
 EMPTY = bytes.fromhex("1000000000000000206ec04000000000")
@@ -106,7 +105,10 @@
 
 def host(data):
     return subprocess.run(
-        [sys.executable, "-m", "tansycrank.simhost"], input=data, capture_output=True, cwd=ROOT
+        [sys.executable, "-m", "tansycrank.simulator_adapter"],
+        input=data,
+        capture_output=True,
+        cwd=ROOT,
     )
 
 
@@ -120,13 +122,15 @@
 
 
 def test_the_pages_batches_are_read():
-    assert wire.Decoder().decode(EMPTY) == (8412.25, [])
-    clock, records = wire.Decoder().decode(THREE)
+    assert simulator_protocol.Decoder().decode(EMPTY) == (8412.25, [])
+    clock, records = simulator_protocol.Decoder().decode(THREE)
     assert clock == 8412.25
-    (first, part), (_, ring), (last, gone) = records
+    (first, shard_request), (_, ring), (last, gone) = records
     assert (first, last) == (3, 5)
-    assert part == io.PartArrived(0x000A11135D3A91C4, 214, 0, 0.125, 0x91F03B7C55D20A64)
-    assert ring == io.Woken(77) and gone == io.QueryGone(0x000056E90E6F2B19)
+    assert shard_request == routing.ShardRequestArrived(
+        0x000A11135D3A91C4, 214, 0, 0.125, 0x91F03B7C55D20A64
+    )
+    assert ring == routing.TimerExpired(77) and gone == routing.QueryCancelled(0x000056E90E6F2B19)
 
 
 def test_the_pages_lists_are_read():
@@ -136,53 +140,55 @@
     data = frame(
         bytes.fromhex("07000000000002000000"), bytes.fromhex("020300032900000000"), tail=tail
     )
-    _, [(instance, event)] = wire.Decoder().decode(data)
-    assert instance == 3 and event.kind is io.ListKind.CACHED
-    assert event.entries[0] == io.Listed(0x03124A07, 0, 0, io.Status.READY, 0.0, 1.0)
-    assert event.entries[1].came_up == 6100.0 and event.entries[1].zone == 1
+    _, [(instance, event)] = simulator_protocol.Decoder().decode(data)
+    assert instance == 3 and event.kind is routing.EndpointListKind.CACHED
+    assert event.entries[0] == routing.EndpointEntry(
+        0x03124A07, 0, 0, routing.EndpointStatus.IN_SERVICE, 0.0, 1.0
+    )
+    assert event.entries[1].started_at == 6100.0 and event.entries[1].zone == 1
 
 
 def test_the_pages_outcomes_are_read():
     done = bytes.fromhex("090300c4913a5d13110a0000074a12030a000000000080324001")
     probe = bytes.fromhex("0b03000af211902c666666666666f63f0152b81e3f")
-    _, [(_, ended), (_, probed)] = wire.Decoder().decode(frame(done, probe))
-    assert ended == io.AttemptEnded(
-        0x000A11135D3A91C4, 0, 0x03124A07, io.Outcome.ANSWERED, 18.5, True, ()
+    _, [(_, ended), (_, probed)] = simulator_protocol.Decoder().decode(frame(done, probe))
+    assert ended == routing.AttemptEnded(
+        0x000A11135D3A91C4, 0, 0x03124A07, routing.Outcome.SUCCEEDED, 18.5, True, ()
     )
-    assert probed.server == 0x2C9011F2 and probed.load == (pytest.approx(0.62),)
+    assert probed.endpoint == 0x2C9011F2 and probed.load == (pytest.approx(0.62),)
 
 
 @pytest.mark.parametrize(
     "action, record",
     [
         (
-            io.Send(0x000A11135D3A91C4, 0x03124A07, 80.0),
+            routing.Send(0x000A11135D3A91C4, 0x03124A07, 80.0),
             "4d0300c4913a5d13110a00074a12030000000000005440",
         ),
-        (io.Wake(500.0, 77), "4c03000000000000407f404d00000000000000"),
-        (io.Cancel(0x000A11135D3A91C4, 0), "410300c4913a5d13110a0000"),
-        (io.Shed(0x000056E90E6F2B19, 250.0), "430300192b6f0ee95600000000000000406f40"),
-        (io.Fail(0x000056E90E6F2B19), "450300192b6f0ee9560000"),
-        (io.Answer(0x000056E90E6F2B19, True), "440300192b6f0ee956000001"),
-        (io.Probe(0x2C9011F2), "480300f211902c"),
-        (io.CloseIdle(0x2C9011F2), "4b0300f211902c"),
-        (io.FetchList(), "490300"),
-        (io.Watch(True), "4a030001"),
+        (routing.SetTimer(500.0, 77), "4c03000000000000407f404d00000000000000"),
+        (routing.Cancel(0x000A11135D3A91C4, 0), "410300c4913a5d13110a0000"),
+        (routing.Reject(0x000056E90E6F2B19, 250.0), "430300192b6f0ee95600000000000000406f40"),
+        (routing.Fail(0x000056E90E6F2B19), "450300192b6f0ee9560000"),
+        (routing.Answer(0x000056E90E6F2B19, True), "440300192b6f0ee956000001"),
+        (routing.CheckHealth(0x2C9011F2), "480300f211902c"),
+        (routing.CloseIdleConnections(0x2C9011F2), "4b0300f211902c"),
+        (routing.PollEndpoints(), "490300"),
+        (routing.WatchEndpoints(True), "4a030001"),
     ],
 )
 def test_actions_are_written_as_on_the_page(action, record):
     raw = bytes.fromhex(record).ljust(24, b"\0")
-    assert wire.encode([(3, action)]) == struct.pack("<II", 32, 1) + raw
+    assert simulator_protocol.encode([(3, action)]) == struct.pack("<II", 32, 1) + raw
 
 
 def test_texts_and_messages_go_to_the_tail():
-    note = wire.encode([(3, io.Note("two servers known"))])
+    note = simulator_protocol.encode([(3, routing.LogMessage("two servers known"))])
     assert (
         note
         == bytes.fromhex("31000000010000004603000000000011000000").ljust(32, b"\0")
         + b"two servers known"
     )
-    told = wire.encode([(3, io.TellPeer(None, b"hi 7"))])
+    told = simulator_protocol.encode([(3, routing.SendGossip(None, b"hi 7"))])
     assert told[8:20].hex() == "420300ffffffff0000000004" and told.endswith(b"hi 7")
 
 
@@ -199,22 +205,22 @@
     ],
 )
 def test_a_frame_that_cant_be_read_is_named(data, words):
-    with pytest.raises(wire.FrameError, match=words):
-        wire.Decoder().decode(data)
+    with pytest.raises(simulator_protocol.FrameError, match=words):
+        simulator_protocol.Decoder().decode(data)
 
 
 def test_settings_are_read_and_a_missing_key_is_named():
-    cfg = wire.settings_from(json.dumps(INFO))
-    assert cfg.budget_window is None and cfg.classes[0].follow_up == 5 and not cfg.must_ask
+    cfg = simulator_protocol.settings_from(json.dumps(INFO))
+    assert cfg.budget_window is None and cfg.classes[0].follow_up == 5 and not cfg.polls_discovery
     for table, key in (("rules", "coldFrom"), ("caps", "openCap"), ("familyInfo", "slabs")):
         broken = json.loads(json.dumps(INFO))
         del broken[table][key]
         with pytest.raises(ValueError, match=f"settings.{table}.{key}"):
-            wire.settings_from(json.dumps(broken))
+            simulator_protocol.settings_from(json.dumps(broken))
     broken = json.loads(json.dumps(INFO))
     del broken["services"][0]["aim"]
     with pytest.raises(ValueError, match=r"settings.services\[0\].aim"):
-        wire.settings_from(json.dumps(broken))
+        simulator_protocol.settings_from(json.dumps(broken))
 
 
 def test_host_serves_several_instances_and_ends_quietly():
@@ -224,7 +230,10 @@
     ran = host(data)
     assert ran.returncode == 0 and not ran.stderr
     _, second = replies(ran.stdout)
-    assert sorted((r[1], r[3]) for r in second if r[0] == wire.SUBMIT_TO) == [(1, 11), (2, 21)]
+    assert sorted((r[1], r[3]) for r in second if r[0] == simulator_protocol.SUBMIT_TO) == [
+        (1, 11),
+        (2, 21),
+    ]
 
 
 def test_host_forgets_a_killed_instance_and_attaches_it_anew():
@@ -232,7 +241,7 @@
     data += begin(1) + frame(request(1, 12), request(1, 13, 0.0))
     *_, killed, attached, last = replies(host(data).stdout)
     assert killed == []
-    assert [r[3] for r in last if r[0] == wire.SUBMIT_TO] == [13]
+    assert [r[3] for r in last if r[0] == simulator_protocol.SUBMIT_TO] == [13]
 
 
 def test_host_reports_broken_for_one_instance_and_serves_the_others():
@@ -241,8 +250,8 @@
     ran = host(data)
     assert ran.returncode == 0
     _, broken, served = replies(ran.stdout)
-    assert broken[0][0] == wire.BROKEN and b"required key is missing" in ran.stdout
-    assert any(r[0] == wire.SUBMIT_TO for r in served)
+    assert broken[0][0] == simulator_protocol.BROKEN and b"required key is missing" in ran.stdout
+    assert any(r[0] == simulator_protocol.SUBMIT_TO for r in served)
 
 
 @pytest.mark.parametrize("data", [frame(b"\x63"), EMPTY[:3], EMPTY[:9], b"\xff\xff\xff\xff"])
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tansycrank.start_times import StartTimes
+from tansycrank.routing.start_times import StartTimes
 
 WARM_UP = 10_000.0  # ms
 HOUR = 3_600_000.0
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -2,21 +2,27 @@
 
 from helpers import Bench, listed, of, settings
 
-from tansycrank import interface as io
-from tansycrank.brain import TRIAL_FIRST
-from tansycrank.interface import Outcome
+from tansycrank import routing
+from tansycrank.routing import Outcome
+from tansycrank.routing.policy import TRIAL_FIRST
 
-NO_LATE_WORTH = io.QueryClass(aim=1000.0, give_up=4000.0, worth=1.0)
-IN_PART = io.QueryClass(aim=1000.0, give_up=4000.0, worth=1.0, floor=0.5, short_worth=0.9)
+NO_LATE_WORTH = routing.QueryClass(latency_objective=1000.0, deadline=4000.0, priority_weight=1.0)
+IN_PART = routing.QueryClass(
+    latency_objective=1000.0,
+    deadline=4000.0,
+    priority_weight=1.0,
+    minimum_coverage=0.5,
+    partial_weight=0.9,
+)
 
 
 def spread(count, *classes, **changes):
     """One server a shard and its next one, so that no two parts of a query need the same."""
-    cfg = settings(*classes, shards=count, cells=count, reach=2, **changes)
-    bench = Bench(cfg, servers=[listed(s, cell=s) for s in range(count)])
+    cfg = settings(*classes, shards=count, cells=count, replica_span=2, **changes)
+    bench = Bench(cfg, endpoints=[listed(s, cell=s) for s in range(count)])
     for _ in range(30):
-        _, (part,), _ = bench.query(shards=[bench.numbers % count])
-        bench.end(part, after=80.0)
+        _, (shard_request,), _ = bench.query(shards=[bench.numbers % count])
+        bench.end(shard_request, after=80.0)
         bench.run(50)
     return bench
 
@@ -24,37 +30,37 @@
 def test_a_query_that_breaks_two_servers_and_is_answered_by_none_is_given_up():
     """Danger: a poisonous query takes down every server that begins a part of it."""
     bench = spread(8)
-    query, parts, _ = bench.query(parts=4, shards=[0, 2, 4, 6])
-    assert all(len(bench.attempts[part]) == 1 for part in parts)
-    for part in parts[:-1]:
-        assert not of(io.Send, bench.end(part, outcome=Outcome.BROKEN_OFF))
-    acted = bench.end(parts[-1], outcome=Outcome.BROKEN_OFF)
-    assert [a.query for a in of(io.Shed, acted)] == [query] and not of(io.Send, acted)
+    query, shard_requests, _ = bench.query(shard_requests=4, shards=[0, 2, 4, 6])
+    assert all(len(bench.attempts[shard_request]) == 1 for shard_request in shard_requests)
+    for shard_request in shard_requests[:-1]:
+        assert not of(routing.Send, bench.end(shard_request, outcome=Outcome.CONNECTION_LOST))
+    acted = bench.end(shard_requests[-1], outcome=Outcome.CONNECTION_LOST)
+    assert [a.query for a in of(routing.Reject, acted)] == [query] and not of(routing.Send, acted)
 
 
 def test_an_answered_part_clears_its_query():
     """The other side: in a crash of servers a query with a part answered goes on at once."""
     bench = spread(8)
-    _, parts, _ = bench.query(parts=4, shards=[0, 2, 4, 6])
-    bench.end(parts[0])
-    assert len(of(io.Send, bench.end(parts[1], outcome=Outcome.BROKEN_OFF))) == 1
+    _, shard_requests, _ = bench.query(shard_requests=4, shards=[0, 2, 4, 6])
+    bench.end(shard_requests[0])
+    assert len(of(routing.Send, bench.end(shard_requests[1], outcome=Outcome.CONNECTION_LOST))) == 1
 
 
 def test_an_attempt_times_out_when_its_answer_stops_being_of_use():
     """Danger: parts of queries long ended are still worked off where a cancel frees nothing."""
     bench = spread(4, NO_LATE_WORTH)
     bench.query(shards=[0])
-    send = of(io.Send, bench.query(shards=[1])[2])[0]
+    send = of(routing.Send, bench.query(shards=[1])[2])[0]
     assert send.time_out == 1000.0
 
 
 def test_a_time_out_alone_does_not_set_a_server_aside():
     """Danger: at the aim of a late query every server would be set aside together."""
     bench = spread(4, NO_LATE_WORTH)
-    _, (part,), _ = bench.query(shards=[0])
-    server = bench.router.servers[bench.attempts[part][0][1]]
-    bench.end(part, outcome=Outcome.TIMED_OUT, after=50.0)
-    assert not server.backoff
+    _, (shard_request,), _ = bench.query(shards=[0])
+    endpoint = bench.router.endpoints[bench.attempts[shard_request][0][1]]
+    bench.end(shard_request, outcome=Outcome.TIMED_OUT, after=50.0)
+    assert not endpoint.backoff
 
 
 def test_small_queries_send_a_pilot_where_most_answers_are_late():
@@ -63,11 +69,11 @@
     """
     bench = spread(8)
     for _ in range(40):
-        _, (part,), _ = bench.query(shards=[bench.numbers % 8])
+        _, (shard_request,), _ = bench.query(shards=[bench.numbers % 8])
         bench.run(900)
-        bench.end(part, 0)
-    _, parts, _ = bench.query(parts=4, shards=[0, 2, 4, 6])
-    assert sum(part in bench.attempts for part in parts) == 1
+        bench.end(shard_request, 0)
+    _, shard_requests, _ = bench.query(shard_requests=4, shards=[0, 2, 4, 6])
+    assert sum(shard_request in bench.attempts for shard_request in shard_requests) == 1
 
 
 def test_a_started_query_is_kept_for_its_answer_in_part():
@@ -75,43 +81,51 @@
     (id542ad).
     """
     bench = Bench(
-        settings(IN_PART, shards=8, cells=8), servers=[listed(s, cell=s) for s in range(8)]
+        settings(IN_PART, shards=8, cells=8), endpoints=[listed(s, cell=s) for s in range(8)]
     )
-    query, parts, _ = bench.query(parts=8, shards=range(8))
+    query, shard_requests, _ = bench.query(shard_requests=8, shards=range(8))
     bench.run(500)
-    sent = [part for part in parts if part in bench.attempts]
-    acted = [action for part in sent for action in bench.end(part, 0)] + bench.run(600)
-    assert [a.query for a in of(io.Answer, acted)] == [query]
+    sent = [shard_request for shard_request in shard_requests if shard_request in bench.attempts]
+    acted = [
+        action for shard_request in sent for action in bench.end(shard_request, 0)
+    ] + bench.run(600)
+    assert [a.query for a in of(routing.Answer, acted)] == [query]
 
 
 def test_a_long_query_sends_one_part_ahead_where_its_aim_has_room():
     """Danger: one poisonous query of 15 parts taking down 15 servers in the same moment (he9cb32)."""
     bench = spread(16)
-    _, parts, _ = bench.query(parts=16, shards=range(16))
-    assert [part for part in parts if part in bench.attempts] == parts[:1]
-    bench.end(parts[0], after=50.0)
-    assert all(part in bench.attempts for part in parts)
+    _, shard_requests, _ = bench.query(shard_requests=16, shards=range(16))
+    assert [
+        shard_request for shard_request in shard_requests if shard_request in bench.attempts
+    ] == shard_requests[:1]
+    bench.end(shard_requests[0], after=50.0)
+    assert all(shard_request in bench.attempts for shard_request in shard_requests)
 
 
 def test_a_late_pilot_frees_the_rest_unless_a_connection_broke():
     """Danger: one paused server holding up every long query of a quiet day."""
     bench = spread(16)
-    _, parts, _ = bench.query(parts=16, shards=range(16))
+    _, shard_requests, _ = bench.query(shard_requests=16, shards=range(16))
     bench.run(400)
-    assert all(part in bench.attempts for part in parts)
+    assert all(shard_request in bench.attempts for shard_request in shard_requests)
 
 
 def test_after_a_poisonous_query_every_query_sends_one_part_ahead():
     """Danger: its client asks again, and the same servers go down again."""
     bench = spread(8)
-    _, parts, _ = bench.query(parts=4, shards=[0, 2, 4, 6])
+    _, shard_requests, _ = bench.query(shard_requests=4, shards=[0, 2, 4, 6])
     bench.run(60)
-    for part in parts:
-        bench.end(part, outcome=Outcome.BROKEN_OFF)
-    bench.step(io.ServerList(io.ListKind.FULL, tuple(listed(s, cell=s) for s in range(8))))
-    _, parts, _ = bench.query(parts=4, shards=[0, 2, 4, 6])
+    for shard_request in shard_requests:
+        bench.end(shard_request, outcome=Outcome.CONNECTION_LOST)
+    bench.step(
+        routing.EndpointListUpdate(
+            routing.EndpointListKind.SNAPSHOT, tuple(listed(s, cell=s) for s in range(8))
+        )
+    )
+    _, shard_requests, _ = bench.query(shard_requests=4, shards=[0, 2, 4, 6])
     bench.run(60)
-    assert sum(part in bench.attempts for part in parts) == 1
+    assert sum(shard_request in bench.attempts for shard_request in shard_requests) == 1
 
 
 def test_a_reset_on_an_unused_connection_says_nothing_of_its_server_and_is_not_met_twice():
@@ -120,25 +134,25 @@
     """
     bench = spread(4)
     bench.run(3000)
-    _, (part,), _ = bench.query(shards=[0])
-    server = bench.attempts[part][0][1]
-    bench.end(part, outcome=Outcome.BROKEN_OFF, after=5.0)
-    assert not bench.router.servers[server].backoff
+    _, (shard_request,), _ = bench.query(shards=[0])
+    endpoint = bench.attempts[shard_request][0][1]
+    bench.end(shard_request, outcome=Outcome.CONNECTION_LOST, after=5.0)
+    assert not bench.router.endpoints[endpoint].backoff
     bench.run(3000)
     acted = bench.query(shards=[2])[2]
-    send = of(io.Send, acted)[0]
-    assert of(io.CloseIdle, acted) == [io.CloseIdle(send.server)]
-    assert acted.index(io.CloseIdle(send.server)) < acted.index(send)
+    send = of(routing.Send, acted)[0]
+    assert of(routing.CloseIdleConnections, acted) == [routing.CloseIdleConnections(send.endpoint)]
+    assert acted.index(routing.CloseIdleConnections(send.endpoint)) < acted.index(send)
 
 
 def test_a_connection_that_breaks_under_work_sets_its_server_aside():
     """The other side: a server that dies with a part begun is not taken for an idle connection."""
     bench = spread(4)
     bench.run(3000)
-    _, (part,), _ = bench.query(shards=[0])
-    server = bench.attempts[part][0][1]
-    bench.end(part, outcome=Outcome.BROKEN_OFF, after=200.0)
-    assert bench.router.servers[server].backoff
+    _, (shard_request,), _ = bench.query(shards=[0])
+    endpoint = bench.attempts[shard_request][0][1]
+    bench.end(shard_request, outcome=Outcome.CONNECTION_LOST, after=200.0)
+    assert bench.router.endpoints[endpoint].backoff
 
 
 def test_a_small_query_waits_for_its_pilot_while_the_rest_can_be_in_time():
@@ -147,14 +161,16 @@
     """
     bench = spread(8)
     for _ in range(40):
-        _, (part,), _ = bench.query(shards=[bench.numbers % 8])
+        _, (shard_request,), _ = bench.query(shards=[bench.numbers % 8])
         bench.run(300)
-        bench.end(part, 0)
-    query, parts, _ = bench.query(parts=4, shards=[0, 2, 4, 6])
-    (pilot,) = [part for part in parts if part in bench.attempts]
-    assert not of(io.Shed, bench.run(400))
+        bench.end(shard_request, 0)
+    query, shard_requests, _ = bench.query(shard_requests=4, shards=[0, 2, 4, 6])
+    (pilot,) = [
+        shard_request for shard_request in shard_requests if shard_request in bench.attempts
+    ]
+    assert not of(routing.Reject, bench.run(400))
     bench.end(pilot, 0)
-    assert all(part in bench.attempts for part in parts)
+    assert all(shard_request in bench.attempts for shard_request in shard_requests)
 
 
 def test_a_server_that_fails_quickly_is_set_aside():
@@ -162,24 +178,24 @@
     ones.
     """
     bench = spread(2, routers=1)
-    _, (part,), _ = bench.query(shards=[0])
-    failing = bench.attempts[part][0][1]
-    bench.end(part, outcome=Outcome.ERROR, after=5.0)
+    _, (shard_request,), _ = bench.query(shards=[0])
+    failing = bench.attempts[shard_request][0][1]
+    bench.end(shard_request, outcome=Outcome.ERROR, after=5.0)
     for _ in range(6):
-        _, (part,), _ = bench.query(shards=[0])
-        assert bench.attempts[part][0][1] != failing
-        bench.end(part, after=80.0)
+        _, (shard_request,), _ = bench.query(shards=[0])
+        assert bench.attempts[shard_request][0][1] != failing
+        bench.end(shard_request, after=80.0)
 
 
 def test_tokens_are_kept_for_queries_that_they_can_make_whole():
     """Danger: copies for a query that misses many parts, and none for the one that misses its last."""
     bench = spread(16)
     bench.router.tokens, bench.router.bucket = 1.0, 5.0
-    _, many, _ = bench.query(parts=6, shards=range(0, 12, 2))
+    _, many, _ = bench.query(shard_requests=6, shards=range(0, 12, 2))
     bench.run(300)
-    assert all(len(bench.attempts[part]) == 1 for part in many)
-    for part in many[1:]:
-        bench.end(part)
+    assert all(len(bench.attempts[shard_request]) == 1 for shard_request in many)
+    for shard_request in many[1:]:
+        bench.end(shard_request)
     bench.run(10)
     assert len(bench.attempts[many[0]]) == 2
 
@@ -187,41 +203,61 @@
 def test_answers_after_this_router_stood_still_teach_nothing():
     """Danger: our own standing still taken for servers that are slow, and windows cut for it."""
     bench = spread(2)
-    _, (part,), _ = bench.query(shards=[0])
-    server, lateness = bench.router.servers[bench.attempts[part][0][1]], bench.router.lateness
-    window = server.window
-    bench.end(part, after=900.0)  # no wake-up came meanwhile
-    assert (server.window, bench.router.lateness) == (window, lateness)
+    _, (shard_request,), _ = bench.query(shards=[0])
+    endpoint, lateness = (
+        bench.router.endpoints[bench.attempts[shard_request][0][1]],
+        bench.router.lateness,
+    )
+    window = endpoint.window
+    bench.end(shard_request, after=900.0)  # no wake-up came meanwhile
+    assert (endpoint.window, bench.router.lateness) == (window, lateness)
 
 
 def test_a_keyed_part_past_its_window_is_settled_at_once():
     """Danger: a part that can't be sent again sits in the line until the aim, and its query with
     it.
     """
-    keyed = io.QueryClass(
-        aim=1000.0, give_up=4000.0, worth=1.0, effect=io.Effect.KEYED, dedup_window=200.0
+    keyed = routing.QueryClass(
+        latency_objective=1000.0,
+        deadline=4000.0,
+        priority_weight=1.0,
+        idempotency=routing.Idempotency.WITH_KEY,
+        dedup_window=200.0,
     )
     bench = spread(2, keyed)
-    query, (part,), _ = bench.query(shards=[0])
+    query, (shard_request,), _ = bench.query(shards=[0])
     bench.run(300)
-    acted = bench.end(part, outcome=Outcome.ERROR)
-    assert of(io.Fail, acted) == [io.Fail(query)]
+    acted = bench.end(shard_request, outcome=Outcome.ERROR)
+    assert of(routing.Fail, acted) == [routing.Fail(query)]
 
 
 def test_after_a_stall_due_final_answers_come_and_nothing_is_sent_for_them():
     """Danger: a router that finds a second's events at once sends a part of a query whose client
     has left.
     """
-    bench = Bench(settings(), servers=(1,))
-    queries = [bench.query(time_left=900.0) for _ in range(30)]
-    waiting = [(query, parts[0]) for query, parts, _ in queries if parts[0] not in bench.attempts]
-    out = [parts[0] for _, parts, _ in queries if parts[0] in bench.attempts]
+    bench = Bench(settings(), endpoints=(1,))
+    queries = [bench.query(remaining=900.0) for _ in range(30)]
+    waiting = [
+        (query, shard_requests[0])
+        for query, shard_requests, _ in queries
+        if shard_requests[0] not in bench.attempts
+    ]
+    out = [
+        shard_requests[0] for _, shard_requests, _ in queries if shard_requests[0] in bench.attempts
+    ]
     assert waiting and out
-    ends = [io.AttemptEnded(part, 0, 1, Outcome.ANSWERED, 100.0) for part in out]
-    drain = io.ServerList(io.ListKind.CHANGES, (listed(1, status=io.Status.DRAINING),))
+    ends = [
+        routing.AttemptEnded(shard_request, 0, 1, Outcome.SUCCEEDED, 100.0) for shard_request in out
+    ]
+    drain = routing.EndpointListUpdate(
+        routing.EndpointListKind.DELTA, (listed(1, status=routing.EndpointStatus.DRAINING),)
+    )
     acted = bench.step(*ends, drain, after=1500.0)
-    assert not of(io.Send, acted)
-    ended = [a.query for a in of(io.Answer, acted) + of(io.Shed, acted) + of(io.Fail, acted)]
+    assert not of(routing.Send, acted)
+    ended = [
+        a.query
+        for a in of(routing.Answer, acted) + of(routing.Reject, acted) + of(routing.Fail, acted)
+    ]
     assert sorted(ended) == sorted(query for query, _, _ in queries)
 
 
@@ -230,11 +266,15 @@
     aims.
     """
     for aim in (400.0, 4000.0):
-        bench = spread(2, io.QueryClass(aim=aim, give_up=4 * aim, worth=1.0), routers=1)
+        bench = spread(
+            2,
+            routing.QueryClass(latency_objective=aim, deadline=4 * aim, priority_weight=1.0),
+            routers=1,
+        )
         for _ in range(300):
-            _, (part,), _ = bench.query(shards=[0])
-            bench.end(part, after=5.0)
-        _, (part,), _ = bench.query(shards=[0])
-        server = bench.router.servers[bench.attempts[part][0][1]]
-        bench.end(part, outcome=Outcome.UNCONNECTED, after=20.0)
-        assert server.flag_until - bench.now == TRIAL_FIRST * aim
+            _, (shard_request,), _ = bench.query(shards=[0])
+            bench.end(shard_request, after=5.0)
+        _, (shard_request,), _ = bench.query(shards=[0])
+        endpoint = bench.router.endpoints[bench.attempts[shard_request][0][1]]
+        bench.end(shard_request, outcome=Outcome.CONNECT_FAILED, after=20.0)
+        assert endpoint.flag_until - bench.now == TRIAL_FIRST * aim
--- a/tests/test_types.py
+++ b/tests/test_types.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tansycrank.pg import types
-from tansycrank.pg.errors import PgError
+from tansycrank.postgres import types
+from tansycrank.postgres.errors import PgError
 
 VALUES = {
     types.BOOL: st.booleans(),
