--- a/Makefile
+++ b/Makefile
@@ -20,7 +20,7 @@
 
 # All tests once more under a wall clock that is stepped, about once a second, by seconds or an hour.
 test-stepped: $(VENV)/.installed
-	$(BIN)/python -m tansycrank.testbed.preload.stepped $(SEED) $(BIN)/python -m pytest $(FLAGS)
+	$(BIN)/python -m tansycrank.testbed.interposer.stepped $(SEED) $(BIN)/python -m pytest $(FLAGS)
 
 lint: $(VENV)/.installed
 	$(BIN)/ruff check .
--- a/tansycrank/admission/gate.py
+++ b/tansycrank/admission/controller.py
@@ -74,7 +74,7 @@
     ended: bool = False
 
 
-class Gate:
+class AdmissionController:
     """The door of one router on its reactor. With `policy` None it is off: everyone goes straight
     in.
     """
@@ -177,7 +177,7 @@
         if self.policy is not None:
             self._play(Changed(tenant, limits))
         if self.log:
-            self.log.info("limits changed", tenant=tenant, weight=limits.weight, min_share=limits.min_share,
+            self.log.info("tenant_limits_changed", tenant=tenant, weight=limits.weight, min_share=limits.min_share,
                           max_share=limits.max_share, burst_ms=limits.burst)  # fmt: skip
 
     def close(self, problem: PgError) -> None:
@@ -273,4 +273,6 @@
         if self.log:
             most = sorted(told.items(), key=lambda item: -sum(item[1].values()))[:10]
             limit = round(self.policy.limit.parts)
-            self.log.info("held back", tenants=len(told), most=dict(most), limit=limit)
+            self.log.info(
+                "queries_rejected_by_admission", tenants=len(told), most=dict(most), limit=limit
+            )
--- a/tansycrank/admission/policy.py
+++ b/tansycrank/admission/policy.py
@@ -20,10 +20,10 @@
 
 import xxhash
 
-from tansycrank.admission.costs import Costs
-from tansycrank.admission.fair import Clients, Level, Ticket
-from tansycrank.admission.limit import SPAN, Limit
-from tansycrank.admission.promises import Account, Book
+from tansycrank.admission.concurrency_limit import SPAN, Limit
+from tansycrank.admission.cost_estimates import Costs
+from tansycrank.admission.fair_queue import Clients, Level, Ticket
+from tansycrank.admission.reservations import Account, Book
 
 LEAST_WORK = 0.1  # of the time inside that counts as work at least
 SMALL = 8.0  # times smaller than the mean of what is here: light
--- a/tansycrank/admission/turns.py
+++ b/tansycrank/admission/reader_scheduler.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from tansycrank.admission.fair import Lane, Level
+from tansycrank.admission.fair_queue import Lane, Level
 
 SLICE = 0.004  # seconds of a turn for messages of clients, one message more at most
 
--- a/tansycrank/admission/views.py
+++ b/tansycrank/admission/views.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from tansycrank.admission.gate import Gate
+from tansycrank.admission.controller import AdmissionController
 from tansycrank.admission.policy import MOST_PROMISED, Limits
 from tansycrank.postgres.errors import INVALID_PARAMETER, PgError
 
@@ -25,7 +25,7 @@
 }
 
 
-def tenants(gate: Gate) -> list[tuple[str, ...]]:
+def tenants(gate: AdmissionController) -> list[tuple[str, ...]]:
     """One row a tenant; rate in parts a second, promised: places kept."""
     if gate.policy is None:
         return []
@@ -45,7 +45,7 @@
     return rows
 
 
-def door(gate: Gate) -> list[tuple[str, str]]:
+def door(gate: AdmissionController) -> list[tuple[str, str]]:
     """The door as a whole: (figure, value)."""
     policy = gate.policy
     if policy is None:
@@ -91,7 +91,7 @@
     return tenant, changes
 
 
-def change(gate: Gate, text: str) -> None:
+def change(gate: AdmissionController, text: str) -> None:
     """Carry a change of limits out. Raises PgError where it is not allowed, and changes nothing
     then.
     """
--- a/tansycrank/cli.py
+++ b/tansycrank/cli.py
@@ -201,11 +201,11 @@
 def _experiment(
     group: str, name: str, as_json: bool, seed: int, quick: bool, out: str | None
 ) -> None:
-    from tansycrank.testbed import drills, measure_door, measure_merge, measures
+    from tansycrank.testbed import fault_scenarios, measure_admission, measure_merge, measures
 
     known = {
-        "drill": drills.DRILLS,
-        "measure": measures.MEASURES | {"merge": measure_merge.merge} | measure_door.MEASURES,
+        "drill": fault_scenarios.DRILLS,
+        "measure": measures.MEASURES | {"merge": measure_merge.merge} | measure_admission.MEASURES,
     }[group]
     if name not in known:
         raise click.BadParameter(f"{name!r}; there are: {', '.join(known)}")
@@ -215,8 +215,8 @@
         Path(out).write_text(text + "\n", encoding="utf-8")
         plots = {
             "merge": measure_merge.plot,
-            "door-memory": measure_door.plot,
-            "door-honesty": measure_door.plot,
+            "door-memory": measure_admission.plot,
+            "door-honesty": measure_admission.plot,
         }
         if name in plots:
             plots[name](report, str(Path(out).with_suffix(".png")))
--- a/tansycrank/daemon.py
+++ b/tansycrank/daemon.py
@@ -14,14 +14,14 @@
 
 from tansycrank import clock
 from tansycrank.config import Config
-from tansycrank.discovery.feed import RosterFeed, RosterFile
+from tansycrank.discovery.feed_client import EndpointFile, FeedClient
 from tansycrank.lifecycle import Violation
 from tansycrank.merge.blocks import Keeper
 from tansycrank.merge.spill import SpillSpace
 from tansycrank.postgres.errors import SHUTTING_DOWN, PgError
-from tansycrank.postgres.server import FrontFactory
+from tansycrank.postgres.server import PostgresServerFactory
+from tansycrank.sql_router.connection_pool import ConnectionPool
 from tansycrank.sql_router.coordinator import Coordinator
-from tansycrank.sql_router.pool import Pools
 from tansycrank.sql_router.service import Service
 
 SWEEP = 5.0  # seconds between two looks for links that nobody uses
@@ -57,7 +57,7 @@
     def __init__(self, reactor, config: Config, log=None) -> None:
         self.reactor, self.config, self.log = reactor, config, log
         store = config.store
-        self.pools = Pools(
+        self.pools = ConnectionPool(
             reactor,
             store,
             {
@@ -85,10 +85,12 @@
             self._broken,
         )
         self.coordinator.on_violation = self._violated
-        kind = RosterFeed if config.roster.feed else RosterFile
-        self.roster = kind(reactor, config, self.pools, self.coordinator.heard_list, log)
+        kind = FeedClient if config.roster.feed else EndpointFile
+        self.roster = kind(reactor, config, self.pools, self.coordinator.handle_endpoint_list, log)
         self.service = Service(config, self.coordinator, log)
-        self.front = FrontFactory(self.service, config.listen, reactor, config.router.seed, log)
+        self.front = PostgresServerFactory(
+            self.service, config.listen, reactor, config.router.seed, log
+        )
         self.port = None
         self.stopped = False
         self._sweep = None
@@ -100,7 +102,7 @@
         """
         gone = self.space.clean()
         if gone and self.log:
-            self.log.warning("spill", removed=gone)
+            self.log.warning("leftover_spill_files_removed", removed=gone)
         self.port = self.reactor.listenTCP(
             self.config.listen.port, self.front, backlog=1024, interface=self.config.listen.host
         )
@@ -109,7 +111,10 @@
         number = self.port.getHost().port
         if self.log:
             self.log.info(
-                "listening", host=self.config.listen.host, port=number, me=self.config.router.me
+                "listening_started",
+                host=self.config.listen.host,
+                port=number,
+                me=self.config.router.me,
             )
         return number
 
@@ -122,15 +127,13 @@
 
     def _broken(self, error: BaseException) -> None:
         if self.log:
-            self.log.critical(
-                "the decision module failed; the router stops", error=repr(error), exc_info=error
-            )
+            self.log.critical("policy_failed", error=repr(error), exc_info=error)
         self.stop_now()
 
     def _violated(self, violation: Violation) -> None:
         if self.log:
             self.log.error(
-                "invariant violated",
+                "invariant_violated",
                 invariant=violation.invariant.value,
                 detail=violation.detail,
                 request=violation.request,
@@ -143,7 +146,9 @@
             return
         if self.log:
             self.log.info(
-                "stopping", sessions=len(self.front.sessions), queries=len(self.coordinator.jobs)
+                "shutdown_started",
+                sessions=len(self.front.sessions),
+                queries=len(self.coordinator.jobs),
             )
         self.port.stopListening()
         self.front.stop_taking()
@@ -182,7 +187,10 @@
             lifecycle = self.coordinator.lifecycle
             given_up = {reason.name.lower(): n for reason, n in self.coordinator.given_up.items()}
             self.log.info(
-                "stopped", **self.coordinator.counts, **lifecycle.figures(), given_up=given_up
+                "shutdown_completed",
+                **self.coordinator.counts,
+                **lifecycle.figures(),
+                given_up=given_up,
             )
         self.on_stopped()
 
--- a/tansycrank/discovery/view.py
+++ b/tansycrank/discovery/endpoint_view.py
@@ -136,7 +136,7 @@
     text: str
 
 
-class RosterView:
+class EndpointView:
     """What a router holds of the roster."""
 
     def __init__(self, zones: tuple[str, ...], cells: int, silence: float, max_nodes: int) -> None:
--- a/tansycrank/discovery/feed.py
+++ b/tansycrank/discovery/feed_client.py
@@ -12,7 +12,7 @@
 
 from tansycrank import routing
 from tansycrank.config import Config
-from tansycrank.discovery import view
+from tansycrank.discovery import endpoint_view
 
 FILE_POLL = 1.0  # seconds between two looks at a roster file
 
@@ -20,40 +20,40 @@
 class _FeedProtocol(LineOnlyReceiver):
     delimiter = b"\n"
 
-    def __init__(self, feed: RosterFeed, limit: int) -> None:
+    def __init__(self, feed: FeedClient, limit: int) -> None:
         self.feed, self.MAX_LENGTH = feed, limit
 
     def connectionMade(self) -> None:  # noqa: N802
         self.feed.protocol = self
-        self.feed.play(view.Connected())
+        self.feed.play(endpoint_view.Connected())
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
         try:
-            heard = msgspec.json.decode(line, type=view.FeedLine)
+            heard = msgspec.json.decode(line, type=endpoint_view.FeedLine)
         except msgspec.MsgspecError:
             heard = None
-        self.feed.play(view.Heard(heard))
+        self.feed.play(endpoint_view.Heard(heard))
 
     def connectionLost(self, reason=None) -> None:  # noqa: N802
         if self.feed.protocol is self:
             self.feed.protocol = None
-            self.feed.play(view.Lost())
+            self.feed.play(endpoint_view.Lost())
 
 
 class _FeedFactory(ClientFactory):
     noisy = False
 
-    def __init__(self, feed: RosterFeed, limit: int) -> None:
+    def __init__(self, feed: FeedClient, limit: int) -> None:
         self.feed, self.limit = feed, limit
 
     def buildProtocol(self, addr) -> _FeedProtocol:  # noqa: N802
         return _FeedProtocol(self.feed, self.limit)
 
     def clientConnectionFailed(self, connector, reason) -> None:  # noqa: N802
-        self.feed.play(view.Lost())
+        self.feed.play(endpoint_view.Lost())
 
 
-class _Roster:
+class _EndpointSource:
     """Carries out what the view decides of a list, wherever the list comes from."""
 
     def __init__(
@@ -66,22 +66,22 @@
     ) -> None:
         section = config.roster
         self.reactor, self.pools, self.tell, self.log = reactor, pools, tell, log
-        self.view = view.RosterView(
+        self.view = endpoint_view.EndpointView(
             config.zones, config.store.cells, section.silence_ms, section.max_nodes
         )
 
     def carry_out(self, action: object) -> None:
         """A list, or where its nodes are; other actions are passed over."""
         match action:
-            case view.Tell(told):
+            case endpoint_view.Tell(told):
                 self.tell(told)
-            case view.Place(endpoint, host, port):
+            case endpoint_view.Place(endpoint, host, port):
                 self.pools.place(endpoint, host, port)
-            case view.Forget(endpoint):
+            case endpoint_view.Forget(endpoint):
                 self.pools.forget(endpoint)
 
 
-class RosterFeed(_Roster):
+class FeedClient(_EndpointSource):
     """A feed over TCP."""
 
     def __init__(
@@ -102,7 +102,7 @@
     def watch(self, on: bool) -> None:
         """The module's word."""
         if on:
-            self.play(view.Asked())
+            self.play(endpoint_view.Asked())
 
     def stop(self) -> None:
         """Close the feed."""
@@ -117,29 +117,31 @@
         for action in self.view.step(self.reactor.seconds() * 1000, [event]):
             self.carry_out(action)
             match action:
-                case view.Connect():
+                case endpoint_view.Connect():
                     self.reactor.connectTCP(
                         self.host, self.port, _FeedFactory(self, self.limit), timeout=2
                     )
-                case view.Drop():
+                case endpoint_view.Drop():
                     protocol, self.protocol = self.protocol, None
                     if protocol is not None:
                         protocol.transport.abortConnection()
-                case view.Say(op, version, epoch):
+                case endpoint_view.Say(op, version, epoch):
                     if self.protocol is not None:
                         line = msgspec.json.encode({"op": op, "version": version, "epoch": epoch})
                         self.protocol.sendLine(line)
-                case view.Tell(told):
+                case endpoint_view.Tell(told):
                     if self.log and told.kind is not routing.EndpointListKind.DELTA:
-                        self.log.info("roster", kind=told.kind.value, nodes=len(told.entries))
-                case view.WakeAfter(ms):
-                    self._tick = self.reactor.callLater(ms / 1000, self.play, view.Tick())
-                case view.Odd(text):
+                        self.log.info(
+                            "endpoint_list_received", kind=told.kind.value, nodes=len(told.entries)
+                        )
+                case endpoint_view.WakeAfter(ms):
+                    self._tick = self.reactor.callLater(ms / 1000, self.play, endpoint_view.Tick())
+                case endpoint_view.Odd(text):
                     if self.log:
-                        self.log.warning("roster", odd=text)
+                        self.log.warning("endpoint_list_problem_seen", odd=text)
 
 
-class RosterFile(_Roster):
+class EndpointFile(_EndpointSource):
     """A file of `[node ID]` sections (host, port, cell, zone, status), read again when it changes."""
 
     def __init__(
@@ -173,19 +175,21 @@
             nodes = read_nodes(self.path)
         except (OSError, ValueError, configparser.Error) as problem:
             if self.log:
-                self.log.warning("roster", odd=f"{self.path}: {problem}; the last list stays")
+                self.log.warning(
+                    "endpoint_list_problem_seen", odd=f"{self.path}: {problem}; the last list stays"
+                )
             if self._stamp is None:
                 self.tell(routing.EndpointListUpdate(routing.EndpointListKind.FAILED))
                 self._poll.cancel()
                 self._poll = None  # the module asks again
             return
         self._stamp, self._version = stamp, self._version + 1
-        line = view.FeedLine("full", self._version, 1, nodes)
-        for action in self.view.step(self.reactor.seconds() * 1000, [view.Heard(line)]):
+        line = endpoint_view.FeedLine("full", self._version, 1, nodes)
+        for action in self.view.step(self.reactor.seconds() * 1000, [endpoint_view.Heard(line)]):
             self.carry_out(action)
 
 
-def read_nodes(path: Path) -> tuple[view.NodeLine, ...]:
+def read_nodes(path: Path) -> tuple[endpoint_view.NodeLine, ...]:
     """The nodes of a roster file. Raises ValueError naming section and key."""
     parser = configparser.ConfigParser(interpolation=None)
     parser.read_string(path.read_text(encoding="utf-8"), str(path))
@@ -196,7 +200,9 @@
             raise ValueError(f"[{section}]: only sections [node ID] are allowed")
         try:
             nodes.append(
-                msgspec.convert(dict(parser[section]) | {"id": number}, view.NodeLine, strict=False)
+                msgspec.convert(
+                    dict(parser[section]) | {"id": number}, endpoint_view.NodeLine, strict=False
+                )
             )
         except msgspec.ValidationError as error:
             raise ValueError(f"[{section}]: {error}") from None
--- a/tansycrank/http_router/client_connection.py
+++ b/tansycrank/http_router/client_connection.py
@@ -14,9 +14,9 @@
 from twisted.internet.protocol import Protocol, connectionDone
 from zope.interface import implementer
 
-from tansycrank.http_router import request as codec
+from tansycrank.http_router import request_codec as codec
 from tansycrank.http_router.coordinator import Query
-from tansycrank.http_router.request import QueryRequest, Refused
+from tansycrank.http_router.request_codec import QueryRequest, Refused
 from tansycrank.http_router.settings import (
     IDLE_CLIENT,
     LINGER,
@@ -213,7 +213,7 @@
             except (
                 Exception
             ) as error:  # danger: one query's fault, and those read with it are never taken
-                self.server.log("a query could not be taken", error=repr(error), traceback=True)
+                self.server.log("query_admission_failed", error=repr(error), traceback=True)
                 self._unusable(slot, Refused(503, "it could not be taken"))
         self.flush()
 
@@ -230,7 +230,7 @@
                 slot.told = None
                 self._unusable(slot, Refused(503, "its connection cannot be read any more"))
             elif slot.query is not None:
-                self.server.coordinator.give_back(slot.query, FailureReason.UNREADABLE)
+                self.server.coordinator.reject(slot.query, FailureReason.UNREADABLE)
         self.flush()
 
     def flush(self) -> None:
--- a/tansycrank/http_router/connection_pool.py
+++ b/tansycrank/http_router/connection_pool.py
@@ -10,7 +10,7 @@
 
 from tansycrank.http_router import frames
 from tansycrank.http_router.node_connection import NodeConnection
-from tansycrank.http_router.sending import Done, Sending
+from tansycrank.http_router.outgoing_call import Done, OutgoingCall
 from tansycrank.http_router.settings import HALF_FRAME, IDLE_LINK, UNTAKEN
 from tansycrank.lifecycle import Attempt
 from tansycrank.routing import Outcome
@@ -25,7 +25,7 @@
     host: str
     port: int
     links: set[NodeConnection] = field(default_factory=set)
-    pending: list[Sending] = field(default_factory=list)
+    pending: list[OutgoingCall] = field(default_factory=list)
 
 
 class ConnectionPool:
@@ -84,12 +84,12 @@
 
     def forget(self, endpoint: int) -> None:
         """A node is gone: nothing new goes to it, its links close once nothing is out on them."""
-        self.hold_back(endpoint)
+        self.revoke_unsent(endpoint)
         if node := self.nodes.pop(endpoint, None):
             for link in list(node.links):
                 link.retire()
 
-    def hold_back(self, endpoint: int) -> None:
+    def revoke_unsent(self, endpoint: int) -> None:
         """A node drains: what waits for a connection to it, or behind another frame, does not go
         there.
 
@@ -98,7 +98,7 @@
         """
         if node := self.nodes.get(endpoint):
             for link in list(node.links):
-                link.hold_back()
+                link.revoke_unsent()
 
     def close_idle(self, endpoint: int) -> None:
         """Close the unused links of a node."""
@@ -134,14 +134,14 @@
         connect_within: float = 0.0,
         once: bytes = b"",
         leave_within: float = 0.0,
-    ) -> Sending:
+    ) -> OutgoingCall:
         """Send a part, with the others of this step to its node; times are ms.
 
         One that waits for `connect_within` for its connection, or behind another frame, is taken
         back, and so is one whose last byte has not left after `leave_within`: it never ran. Where
         these are 0 none is. `done` is never called before this returns.
         """
-        sending = Sending(id, shard, text, self.now + time_out / 1000, done, attempt, once)
+        sending = OutgoingCall(id, shard, text, self.now + time_out / 1000, done, attempt, once)
         sending.connect_within, sending.leave_within = connect_within / 1000, leave_within / 1000
         node = self.nodes.get(endpoint)
         if node is None:
@@ -164,18 +164,18 @@
             for at in range(0, len(pending), self.call_batch_size):
                 self._call(node, pending[at : at + self.call_batch_size])
 
-    def cancel(self, sending: Sending) -> None:
+    def cancel(self, sending: OutgoingCall) -> None:
         """Stop waiting for a send."""
         self._stop(sending, Outcome.CANCELLED)
 
-    def withdraw(self, sending: Sending) -> None:
+    def revoke(self, sending: OutgoingCall) -> None:
         """It may not begin any more; what a node has of it is not given up by this."""
         if not sending.ended and sending.link is not None:
-            sending.link.withdraw(sending)
+            sending.link.revoke(sending)
         elif not sending.ended:
             sending.finish(Outcome.NOT_SENT)
 
-    def _stop(self, sending: Sending, outcome: Outcome) -> None:
+    def _stop(self, sending: OutgoingCall, outcome: Outcome) -> None:
         if sending.ended:
             return
         if sending.out:
@@ -185,7 +185,7 @@
                 Outcome.NOT_SENT if outcome is Outcome.CANCELLED else Outcome.CONNECT_FAILED
             )
 
-    def _call(self, node: Node, call: list[Sending]) -> None:
+    def _call(self, node: Node, call: list[OutgoingCall]) -> None:
         """An unused link, else a new one, else the least loaded.
 
         Danger: calls that share a link share its fate, when one answer on it is spoilt or it falls
@@ -222,12 +222,12 @@
                         sending.leave_within, self._too_late, sending
                     )
 
-    def _take_back(self, sending: Sending) -> None:
+    def _take_back(self, sending: OutgoingCall) -> None:
         """Danger: a machine that is cut off costs half an aim until the connection to it fails."""
         if not sending.out:
             sending.finish(Outcome.CONNECT_FAILED)
 
-    def _too_late(self, sending: Sending) -> None:
+    def _too_late(self, sending: OutgoingCall) -> None:
         """Danger: a repeat that leaves when nodes know its key no longer takes effect twice."""
         if not sending.out:
             sending.finish(Outcome.CONNECT_FAILED)
--- a/tansycrank/http_router/coordinator.py
+++ b/tansycrank/http_router/coordinator.py
@@ -11,11 +11,11 @@
 from functools import partial
 
 from tansycrank import routing
-from tansycrank.http_router import request as codec
+from tansycrank.http_router import request_codec as codec
 from tansycrank.http_router.connection_pool import ConnectionPool
-from tansycrank.http_router.given_up_log import GivenUpLog
-from tansycrank.http_router.request import QueryRequest, Refused
-from tansycrank.http_router.sending import Sending
+from tansycrank.http_router.failure_log import FailureLog
+from tansycrank.http_router.outgoing_call import OutgoingCall
+from tansycrank.http_router.request_codec import QueryRequest, Refused
 from tansycrank.lifecycle import AnswerKind, Lifecycle, NotAllowed, Request, Violation
 from tansycrank.policy_event_loop import PolicyEventLoop
 from tansycrank.routing import FailureReason
@@ -30,7 +30,7 @@
     id: int
     name: bytes
     shard: int
-    attempts: list[Sending] = field(default_factory=list)
+    attempts: list[OutgoingCall] = field(default_factory=list)
     value: str | None = None
 
 
@@ -76,18 +76,18 @@
         self.counts = dict.fromkeys(
             ("taken", "answered", "refused", "failed", "left", "turned_away", "sends", "cancels"), 0
         )
-        self.given_up = GivenUpLog(log)
+        self.given_up = FailureLog(log)
         self.outcomes = dict.fromkeys((outcome.value for outcome in routing.Outcome), 0)
         acts = {
             routing.Send: self._send,
             routing.Cancel: self._cancel,
             routing.Answer: self._answer,
-            routing.Reject: self._shed,
+            routing.Reject: self._reject,
             routing.Fail: self._fail,
             routing.CloseIdleConnections: lambda action: pool.close_idle(action.endpoint),
             routing.WatchEndpoints: lambda action: on_watch(action.on),
             routing.PollEndpoints: lambda action: on_fetch(),
-            routing.LogMessage: lambda action: log("note", text=action.text),
+            routing.LogMessage: lambda action: log("policy_message_logged", text=action.text),
         }
         guarded = {kind: partial(self._act, act) for kind, act in acts.items()}
         self.loop = PolicyEventLoop(reactor, settings, seed, guarded, self._broken, pool.flush)
@@ -147,7 +147,7 @@
         self.queries[request.id] = self._by_number[query.id] = query
         self.held += 1 + len(query.shard_requests)
         self.counts["taken"] += 1
-        self.loop.hear(*events)
+        self.loop.handle(*events)
         return query
 
     def abandon(self, query: Query) -> None:
@@ -156,27 +156,27 @@
             self.counts["left"] += 1
             self.lifecycle.abandon(query.life, self.loop.now)
             self._end(query)
-            self.loop.hear(routing.QueryCancelled(query.id))
+            self.loop.handle(routing.QueryCancelled(query.id))
 
-    def give_back(self, query: Query, reason: FailureReason) -> None:
+    def reject(self, query: Query, reason: FailureReason) -> None:
         """Answer a query that the module does not end: refused where no attempt may have run, else
         failed.
         """
         if query.life.idempotency is routing.Idempotency.IDEMPOTENT or not query.life.may_have_run:
             retry_after = self.settings.max_retry_after if self.settings.can_retry_after else 0.0
-            self._shed(routing.Reject(query.id, retry_after, reason))
+            self._reject(routing.Reject(query.id, retry_after, reason))
         else:
             self._fail(routing.Fail(query.id, reason))
-        self.loop.hear(routing.QueryCancelled(query.id))
+        self.loop.handle(routing.QueryCancelled(query.id))
 
-    def give_back_all(self, reason: FailureReason) -> None:
+    def reject_all(self, reason: FailureReason) -> None:
         """Answer whatever is open."""
         for query in list(self.queries.values()):
-            self.give_back(query, reason)
+            self.reject(query, reason)
 
     def _broken(self, error: Exception) -> None:
-        self.log("the decision module failed", error=repr(error), traceback=True)
-        self.give_back_all(FailureReason.FAULT)
+        self.log("policy_failed", error=repr(error), traceback=True)
+        self.reject_all(FailureReason.FAULT)
 
     def _act(self, act: Callable[[routing.Action], None], action: routing.Action) -> None:
         """Carry out one action. Danger: one query's fault, and the answers behind it are lost."""
@@ -184,7 +184,7 @@
             act(action)
         except Exception as error:
             self.log(
-                "an action failed", action=type(action).__name__, error=repr(error), traceback=True
+                "action_failed", action=type(action).__name__, error=repr(error), traceback=True
             )
             query, shard_request = self._parts.get(
                 getattr(action, "shard_request", 0), (None, None)
@@ -193,7 +193,7 @@
             if isinstance(action, routing.Send):  # the module waits for its end
                 self._never_sent(action, shard_request)
             if query is not None and not query.ended:
-                self.give_back(query, FailureReason.FAULT)
+                self.reject(query, FailureReason.FAULT)
 
     # --- out --------------------------------------------------------------------------
 
@@ -211,7 +211,7 @@
                 began,
             )
         except NotAllowed as refused:
-            self.log("a send is not allowed", request=query.life.name, reason=refused.reason.value)
+            self.log("attempt_not_allowed", request=query.life.name, reason=refused.reason.value)
             self._never_sent(action, shard_request)
             return
 
@@ -222,7 +222,7 @@
                 shard_request.value = value
                 self._withdraw(shard_request)
             latency = self.loop.now - began
-            self.loop.hear(
+            self.loop.handle(
                 routing.AttemptEnded(
                     shard_request.id, number, action.endpoint, outcome, latency, query.ended, load
                 )
@@ -251,9 +251,11 @@
         number = 0
         if shard_request is not None:
             number = len(shard_request.attempts)
-            shard_request.attempts.append(Sending.never(shard_request.name, shard_request.shard))
+            shard_request.attempts.append(
+                OutgoingCall.never(shard_request.name, shard_request.shard)
+            )
         self.outcomes[routing.Outcome.NOT_SENT.value] += 1
-        self.loop.hear(
+        self.loop.handle(
             routing.AttemptEnded(
                 action.shard_request,
                 number,
@@ -283,21 +285,21 @@
             if needs_all
             else 0
         )
-        self._conclude(
+        self._complete(
             query, AnswerKind.COMPLETE if action.complete else AnswerKind.PARTIAL, missing=missing
         )
 
-    def _shed(self, action: routing.Reject) -> None:
+    def _reject(self, action: routing.Reject) -> None:
         if query := self._by_number.get(action.query):
-            self._conclude(
+            self._complete(
                 query, AnswerKind.REJECTED, retry_after=action.retry_after, reason=action.reason
             )
 
     def _fail(self, action: routing.Fail) -> None:
         if query := self._by_number.get(action.query):
-            self._conclude(query, AnswerKind.FAILED, reason=action.reason)
+            self._complete(query, AnswerKind.FAILED, reason=action.reason)
 
-    def _conclude(
+    def _complete(
         self,
         query: Query,
         kind: AnswerKind,
@@ -330,17 +332,17 @@
             ]
             query.reply(200, codec.hits(allowed is AnswerKind.COMPLETE, values), ())
 
-    def heard_list(self, event: routing.EndpointListUpdate) -> None:
+    def handle_endpoint_list(self, event: routing.EndpointListUpdate) -> None:
         """Service discovery spoke: nothing starts any more at an endpoint that is not in service."""
         self.lifecycle.listed(event)
         for entry in event.entries:
             if entry.status is routing.EndpointStatus.DRAINING:
-                self.pool.hold_back(entry.endpoint)
-        self.loop.hear(event)
+                self.pool.revoke_unsent(entry.endpoint)
+        self.loop.handle(event)
 
     def _violated(self, violation: Violation) -> None:
         self.log(
-            "invariant violated",
+            "invariant_violated",
             invariant=violation.invariant.value,
             detail=violation.detail,
             request=violation.request,
@@ -357,7 +359,7 @@
     def _withdraw(self, shard_request: ShardRequest) -> None:
         """Danger: a part that starts after its query's end, where nodes take no cancels."""
         for sending in shard_request.attempts:
-            self.pool.withdraw(sending)
+            self.pool.revoke(sending)
 
     def _forget(self, shard_request: ShardRequest) -> None:
         if all(sending.ended for sending in shard_request.attempts):
--- a/tansycrank/http_router/daemon.py
+++ b/tansycrank/http_router/daemon.py
@@ -19,9 +19,9 @@
 from tansycrank.http_router import settings as configuration
 from tansycrank.http_router.connection_pool import ConnectionPool
 from tansycrank.http_router.coordinator import Coordinator
-from tansycrank.http_router.discovery import Discovery
+from tansycrank.http_router.discovery_client import DiscoveryClient
+from tansycrank.http_router.endpoint_directory import EndpointDirectory
 from tansycrank.http_router.http_server import HttpServer
-from tansycrank.http_router.names import Names
 from tansycrank.http_router.settings import ConfigError, Listing, Settings
 
 SWEEP = 0.25  # s between looks at what waits too long
@@ -56,7 +56,7 @@
     ) -> None:
         """`overslept` tells for how many seconds what is read now may have lain unread."""
         self.reactor, self.settings, self.environ = reactor, settings, environ
-        self.names = Names(settings.zones)
+        self.names = EndpointDirectory(settings.zones)
         self.pool = ConnectionPool(
             reactor,
             settings.streams,
@@ -67,7 +67,7 @@
             log,
             settings.module.drain_grace,
         )
-        self.discovery = Discovery(
+        self.discovery = DiscoveryClient(
             reactor,
             *settings.discovery,
             lambda: self.names.version,
@@ -108,7 +108,7 @@
         for call, every in zip(self._calls, (SWEEP, TELL, BEAT), strict=True):
             call.start(every, now=False)
         log(
-            "started",
+            "process_started",
             name=self.settings.name,
             cores=self.settings.cores,
             idle_ms=self.settings.idle,
@@ -128,11 +128,11 @@
         except (
             CannotListenError
         ) as problem:  # danger: the process before is not gone yet, this one deaf
-            log("the address cannot be listened on yet", host=host, port=port, problem=str(problem))
+            log("listen_failed", host=host, port=port, problem=str(problem))
             self._again = self.reactor.callLater(LISTEN_AGAIN, self._listen)
             return
         self.server.port.numberAccepts = configuration.ACCEPTS
-        log("listening", host=host, port=port)
+        log("listening_started", host=host, port=port)
         if self._heard:
             self._ready()
 
@@ -148,7 +148,7 @@
             return
         if self.server.port is not None:
             self.server.ready = True
-            log("ready", nodes=len(self.names), version=self.names.version)
+            log("became_ready", nodes=len(self.names), version=self.names.version)
         elif self._again is None:
             self._listen()  # which comes back here
 
@@ -164,11 +164,7 @@
             empty = listing.full and not listing.servers and len(self.names) > 0
             if empty and not self._doubted:
                 self._doubted = True
-                log(
-                    "a list of no nodes is asked for again",
-                    version=listing.version,
-                    nodes=len(self.names),
-                )
+                log("empty_endpoint_list_received", version=listing.version, nodes=len(self.names))
                 self.discovery.fetch()
             else:
                 self._doubted = False
@@ -183,13 +179,13 @@
     def failed(self) -> None:
         """A call to discovery, or its watch, has ended."""
         self.discovery_failures += 1
-        self.coordinator.loop.hear(routing.EndpointListUpdate(routing.EndpointListKind.FAILED))
+        self.coordinator.loop.handle(routing.EndpointListUpdate(routing.EndpointListKind.FAILED))
         if self.settings.module.polls_discovery:
             self._ready()
 
     def _take(self, listing: Listing, kind: routing.EndpointListKind) -> None:
         if odd := self.names.oddities(listing):
-            log("a list with what the protocol does not name", version=listing.version, **odd)
+            log("unknown_endpoint_list_content_received", version=listing.version, **odd)
         event, places = self.names.heard(listing, kind, self.coordinator.loop.now)
         unusable = []
         for server, place in places.items():
@@ -201,8 +197,8 @@
             except ConfigError as problem:
                 unusable.append(str(problem))
         if unusable:
-            log("nodes without a usable address", nodes=len(unusable), problem=unusable[0])
-        self.coordinator.heard_list(event)
+            log("endpoint_addresses_rejected", nodes=len(unusable), problem=unusable[0])
+        self.coordinator.handle_endpoint_list(event)
 
     # --- signals ----------------------------------------------------------------------
 
@@ -213,14 +209,14 @@
         try:
             new = configuration.load(self.environ)
         except ConfigError as problem:
-            log("the new configuration is refused, the old one stays", problem=str(problem))
+            log("configuration_rejected", problem=str(problem))
             return
         kept = [
             what
             for what in ("listen", "module", "sockets", "zones", "classes")
             if getattr(new, what) != getattr(self.settings, what)
         ]
-        log("reloaded", discovery=list(new.discovery), only_after_a_restart=kept)
+        log("configuration_reloaded", discovery=list(new.discovery), only_after_a_restart=kept)
         self.discovery.move(*new.discovery)
 
     def terminate(self) -> None:
@@ -233,7 +229,11 @@
             return
         self.stopping, self.server.ready = True, False
         self.coordinator.until = self.coordinator.loop.now + self.settings.stop_within
-        log("stopping", open=len(self.coordinator.queries), within_ms=self.settings.stop_within)
+        log(
+            "shutdown_started",
+            open=len(self.coordinator.queries),
+            within_ms=self.settings.stop_within,
+        )
         self.reactor.callLater(self.settings.stop_taking / 1000, self._stop_taking)
         self.reactor.callLater(self.settings.stop_within / 1000, self._give_up)
 
@@ -259,7 +259,7 @@
 
     def _give_up(self) -> None:
         """Answer what is open. `_leave` stops once all of it was read; this does before the kill."""
-        self.coordinator.give_back_all(routing.FailureReason.STOPPING)
+        self.coordinator.reject_all(routing.FailureReason.STOPPING)
         self.reactor.callLater(configuration.LAST_WORDS / 1000, self._stop)
 
     def _stop(self) -> None:
@@ -268,7 +268,7 @@
             lifecycle = self.coordinator.lifecycle
             lifecycle.stop(self.coordinator.loop.now)
             log(
-                "stopped",
+                "shutdown_completed",
                 **self.coordinator.counts,
                 **lifecycle.figures(),
                 given_up=self.coordinator.given_up.figures(),
@@ -288,10 +288,10 @@
         now = self.reactor.seconds()
         late, self._swept = now - self._swept - SWEEP, now
         if step := self._wall_clock.step():
-            log("wall clock stepped", seconds=round(step, 3))
+            log("wall_clock_stepped", seconds=round(step, 3))
         try:
             if late > LATE:
-                log("late loop turn", ms=round(late * 1000, 1))
+                log("event_loop_stalled", ms=round(late * 1000, 1))
             # Danger: what came while this process stood still is not read yet, and who sent it
             # seems silent.
             self._stood = late > LATE and not self._stood
@@ -299,13 +299,13 @@
                 self.pool.sweep()
                 self.server.sweep()
         except Exception as error:  # danger: no further look, for good
-            log("a look at what waits failed", error=repr(error), traceback=True)
+            log("maintenance_failed", error=repr(error), traceback=True)
 
     def _tell(self) -> None:
         usage = resource.getrusage(resource.RUSAGE_SELF)
         loop = self.coordinator.loop
         log(
-            "state",
+            "state_reported",
             **self.coordinator.counts,
             **self.server.counts,
             outcomes=self.coordinator.outcomes,
--- a/tansycrank/http_router/discovery.py
+++ b/tansycrank/http_router/discovery_client.py
@@ -153,7 +153,7 @@
         self.on_end(good)
 
 
-class Discovery:
+class DiscoveryClient:
     """The watch that the module asked for; `heard` gets each listing, `unchanged` each word that
     nothing changed, `failed` that a call or the watch has ended without being asked to.
     """
--- a/tansycrank/http_router/names.py
+++ b/tansycrank/http_router/endpoint_directory.py
@@ -22,7 +22,7 @@
 )
 
 
-class Names:
+class EndpointDirectory:
     """Numbers are never used twice. It holds the nodes listed, and those gone for less than
     `FORGET`.
     """
--- a/tansycrank/http_router/given_up_log.py
+++ b/tansycrank/http_router/failure_log.py
@@ -16,7 +16,7 @@
 SECOND = 1000.0  # ms
 
 
-class GivenUpLog:
+class FailureLog:
     """Holds two counters; what is logged and what is not shows in the difference to the counts."""
 
     def __init__(self, log: Callable[..., None]) -> None:
@@ -35,7 +35,7 @@
         if self._lines[answer] < LINES_A_SECOND:
             self._lines[answer] += 1
             self._log(
-                "given up",
+                "query_rejected_or_failed",
                 request=request.name,
                 answer=answer.value,
                 reason=reason.value,
--- a/tansycrank/http_router/node_connection.py
+++ b/tansycrank/http_router/node_connection.py
@@ -13,7 +13,7 @@
 from zope.interface import implementer
 
 from tansycrank.http_router import frames
-from tansycrank.http_router.sending import Sending
+from tansycrank.http_router.outgoing_call import OutgoingCall
 from tansycrank.http_router.settings import LATE_IDS
 from tansycrank.routing import Outcome
 
@@ -33,12 +33,12 @@
     def __init__(self, pool: ConnectionPool, node: Node) -> None:
         self.pool, self.node = pool, node
         self.up = self.retired = self.lost = False
-        self.waiting: deque[list[Sending]] = deque()
-        self.going: list[Sending] = []  # of the frame that the system has not taken to its end
+        self.waiting: deque[list[OutgoingCall]] = deque()
+        self.going: list[OutgoingCall] = []  # of the frame that the system has not taken to its end
         self.words: list[bytes] = []  # ids to be given up, once that frame has gone
         self.taken = False  # whether the system has all that the socket was given
         self.doubt = None  # the timer of a frame that may not begin any more
-        self.out: dict[bytes, Sending] = {}
+        self.out: dict[bytes, OutgoingCall] = {}
         self.past: OrderedDict[bytes, None] = (
             OrderedDict()
         )  # ids whose answers may still come, or come again
@@ -69,7 +69,7 @@
     def stopProducing(self) -> None:  # noqa: N802
         """The socket is gone."""
 
-    def carry(self, call: list[Sending]) -> None:
+    def carry(self, call: list[OutgoingCall]) -> None:
         """Send one call, once its turn comes."""
         for sending in call:
             sending.link = self
@@ -97,7 +97,7 @@
             self.used, self.taken, self.going = now, False, call
             self.transport.write(data)
 
-    def withdraw(self, sending: Sending) -> None:
+    def revoke(self, sending: OutgoingCall) -> None:
         """It may not begin any more: its client has left, its part is answered, or its node was
         told to go.
 
@@ -112,15 +112,15 @@
 
     def _close_untaken(self) -> None:
         self.doubt = None
-        self.pool.log("a frame its node does not take", node=self.node.endpoint, out=len(self.out))
+        self.pool.log("frame_send_stalled", node=self.node.endpoint, out=len(self.out))
         self.close()
 
-    def hold_back(self) -> None:
+    def revoke_unsent(self) -> None:
         """Nothing new begins here: the node drains or is gone."""
         for sending in [sending for call in self.waiting for sending in call if not sending.ended]:
-            self.withdraw(sending)
+            self.revoke(sending)
         if self.going:
-            self.withdraw(self.going[0])
+            self.revoke(self.going[0])
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         self.heard = self.pool.now
@@ -133,7 +133,7 @@
                     last = None
                 if isinstance(record, frames.Unusable):
                     self.pool.log(
-                        "node could not use a frame", node=self.node.endpoint, words=record.words
+                        "frame_rejected_by_node", node=self.node.endpoint, words=record.words
                     )
                     return self.close()
                 if record.id not in self.out and record.id not in self.past:
@@ -165,9 +165,9 @@
         while len(self.past) > LATE_IDS:
             self.past.popitem(last=False)
 
-    def give_up(self, sending: Sending, outcome: Outcome) -> None:
+    def give_up(self, sending: OutgoingCall, outcome: Outcome) -> None:
         """Stop waiting for a send that is out; the node is told."""
-        self.withdraw(sending)
+        self.revoke(sending)
         self.out.pop(sending.id, None)
         self._remember(sending.id)
         silent = self.pool.now - sending.written if self.heard < sending.written else 0.0
@@ -192,7 +192,10 @@
     def spoilt(self, problem: frames.FrameError) -> None:
         """The stream is of no further use: what is out may have run."""
         self.pool.log(
-            "spoilt answer", node=self.node.endpoint, problem=str(problem), out=len(self.out)
+            "malformed_response_received",
+            node=self.node.endpoint,
+            problem=str(problem),
+            out=len(self.out),
         )
         self.close()
 
--- a/tansycrank/http_router/sending.py
+++ b/tansycrank/http_router/outgoing_call.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Sending:
+class OutgoingCall:
     """One send, from the module's word to its outcome. Times are s of the reactor."""
 
     id: bytes
@@ -39,7 +39,7 @@
     leaving: object = None  # the timer of that
 
     @classmethod
-    def never(cls, id: bytes, shard: int) -> Sending:
+    def never(cls, id: bytes, shard: int) -> OutgoingCall:
         """One that was not allowed; it has ended."""
         return cls(id, shard, b"", 0.0, None, None, ended=True)
 
--- a/tansycrank/merge/blocks.py
+++ b/tansycrank/merge/blocks.py
@@ -1,8 +1,8 @@
 """Rows of parts as blocks of whole DataRow frames: in memory, on disk, or held back at the node.
 
-`PartStream` is the line between a link, which adds blocks as they come, and a merge, which takes
-them. What is held where is the governor's to say; `Memory` carries it out for one query, `Keeper`
-for all.
+`ShardRowStream` is the line between a link, which adds blocks as they come, and a merge, which
+takes them. What is held where is the governor's to say; `Memory` carries it out for one query,
+`Keeper` for all.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
     return frames
 
 
-class PartStream:
+class ShardRowStream:
     """Rows of one attempt of a part. `state`: open, whole, failed, or closed."""
 
     def __init__(self, memory: Memory, shard: int = 0) -> None:
@@ -90,10 +90,10 @@
         self.held -= len(block)
         self.memory.shrank(len(block))
         if self._held_back and not self.memory.over(self):
-            self.hold_back(False)
+            self.revoke_unsent(False)
         return block
 
-    def hold_back(self, stop: bool) -> None:
+    def revoke_unsent(self, stop: bool) -> None:
         """Let the node wait, through TCP, or go on."""
         if stop != self._held_back and self.state == "open":
             self._held_back = stop
@@ -138,17 +138,17 @@
 
     def __init__(self, keeper: Keeper, number: int, streams: bool) -> None:
         self.keeper, self.number = keeper, number
-        self.streams: list[PartStream] = []
+        self.streams: list[ShardRowStream] = []
         self.mode, self.limit, self.held, self.peak, self.spilled = "small", gov.SMALL, 0, 0, 0
         self.tables = 0  # bytes of hash tables and runs being sorted
         self.refusal: PgError | None = None
-        self.on_began: Callable[[PartStream], None] = lambda stream: None
+        self.on_began: Callable[[ShardRowStream], None] = lambda stream: None
         self.on_refused: Callable[[PgError], None] = lambda problem: None
         self.closed = False
         self._reported = 0
         keeper.play(gov.Opened(number, streams))
 
-    def grew(self, stream: PartStream, size: int) -> None:
+    def grew(self, stream: ShardRowStream, size: int) -> None:
         """Bytes have come in; see what that means."""
         self.held += size
         self.peak = max(self.peak, self.held + self.tables)
@@ -161,7 +161,7 @@
             self.keeper.play(gov.Full(self.number))
         self.settle(stream)
 
-    def settle(self, stream: PartStream | None = None) -> None:
+    def settle(self, stream: ShardRowStream | None = None) -> None:
         """Carry the mode out: commit, hold back, or spill."""
         for one in [stream] if stream is not None else list(self.streams):
             if (
@@ -172,9 +172,9 @@
             ):
                 self.on_began(one)
             if self.mode in ("stream", "wait") and self.over(one):
-                one.hold_back(True)
+                one.revoke_unsent(True)
             elif self.mode != "wait" and not self.over(one):
-                one.hold_back(False)
+                one.revoke_unsent(False)
         if self.mode == "spill":
             while self.held > self.working:
                 largest = max(self.streams, key=lambda s: s.held, default=None)
@@ -187,7 +187,7 @@
         """Bytes of rows it may hold; the rest of its share is for what the merge builds."""
         return int(self.limit * gov.WORKING)
 
-    def over(self, stream: PartStream) -> bool:
+    def over(self, stream: ShardRowStream) -> bool:
         """Whether a part is ahead of what it may hold."""
         if self.mode == "wait":
             return True
--- a/tansycrank/merge/operators.py
+++ b/tansycrank/merge/operators.py
@@ -15,7 +15,7 @@
 
 import xxhash
 
-from tansycrank.merge.blocks import PIECE, Memory, PartStream, frames_of
+from tansycrank.merge.blocks import PIECE, Memory, ShardRowStream, frames_of
 from tansycrank.merge.spill import Run
 from tansycrank.postgres import types
 from tansycrank.postgres.errors import PgError
@@ -147,7 +147,7 @@
             return True
 
 
-def part_source(stream: PartStream, key) -> Source:
+def part_source(stream: ShardRowStream, key) -> Source:
     """The rows of a part that its node has sorted."""
     return Source(stream.take, lambda: stream.done, key, f"shard {stream.shard}")
 
@@ -215,7 +215,7 @@
 # --- operators ----------------------------------------------------------------------
 
 
-def concat(parts: Sequence[PartStream]) -> Pulled:
+def concat(parts: Sequence[ShardRowStream]) -> Pulled:
     """All rows, part by part, as the bytes they came in."""
     for part in parts:
         while not part.done:
--- a/tansycrank/merge/pipeline.py
+++ b/tansycrank/merge/pipeline.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from tansycrank.merge import operators as op
-from tansycrank.merge.blocks import Memory, PartStream
+from tansycrank.merge.blocks import Memory, ShardRowStream
 from tansycrank.merge.rows import GroupTable, scalar
 from tansycrank.postgres.errors import PgError
 from tansycrank.postgres.messages import Field
@@ -16,7 +16,7 @@
 
 def build(
     plan: MergePlan | None,
-    parts: Sequence[PartStream],
+    parts: Sequence[ShardRowStream],
     params: Sequence[object],
     oids: Sequence[int],
     results: tuple[int, ...],
--- a/tansycrank/merge/work.py
+++ b/tansycrank/merge/work.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-from tansycrank.merge.blocks import Memory, PartStream, frames_of
+from tansycrank.merge.blocks import Memory, ShardRowStream, frames_of
 from tansycrank.merge.operators import Pulled
 from tansycrank.postgres.errors import INTERNAL, PgError
 from tansycrank.postgres.messages import Field
@@ -23,7 +23,7 @@
         self,
         fields: tuple[Field, ...],
         source: Pulled,
-        parts: Sequence[PartStream],
+        parts: Sequence[ShardRowStream],
         memory: Memory,
         worker: Worker,
     ) -> None:
--- a/tansycrank/policy_event_loop.py
+++ b/tansycrank/policy_event_loop.py
@@ -42,7 +42,7 @@
         """Milliseconds of the reactor's clock."""
         return self.reactor.seconds() * 1000
 
-    def hear(self, *events: routing.Event) -> None:
+    def handle(self, *events: routing.Event) -> None:
         """Something happened: the next reactor turn takes a step."""
         self._events.extend(events)
         if self._turn is None:
@@ -77,4 +77,4 @@
     def _woken(self, token: int, due: float) -> None:
         self._wake = None
         self.latest = max(self.latest, self.now - due)
-        self.hear(routing.TimerExpired(token))
+        self.handle(routing.TimerExpired(token))
--- a/tansycrank/postgres/server.py
+++ b/tansycrank/postgres/server.py
@@ -15,7 +15,7 @@
 from twisted.protocols.basic import LineReceiver
 
 from tansycrank.admission.identity import Caller
-from tansycrank.admission.turns import Turns
+from tansycrank.admission.reader_scheduler import Turns
 from tansycrank.merge.rows import Result
 from tansycrank.postgres import messages as pg
 from tansycrank.postgres import types
@@ -183,7 +183,7 @@
 class Session(LineReceiver):
     """One client's connection, framed by the wire's own lengths in raw mode."""
 
-    def __init__(self, factory: FrontFactory) -> None:
+    def __init__(self, factory: PostgresServerFactory) -> None:
         self.factory, self.service, self.limits = factory, factory.service, factory.limits
         self.state = "startup"  # startup, ready, closed
         self.settings = dict(DEFAULTS)
@@ -468,7 +468,7 @@
             self.service.cancel(running, left=True)
         if self.factory.log:
             self.factory.log.info(
-                "session ended", pid=self.pid, state=problem.state, reason=problem.message
+                "session_ended", pid=self.pid, state=problem.state, reason=problem.message
             )
 
     def hang_up(self) -> None:
@@ -1176,7 +1176,7 @@
     return [*out, answer[-1]]
 
 
-class FrontFactory(ServerFactory):
+class PostgresServerFactory(ServerFactory):
     """All sessions of one listening socket."""
 
     noisy = False
--- a/tansycrank/routing/policy.py
+++ b/tansycrank/routing/policy.py
@@ -154,7 +154,7 @@
             float("inf"),
             self.shortest_aim,
         )  # ms: an answer later than that is slow
-        self.hear = {
+        self.handle = {
             routing.AttemptEnded: self._ended,
             routing.QueryArrived: self._query_arrived,
             routing.ShardRequestArrived: self._part_came,
@@ -172,8 +172,8 @@
         due = self.agenda[0][0] if self.agenda else now_ms
         self.stalled = now_ms - due > STALL * self.cfg.tick  # danger: taken for late servers
         for event in events:
-            if type(event) in self.hear:
-                self.hear[type(event)](event)
+            if type(event) in self.handle:
+                self.handle[type(event)](event)
         while self.agenda and self.agenda[0][0] <= now_ms:
             _, _, function, argument = heapq.heappop(self.agenda)
             function(argument)
@@ -392,7 +392,7 @@
             - (second if query.step == 1 and query.cls.follow_up else 0.0)
         )
 
-    def _conclude(self, query: Query, complete: bool) -> None:
+    def _complete(self, query: Query, complete: bool) -> None:
         if query.step == 1 and query.cls.follow_up:
             self.actions.append(routing.Answer(query.id, complete))
             query.whole_so_far, query.step, query.proven = (
@@ -438,7 +438,7 @@
         if share >= need - 1e-5 and (
             need < 1 or all(shard_request.answered for shard_request in query.shard_requests)
         ):
-            return self._conclude(query, True)
+            return self._complete(query, True)
         floor = cls.minimum_coverage if cls.minimum_coverage < cls.complete_coverage else need
         if floor < need and self.now >= self._start_by(query):
             for shard_request in query.shard_requests:
@@ -451,7 +451,7 @@
             and share >= floor
             and (not open_parts or self.now >= self._answer_by(query))
         ):
-            return self._conclude(query, False)
+            return self._complete(query, False)
         unsent = sum(not p.attempts for p in open_parts)
         if self._suspect(query) and len(query.broke) > 1 and not any(p.out for p in open_parts):
             return self._give_up(query, FailureReason.HARMFUL)
--- a/tansycrank/sql_router/pool.py
+++ b/tansycrank/sql_router/connection_pool.py
@@ -10,28 +10,33 @@
 from dataclasses import dataclass, field
 
 from tansycrank.lifecycle import Attempt
-from tansycrank.merge.blocks import PartStream
+from tansycrank.merge.blocks import ShardRowStream
 from tansycrank.routing import Outcome
 from tansycrank.single_connection import OneConnection
-from tansycrank.sql_router.links import Ended, NodeLink, PartRequest, refused_outcome
+from tansycrank.sql_router.node_connection import (
+    Ended,
+    NodeConnection,
+    ShardStatement,
+    refused_outcome,
+)
 
 
 @dataclass(slots=True, eq=False)
-class Sending:
+class OutgoingCall:
     """One send, from the module's word to its outcome."""
 
     endpoint: int
-    request: PartRequest
-    stream: PartStream
+    request: ShardStatement
+    stream: ShardRowStream
     done: Callable[[Ended], None]
     attempt: Attempt | None  # which says whether it may begin; None for one that was never made
-    link: NodeLink | None = None
+    link: NodeConnection | None = None
     out: bool = False  # its bytes left this process
     ended: bool = False
     timer: object = None
 
     @classmethod
-    def never(cls, endpoint: int, request: PartRequest) -> Sending:
+    def never(cls, endpoint: int, request: ShardStatement) -> OutgoingCall:
         """One that was not allowed; it has ended."""
         return cls(endpoint, request, None, lambda ended: None, None, ended=True)
 
@@ -55,14 +60,14 @@
 
     host: str
     port: int
-    idle: list[NodeLink] = field(default_factory=list)
-    all: set[NodeLink] = field(default_factory=set)
-    waiting: list[Sending] = field(
+    idle: list[NodeConnection] = field(default_factory=list)
+    all: set[NodeConnection] = field(default_factory=set)
+    waiting: list[OutgoingCall] = field(
         default_factory=list
     )  # each has a connection of its own under way
 
 
-class Pools:
+class ConnectionPool:
     """The links of this router. Times of `send` are milliseconds."""
 
     def __init__(
@@ -76,7 +81,7 @@
         )
         self.nodes: dict[int, NodePool] = {}
         self.opened = self.closed = 0
-        self.later: Callable[[NodeLink], None] | None = None  # the line of large work
+        self.later: Callable[[NodeConnection], None] | None = None  # the line of large work
 
     def place(self, endpoint: int, host: str, port: int) -> None:
         """Where a node is. One that moved gets new links."""
@@ -119,14 +124,14 @@
     def send(
         self,
         endpoint: int,
-        request: PartRequest,
-        stream: PartStream,
+        request: ShardStatement,
+        stream: ShardRowStream,
         time_out: float,
         done: Callable[[Ended], None],
         attempt: Attempt,
-    ) -> Sending:
+    ) -> OutgoingCall:
         """Send a part; `done` hears its one outcome, never before this returns."""
-        sending = Sending(endpoint, request, stream, done, attempt)
+        sending = OutgoingCall(endpoint, request, stream, done, attempt)
         node = self.nodes.get(endpoint)
         if node is None:
             self.reactor.callLater(0, sending.finish, Ended(Outcome.CONNECT_FAILED))
@@ -144,14 +149,14 @@
             self._open(node)
         return sending
 
-    def cancel(self, sending: Sending) -> None:
+    def cancel(self, sending: OutgoingCall) -> None:
         """Stop waiting for a send."""
         self._stop(sending, Outcome.CANCELLED, Outcome.NOT_SENT)
 
-    def _timed_out(self, sending: Sending) -> None:
+    def _timed_out(self, sending: OutgoingCall) -> None:
         self._stop(sending, Outcome.TIMED_OUT, Outcome.CONNECT_FAILED)
 
-    def _stop(self, sending: Sending, if_out: Outcome, if_not: Outcome) -> None:
+    def _stop(self, sending: OutgoingCall, if_out: Outcome, if_not: Outcome) -> None:
         if sending.ended:
             return
         if sending.out:
@@ -162,7 +167,7 @@
             node.waiting.remove(sending)  # its connection, once there, waits for the next send
         sending.finish(Ended(if_not))
 
-    def _run(self, link: NodeLink, sending: Sending) -> bool:
+    def _run(self, link: NodeConnection, sending: OutgoingCall) -> bool:
         """Write a send to its link; False if it may not begin any more, and ends."""
         now = self.reactor.seconds()
         if sending.attempt.start(now * 1000) is not None:
@@ -175,12 +180,12 @@
 
     def _open(self, node: NodePool) -> None:
         grace = self.store.cancel_grace_ms / 1000
-        link = NodeLink(self.parameters, self.max_row, grace, self.reactor, self.later)
+        link = NodeConnection(self.parameters, self.max_row, grace, self.reactor, self.later)
         node.all.add(link)
         self.opened += 1
         timer = self.reactor.callLater(self.store.connect_timeout_ms / 1000, link.abort)
 
-        def ready(link: NodeLink) -> None:
+        def ready(link: NodeConnection) -> None:
             if timer.active():
                 timer.cancel()
             link.used = self.reactor.seconds()
@@ -189,7 +194,7 @@
                     return
             node.idle.append(link)
 
-        def lost(link: NodeLink, refusal) -> None:
+        def lost(link: NodeConnection, refusal) -> None:
             if timer.active():
                 timer.cancel()
             node.all.discard(link)
--- a/tansycrank/sql_router/coordinator.py
+++ b/tansycrank/sql_router/coordinator.py
@@ -12,26 +12,26 @@
 
 from tansycrank import routing
 from tansycrank.lifecycle import AnswerKind, Attempt, Lifecycle, NotAllowed, Request, Violation
-from tansycrank.merge.blocks import Keeper, Memory, PartStream
+from tansycrank.merge.blocks import Keeper, Memory, ShardRowStream
 from tansycrank.policy_event_loop import PolicyEventLoop
 from tansycrank.postgres.errors import BROKE_OFF, FAILED, INTERNAL, REFUSED, PgError, cancelled
 from tansycrank.routing import FailureReason
-from tansycrank.sql_router.links import Ended, PartRequest
-from tansycrank.sql_router.pool import Pools, Sending
+from tansycrank.sql_router.connection_pool import ConnectionPool, OutgoingCall
+from tansycrank.sql_router.node_connection import Ended, ShardStatement
 
 
 @dataclass(slots=True, eq=False)
-class PartState:
+class ShardRequest:
     """A part and its attempts."""
 
     id: int
-    request: PartRequest
-    attempts: list[Sending] = field(default_factory=list)
+    request: ShardStatement
+    attempts: list[OutgoingCall] = field(default_factory=list)
     lives: list[Attempt | None] = field(
         default_factory=list
     )  # of the attempts; None for one never made
     sent_at: list[float] = field(default_factory=list)
-    answer: PartStream | None = None  # the attempt whose rows count, whole or begun
+    answer: ShardRowStream | None = None  # the attempt whose rows count, whole or begun
     oids: tuple[int, ...] = ()
 
 
@@ -44,9 +44,9 @@
     id: int
     number: int
     query_class: int
-    shard_requests: list[PartState]
+    shard_requests: list[ShardRequest]
     memory: Memory
-    done: Callable[[list[PartState] | PgError], None]
+    done: Callable[[list[ShardRequest] | PgError], None]
     began: float
     life: Request
     story: list[tuple] = field(default_factory=list)  # (part, server, outcome, ms) for the log
@@ -66,7 +66,7 @@
         reactor,
         settings: routing.Settings,
         seed: int,
-        pools: Pools,
+        pools: ConnectionPool,
         keeper: Keeper,
         on_watch: Callable[[bool], None],
         on_broken: Callable[[BaseException], None],
@@ -76,7 +76,7 @@
         self.lifecycle = Lifecycle(settings, lambda violation: self.on_violation(violation))
         self.on_watch, self.on_broken = on_watch, on_broken
         self.jobs: dict[int, Job] = {}
-        self._parts: dict[int, tuple[Job, PartState]] = {}
+        self._parts: dict[int, tuple[Job, ShardRequest]] = {}
         self._ids = 0
         self.counts = {
             "taken": 0,
@@ -91,7 +91,7 @@
             routing.Send: self._send,
             routing.Cancel: self._cancel,
             routing.Answer: self._answer,
-            routing.Reject: self._shed,
+            routing.Reject: self._reject,
             routing.Fail: self._fail,
             routing.CloseIdleConnections: self._close_idle,
             routing.WatchEndpoints: lambda action: self.on_watch(action.on),
@@ -110,7 +110,7 @@
 
     def start(self) -> None:
         """First step: the module asks for the list."""
-        self.loop.hear()
+        self.loop.handle()
 
     def stop(self) -> None:
         """No more steps; open queries have been answered before."""
@@ -122,8 +122,8 @@
         self,
         query_class: int,
         remaining: float,
-        requests: Sequence[PartRequest],
-        done: Callable[[list[PartState] | PgError], None],
+        requests: Sequence[ShardStatement],
+        done: Callable[[list[ShardRequest] | PgError], None],
         repeat: bool = False,
         streams: bool = False,
     ) -> Job:
@@ -134,7 +134,7 @@
         self._ids += 1
         query = number = self._ids
         shard_requests = []
-        self.loop.hear(
+        self.loop.handle(
             routing.QueryArrived(
                 query, number, query_class, remaining, len(requests), repeat=repeat
             )
@@ -150,10 +150,10 @@
         job.memory.on_began = lambda stream: self._began(job, stream)
         for request in requests:
             self._ids += 1
-            shard_request = PartState(self._ids, request)
+            shard_request = ShardRequest(self._ids, request)
             shard_requests.append(shard_request)
             self._parts[shard_request.id] = job, shard_request
-            self.loop.hear(
+            self.loop.handle(
                 routing.ShardRequestArrived(
                     shard_request.id, number, request.shard, 1 / len(requests)
                 )
@@ -167,14 +167,14 @@
         if job.ended:
             return
         self.counts["cancelled"] += 1
-        self.loop.hear(routing.QueryCancelled(job.id))
+        self.loop.handle(routing.QueryCancelled(job.id))
         self.lifecycle.abandon(job.life, self.now)
         self._forget(job, error or cancelled())
 
-    def heard_list(self, event: routing.EndpointListUpdate) -> None:
+    def handle_endpoint_list(self, event: routing.EndpointListUpdate) -> None:
         """The roster spoke: nothing starts any more at an endpoint that is not in service."""
         self.lifecycle.listed(event)
-        self.loop.hear(event)
+        self.loop.handle(event)
 
     def _broken(self, error: Exception) -> None:
         """The module broke: nobody may be left without an answer."""
@@ -203,7 +203,7 @@
             self._never_sent(action, shard_request, number)
             return
         shard_request.lives.append(life)
-        stream = PartStream(job.memory, shard_request.request.shard)
+        stream = ShardRowStream(job.memory, shard_request.request.shard)
 
         def ended(result: Ended) -> None:
             self._ended(job, shard_request, number, action.endpoint, result)
@@ -214,17 +214,17 @@
         stream.on_close = lambda: self.pools.cancel(sending)
         shard_request.attempts.append(sending)
 
-    def _never_sent(self, action: routing.Send, shard_request: PartState, number: int) -> None:
+    def _never_sent(self, action: routing.Send, shard_request: ShardRequest, number: int) -> None:
         """End a send that was not allowed; the policy counts it among the attempts of its part."""
         shard_request.lives.append(None)
-        shard_request.attempts.append(Sending.never(action.endpoint, shard_request.request))
-        self.loop.hear(
+        shard_request.attempts.append(OutgoingCall.never(action.endpoint, shard_request.request))
+        self.loop.handle(
             routing.AttemptEnded(
                 shard_request.id, number, action.endpoint, routing.Outcome.NOT_SENT, 0.0
             )
         )
 
-    def _began(self, job: Job, stream: PartStream) -> None:
+    def _began(self, job: Job, stream: ShardRowStream) -> None:
         """Rows of this attempt are to leave as they come: the module hears that it has begun."""
         for shard_request in job.shard_requests:
             for number, sending in enumerate(shard_request.attempts):
@@ -237,19 +237,19 @@
                     shard_request.answer, stream.committed = stream, True
                     sending.untimed()
                     latency = self.now - shard_request.sent_at[number]
-                    self.loop.hear(
+                    self.loop.handle(
                         routing.ResponseStarted(shard_request.id, number, sending.endpoint, latency)
                     )
 
     def _ended(
-        self, job: Job, shard_request: PartState, number: int, endpoint: int, result: Ended
+        self, job: Job, shard_request: ShardRequest, number: int, endpoint: int, result: Ended
     ) -> None:
         latency = self.now - shard_request.sent_at[number]
         shard_request.lives[number].end(result.outcome, self.now)
         stream = (
             shard_request.attempts[number].stream if number < len(shard_request.attempts) else None
         )
-        self.loop.hear(
+        self.loop.handle(
             routing.AttemptEnded(shard_request.id, number, endpoint, result.outcome, latency)
         )
         job.story.append(
@@ -260,7 +260,7 @@
             self._stream_ended(job, stream, result)
         elif answered and not job.ended and shard_request.answer is None:
             if result.error is not None:  # the query's own fault: its client hears it at once
-                self.loop.hear(routing.QueryCancelled(job.id))
+                self.loop.handle(routing.QueryCancelled(job.id))
                 self._end(job, result.error)
             else:
                 shard_request.answer, shard_request.oids = stream, result.oids
@@ -270,7 +270,7 @@
         if job.ended and all(s.ended for s in shard_request.attempts):
             self._parts.pop(shard_request.id, None)
 
-    def _stream_ended(self, job: Job, stream: PartStream, result: Ended) -> None:
+    def _stream_ended(self, job: Job, stream: ShardRowStream, result: Ended) -> None:
         """The end of an attempt whose rows may have left: whole, or an honest error, never a retry."""
         if result.outcome is routing.Outcome.SUCCEEDED:
             stream.finish(result.error)
@@ -282,12 +282,12 @@
         )
         stream.finish(problem)
         if not job.ended:
-            self.loop.hear(routing.QueryCancelled(job.id))
+            self.loop.handle(routing.QueryCancelled(job.id))
             self._end(job, problem)
 
     def _no_memory(self, job: Job, problem: PgError) -> None:
         if not job.ended:
-            self.loop.hear(routing.QueryCancelled(job.id))
+            self.loop.handle(routing.QueryCancelled(job.id))
             self._end(job, problem)
         else:  # its rows are on their way out
             for shard_request in job.shard_requests:
@@ -318,7 +318,7 @@
             self.counts["failed"] += 1
             self._forget(job, given_up())
 
-    def _shed(self, action: routing.Reject) -> None:
+    def _reject(self, action: routing.Reject) -> None:
         job = self.jobs.get(action.query)
         if job is not None:
             refused = PgError(
@@ -349,7 +349,7 @@
         if self.lifecycle.answer(job.life, AnswerKind.FAILED, self.now) is not None:
             self._forget(job, problem)
 
-    def _forget(self, job: Job, answer: list[PartState] | PgError) -> None:
+    def _forget(self, job: Job, answer: list[ShardRequest] | PgError) -> None:
         """A query has its answer, or nobody waits for one any more."""
         self.jobs.pop(job.id, None)
         for shard_request in job.shard_requests:
--- a/tansycrank/sql_router/links.py
+++ b/tansycrank/sql_router/node_connection.py
@@ -14,7 +14,7 @@
 from twisted.internet.protocol import Protocol
 from twisted.protocols.basic import LineReceiver
 
-from tansycrank.merge.blocks import PartStream
+from tansycrank.merge.blocks import ShardRowStream
 from tansycrank.postgres import messages as pg
 from tansycrank.postgres.errors import (
     FEATURE_NOT_SUPPORTED,
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PartRequest:
+class ShardStatement:
     """What a node shall do: run a statement with its parameters, or (`describe`) tell its types."""
 
     shard: int
@@ -81,7 +81,7 @@
     oids: tuple[int, ...] = ()
 
 
-class NodeLink(LineReceiver):
+class NodeConnection(LineReceiver):
     """The protocol of one link. Its owner (the pool) hears `on_ready`, `on_lost`, and the end of
     each run.
     """
@@ -92,7 +92,7 @@
         max_row: int,
         cancel_grace: float,
         reactor,
-        later: Callable[[NodeLink], None] | None = None,
+        later: Callable[[NodeConnection], None] | None = None,
     ) -> None:
         self.parameters, self.cancel_grace, self.reactor = parameters, cancel_grace, reactor
         self.later = (
@@ -102,12 +102,12 @@
         self.state = "starting"  # starting, idle, busy, settling (after a cancel), closed
         self.key: tuple[int, int] | None = None
         self.refusal: PgError | None = None
-        self.on_ready: Callable[[NodeLink], None] = lambda link: None
-        self.on_lost: Callable[[NodeLink, PgError | None], None] = lambda link, refusal: None
+        self.on_ready: Callable[[NodeConnection], None] = lambda link: None
+        self.on_lost: Callable[[NodeConnection, PgError | None], None] = lambda link, refusal: None
         self.used = 0.0
         self._done: Callable[[Ended], None] | None = None
         self._ended = Ended(Outcome.SUCCEEDED)
-        self._stream: PartStream | None = None
+        self._stream: ShardRowStream | None = None
         self._stopped = self._deaf = False  # told to stop reading; not reading
         self._pending = b""  # of a large part: come, but not yet looked at
         self._cancel_open = (
@@ -171,7 +171,9 @@
 
     # --- for the pool -----------------------------------------------------------------
 
-    def run(self, request: PartRequest, stream: PartStream, done: Callable[[Ended], None]) -> None:
+    def run(
+        self, request: ShardStatement, stream: ShardRowStream, done: Callable[[Ended], None]
+    ) -> None:
         """Send a part; its rows go to the stream. From here on it may have run."""
         assert self.state == "idle"
         self.state, self._done, self._ended = "busy", done, Ended(Outcome.SUCCEEDED)
@@ -338,4 +340,4 @@
         self.done()
 
 
-__all__ = ["Ended", "NodeLink", "PartRequest", "refused_outcome"]
+__all__ = ["Ended", "NodeConnection", "ShardStatement", "refused_outcome"]
--- a/tansycrank/sql_router/service.py
+++ b/tansycrank/sql_router/service.py
@@ -14,7 +14,7 @@
 import xxhash
 
 from tansycrank.admission import views
-from tansycrank.admission.gate import Entry, Gate
+from tansycrank.admission.controller import AdmissionController, Entry
 from tansycrank.admission.identity import Asker, Caller, Identity
 from tansycrank.config import Config, split
 from tansycrank.merge import pipeline
@@ -26,8 +26,8 @@
 from tansycrank.postgres.messages import Field, data_row
 from tansycrank.sql.plan import Prepared
 from tansycrank.sql.planner import Planner, explain_lines
-from tansycrank.sql_router.coordinator import Coordinator, Job, PartState
-from tansycrank.sql_router.links import PartRequest
+from tansycrank.sql_router.coordinator import Coordinator, Job, ShardRequest
+from tansycrank.sql_router.node_connection import ShardStatement
 
 LITERAL = re.compile(r"'(?:[^']|'')*'|\b\d+\b")  # statements alike but for these cost alike
 RUNS = re.compile(
@@ -78,7 +78,7 @@
         config = self.config
         self.identity = config.identity()
         self._operators = Identity(allow=split(config.door.operators) or ["255.255.255.255/32"])
-        self.gate = Gate(reactor, config.door_policy(), self.log)
+        self.gate = AdmissionController(reactor, config.door_policy(), self.log)
 
     def prepare(self, sql: str, oids: tuple[int, ...] = ()) -> tuple[Prepared, ...]:
         """Understand a text of statements, or raise PgError."""
@@ -220,7 +220,7 @@
         results = part_formats(plan, request.results)
         key = settings.get("tansycrank.request_key", "") if effect == KEYED else ""
         requests = [
-            PartRequest(
+            ShardStatement(
                 p.shard,
                 request.comment + p.sql,
                 oids,
@@ -236,7 +236,7 @@
         repeat = _is_repeat(settings)
 
         def start(remaining: float, ended: Callable[[Result | PgError], None]) -> Job:
-            def finished(answer: list[PartState] | PgError) -> None:
+            def finished(answer: list[ShardRequest] | PgError) -> None:
                 outcome = self._result(request, plan, values, answer, job)
                 self._log_query(request, index, effect, job, outcome, began)
                 ended(outcome)
@@ -305,7 +305,9 @@
             )
         )
 
-    def _result(self, request: Request, plan, values, answer: list[PartState] | PgError, job: Job):
+    def _result(
+        self, request: Request, plan, values, answer: list[ShardRequest] | PgError, job: Job
+    ):
         if isinstance(answer, PgError):
             return answer
         shard_requests = [shard_request.answer for shard_request in answer]
@@ -338,7 +340,7 @@
             result = problem
         except Exception as problem:  # a fault of the merge ends this query alone
             if self.log:
-                self.log.error("merge failed", error=repr(problem), sql=prepared.sql[:500])
+                self.log.error("merge_failed", error=repr(problem), sql=prepared.sql[:500])
             result = PgError(INTERNAL, f"merging the parts failed: {type(problem).__name__}")
         job.memory.close()
         return result
@@ -376,9 +378,9 @@
             return None
         shard_request = target.describe_sql()
         index = self.class_of(target.sql, settings)
-        request = PartRequest(shard_request.shard, shard_request.sql, target.oids, describe=True)
+        request = ShardStatement(shard_request.shard, shard_request.sql, target.oids, describe=True)
 
-        def finished(answer: list[PartState] | PgError) -> None:
+        def finished(answer: list[ShardRequest] | PgError) -> None:
             if isinstance(answer, PgError):
                 done(answer)
                 return
@@ -392,7 +394,7 @@
             done((target.oids, prepared.fields if prepared.explain else target.fields))
 
         def start(remaining: float, ended: Callable) -> Job:
-            def answered(answer: list[PartState] | PgError) -> None:
+            def answered(answer: list[ShardRequest] | PgError) -> None:
                 ended(answer)
                 job.memory.close()
 
@@ -410,7 +412,7 @@
             return
         failed = isinstance(outcome, PgError)
         self.log.info(
-            "query",
+            "query_completed",
             sql=(request.comment + request.prepared.sql)[:200],
             cls=self.config.classes[index].name,
             effect=("safe", "keyed", "unsafe")[effect],
--- a/tansycrank/testbed/doorlab.py
+++ b/tansycrank/testbed/admission_emulator.py
@@ -94,7 +94,7 @@
 
     def __init__(self, scene: Scene) -> None:
         self.scene, self.clock = scene, SimClock()
-        self.chance = random.Random(scene.seed)
+        self.rng = random.Random(scene.seed)
         self.nodes = {
             n: SimNode(self.clock, n, scene.slots, random.Random(scene.seed * 1000 + n))
             for n in range(1, scene.nodes + 1)
@@ -123,7 +123,7 @@
         for router in self.routers:
             router.list_nodes(self.scene.nodes, 1)
         for load in self.scene.loads:
-            self.clock.callLater(load.begins + self.chance.expovariate(load.rate), self._next, load)
+            self.clock.callLater(load.begins + self.rng.expovariate(load.rate), self._next, load)
         for second, what, share in self.scene.faults:
             self.clock.callLater(second, self._fault, what, share)
         if self.scene.door:
@@ -148,18 +148,18 @@
         now = self.clock.seconds()
         if now >= min(load.ends, self.scene.seconds):
             return
-        self.clock.callLater(self.chance.expovariate(load.rate), self._next, load)
+        self.clock.callLater(self.rng.expovariate(load.rate), self._next, load)
         tally = self.tallies[load.name]
         tally.asked += 1
         self._marks += 1
-        router = self.routers[self.chance.randrange(len(self.routers))]
-        asker = Asker(load.name, f"{load.name}/{self.chance.randrange(load.clients)}", load.limits)
+        router = self.routers[self.rng.randrange(len(self.routers))]
+        asker = Asker(load.name, f"{load.name}/{self.rng.randrange(load.clients)}", load.limits)
         self._ask(load, router, asker, self._marks, None, 0)
 
     def _ask(self, load, router, asker, mark: int, promise: Promise | None, tries: int) -> None:
         scene, sent = self.scene, self.clock.seconds()
         tally = self.tallies[load.name]
-        start = self.chance.randrange(scene.shards)
+        start = self.rng.randrange(scene.shards)
         shards = [(start + i) % scene.shards for i in range(load.parts)]
 
         def done(outcome) -> None:
--- a/tansycrank/testbed/bulksite.py
+++ b/tansycrank/testbed/bulk_cluster.py
@@ -16,8 +16,8 @@
 
 from tansycrank.merge.blocks import frames_of
 from tansycrank.postgres import messages as pg
-from tansycrank.testbed.bulk import GROUP_BASE, ID_BASE, STEP, TABLE, BulkSpec, value_of
-from tansycrank.testbed.hammer import dial
+from tansycrank.testbed.bulk_data import GROUP_BASE, ID_BASE, STEP, TABLE, BulkSpec, value_of
+from tansycrank.testbed.load_generator import dial
 
 SETTINGS = """\
 [listen]
@@ -71,7 +71,7 @@
     return [total - least * (shards - 1)] + [least] * (shards - 1)
 
 
-class BulkSite:
+class BulkCluster:
     """Bulk nodes and a router."""
 
     def __init__(self, layout: BulkLayout) -> None:
@@ -82,7 +82,7 @@
         self.router: subprocess.Popen | None = None
         self.port = 0
 
-    def __enter__(self) -> BulkSite:
+    def __enter__(self) -> BulkCluster:
         try:
             self._start()
         except BaseException:
@@ -109,7 +109,7 @@
                 shard, rows, layout.groups, pad=layout.pad, die_after=layout.die_after.get(shard, 0)
             )
             nodes.append(
-                self._python("tansycrank.testbed.bulk", msgspec.json.encode(spec).decode())
+                self._python("tansycrank.testbed.bulk_data", msgspec.json.encode(spec).decode())
             )
         for shard, process in enumerate(nodes):
             port = msgspec.json.decode(process.stdout.readline())["port"]
--- a/tansycrank/testbed/bulk.py
+++ b/tansycrank/testbed/bulk_data.py
@@ -1,5 +1,5 @@
-"""A stand-in shard with millions of rows made on the fly: `python -m tansycrank.testbed.bulk SPEC`.
-On loopback.
+"""A stand-in shard with millions of rows made on the fly: `python -m tansycrank.testbed.bulk_data
+SPEC`. On loopback.
 
 Table `bulk` on shard s: for i below `rows`, id = 10^9 + i * 16 + s, g = 10^7 + i % groups, v = 100
 + g % 900. All numbers have a fixed width, so that a row is one `%` and a client can check millions
--- a/tansycrank/testbed/demo.py
+++ b/tansycrank/testbed/demo.py
@@ -10,7 +10,7 @@
 import click
 import psycopg
 
-from tansycrank.testbed.site import Layout, Site
+from tansycrank.testbed.local_cluster import Layout, LocalCluster
 
 QUERIES = (
     (
@@ -43,7 +43,7 @@
     """Show it; 0 if every query under the killed node got its answer."""
     began = time.monotonic()
     layout = Layout(nodes=nodes, shards=nodes, seed=7, nature={"work_ms": 5.0, "one_way_ms": 0.5})
-    with Site(layout) as site:
+    with LocalCluster(layout) as site:
         site.wait_ready()
         click.echo(
             f"{nodes} nodes in {len(layout.zones)} zones, "
@@ -75,7 +75,7 @@
         click.echo(f"   {problem.sqlstate}: {problem.diag.message_primary}\n")
 
 
-def _kill_one(site: Site) -> bool:
+def _kill_one(site: LocalCluster) -> bool:
     """Eight clients ask for four seconds; a node dies after one, and the roster is a second late."""
     click.echo(
         "-- eight clients ask; node 2 is killed after a second, the roster learns of it a second later"
--- a/tansycrank/testbed/roster.py
+++ b/tansycrank/testbed/endpoint_feed.py
@@ -1,5 +1,5 @@
-"""A stand-in roster: `python -m tansycrank.testbed.roster SPEC`. It tells what it was told, late on
-purpose.
+"""A stand-in roster: `python -m tansycrank.testbed.endpoint_feed SPEC`. It tells what it was told,
+late on purpose.
 
 Feed: JSON a line, as `roster.view.FeedLine`. Control line: {"set": {node...}, "delay_ms": n}
 (true or false), {"silent": bool}, {"restart": true} (a new epoch that knows the list again).
@@ -12,7 +12,7 @@
 import msgspec
 from twisted.protocols.basic import LineOnlyReceiver
 
-from tansycrank.discovery.view import FeedLine, NodeLine
+from tansycrank.discovery.endpoint_view import FeedLine, NodeLine
 from tansycrank.testbed.process import listen, reactor, serve
 
 BEAT = 1.0  # seconds
--- a/tansycrank/testbed/drills.py
+++ b/tansycrank/testbed/fault_scenarios.py
@@ -13,7 +13,7 @@
 from tansycrank import clock
 from tansycrank.testbed.checkers import Figures, Told, judge
 from tansycrank.testbed.load import LoadSpec
-from tansycrank.testbed.site import TENANT_RULES, Layout, Site
+from tansycrank.testbed.local_cluster import TENANT_RULES, Layout, LocalCluster
 
 Say = Callable[[str], None]
 CONSOLES = """
@@ -28,7 +28,7 @@
 class Script:
     """Steps at their times, on a site whose words to the roster are kept for the checkers."""
 
-    def __init__(self, site: Site, say: Say) -> None:
+    def __init__(self, site: LocalCluster, say: Say) -> None:
         self.site, self.say = site, say
         self.told: list[Told] = []
         self.steps: list[tuple[float, str, Callable[[], None]]] = []
@@ -62,7 +62,9 @@
         load.wait(timeout=max(1.0, began + seconds + 25 - time.monotonic()))
 
 
-def start_load(site: Site, name: str, user: str = "", **more) -> tuple[subprocess.Popen, Path]:
+def start_load(
+    site: LocalCluster, name: str, user: str = "", **more
+) -> tuple[subprocess.Popen, Path]:
     """A process of clients, as this user; its notes come to the file named."""
     out = site.folder / f"{name}.jsonl"
     spec = LoadSpec(
@@ -118,10 +120,10 @@
     seconds = 16.0 if quick else 30.0
     unit = seconds / 30.0
     layout = day_layout(seed)
-    with Site(layout, folder) as site:
+    with LocalCluster(layout, folder) as site:
         if broken:
             site.stop_routers()
-            site.serve = ("tansycrank.testbed.sabotage", str(broken))
+            site.serve = ("tansycrank.testbed.mutations", str(broken))
             site.start_routers()
         for me in range(layout.routers):
             site.wait_ready(me)
@@ -177,7 +179,7 @@
     return report
 
 
-def _start_flood(site: Site, seed: int, seconds: float) -> tuple[subprocess.Popen, Path]:
+def _start_flood(site: LocalCluster, seed: int, seconds: float) -> tuple[subprocess.Popen, Path]:
     """Another tenant, from the first trouble to the last: clients that ask again at once when
     refused.
     """
--- a/tansycrank/testbed/fleet.py
+++ b/tansycrank/testbed/fleet.py
@@ -49,7 +49,7 @@
 
     def __init__(self, settings: routing.Settings, seed: int, work: float, cores: int = 2) -> None:
         self.settings, self.work, self.now = settings, work, 0.0
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.nodes = {
             cell + 1: Node(cell + 1, cell, cores, free=cores) for cell in range(settings.cells)
         }
@@ -83,8 +83,8 @@
                 del self._open[key]
             for key in [key for key in self._out if key[0] == number]:
                 del self._out[key]
-            self.routers[number] = RoutingPolicy(self.settings, self.chance.getrandbits(32))
-            self.hear(
+            self.routers[number] = RoutingPolicy(self.settings, self.rng.getrandbits(32))
+            self.handle(
                 number,
                 routing.EndpointListUpdate(
                     routing.EndpointListKind.CACHED, tuple(self.listed(self.nodes))
@@ -109,9 +109,9 @@
         """Discovery's word of these nodes reaches all routers."""
         event = routing.EndpointListUpdate(routing.EndpointListKind.DELTA, tuple(self.listed(ids)))
         for number in self.routers:
-            self.hear(number, event)
+            self.handle(number, event)
 
-    def hear(self, number: int, *events: routing.Event) -> None:
+    def handle(self, number: int, *events: routing.Event) -> None:
         """One step of a router; its actions are carried out."""
         for action in self.routers[number].step(self.now, events):
             if isinstance(action, routing.Send):
@@ -127,14 +127,14 @@
 
     def _wake(self, number: int, router: RoutingPolicy) -> None:
         if self.routers[number] is router:
-            self.hear(number, routing.TimerExpired(1))
+            self.handle(number, routing.TimerExpired(1))
 
     # --- queries ----------------------------------------------------------------------
 
     def ask(self, number: int, query_class: int, shard_requests: int, remaining: float) -> None:
         """A client sends a query of so many shards in a row."""
         self._ids += 1
-        query, first = self._ids, self.chance.randrange(self.settings.shards)
+        query, first = self._ids, self.rng.randrange(self.settings.shards)
         events: list[routing.Event] = [
             routing.QueryArrived(query, query, query_class, remaining, shard_requests)
         ]
@@ -147,20 +147,20 @@
             )
         self._open[number, query] = asked = Asked(number, query_class, self.now)
         self.asked.append(asked)
-        self.hear(number, *events)
+        self.handle(number, *events)
 
     def traffic(self, numbers: Iterable[int], until: float, every: float, wide: int) -> None:
         """Each of these routers gets a query every so many ms, by chance: a tenth of `wide` parts
         (class 0), six tenths of half as many (class 1), the rest of one (class 2).
         """
         for number in numbers:
-            time = self.now + self.chance.expovariate(1 / every)
+            time = self.now + self.rng.expovariate(1 / every)
             while time < until:
-                kind = self.chance.choices((0, 1, 2), (1, 6, 3))[0]
+                kind = self.rng.choices((0, 1, 2), (1, 6, 3))[0]
                 shard_requests = (wide, wide // 2, 1)[kind]
                 give_up = self.settings.classes[kind].deadline
                 self.at(time, self.ask, number, kind, shard_requests, give_up)
-                time += self.chance.expovariate(1 / every)
+                time += self.rng.expovariate(1 / every)
 
     def served(self, query_class: int, since: float = 0.0) -> float:
         """The share of a class's queries, of those asked since, that were answered by their aim."""
@@ -225,7 +225,7 @@
             key = node.line.popleft()
             if key in self._out:
                 node.free -= 1
-                work = self.work * self.chance.uniform(0.7, 1.3) / self.warmth(node, self.now)
+                work = self.work * self.rng.uniform(0.7, 1.3) / self.warmth(node, self.now)
                 self.at(self.now + work, self._done, node, node.started_at, key)
 
     def _done(self, node: Node, came_up: float, key: tuple[int, int, int]) -> None:
@@ -237,7 +237,7 @@
     def _end(self, number: int, shard_request: int, attempt: int, outcome: routing.Outcome) -> None:
         if found := self._out.pop((number, shard_request, attempt), None):
             endpoint, sent = found
-            self.hear(
+            self.handle(
                 number,
                 routing.AttemptEnded(shard_request, attempt, endpoint, outcome, self.now - sent),
             )
--- a/tansycrank/testbed/load.py
+++ b/tansycrank/testbed/load.py
@@ -128,7 +128,7 @@
     ) -> None:
         self.spec, self.number, self.notes = spec, number, notes
         self.asked = asked[-1:] if number < REPORTERS else asked[:-1]
-        self.chance = random.Random(spec.seed * 10_000 + number)
+        self.rng = random.Random(spec.seed * 10_000 + number)
         self.router = number % len(spec.dsns)
         self.link: psycopg.AsyncConnection | None = None
         self.sequence = 0
@@ -154,33 +154,33 @@
 
     async def run(self, until: float) -> None:
         """Ask until the time is over."""
-        await asyncio.sleep(self.chance.random() * self.spec.think_ms / 1000)
+        await asyncio.sleep(self.rng.random() * self.spec.think_ms / 1000)
         while now() < until:
             if self.link is None or self.link.closed:
                 if not await self.connect():
                     await asyncio.sleep(0.1)
                     continue
             await self.ask()
-            await asyncio.sleep(self.chance.expovariate(1.0) * self.spec.think_ms / 1000)
+            await asyncio.sleep(self.rng.expovariate(1.0) * self.spec.think_ms / 1000)
         await self.close()
 
     async def ask(self) -> None:
         """One query, noted."""
         self.sequence += 1
         tag = f"q{self.spec.seed}-{self.number}-{self.sequence}"
-        draw, spec = self.chance.random(), self.spec
+        draw, spec = self.rng.random(), self.spec
         effect, question, values, key = "safe", None, None, ""
         if draw < spec.writes + spec.keyed:
             effect = "unsafe" if draw < spec.writes else "keyed"
             key = tag if effect == "keyed" else ""
             values = (
                 WRITE_IDS + self.number * 100_000 + self.sequence,
-                self.chance.choice(DISTRICTS),
+                self.rng.choice(DISTRICTS),
                 self.number,
             )
             sql = "INSERT INTO trips (id, district, cab_id) VALUES (%s, %s, %s)"
         else:
-            question = self.chance.choice(self.asked)
+            question = self.rng.choice(self.asked)
             sql = question.sql
         note = {
             "tag": tag,
@@ -191,7 +191,7 @@
             "parts": question.parts if question else 1,
             "note": sql[:120],
         }
-        leaves = question is not None and self.chance.random() < spec.leavers
+        leaves = question is not None and self.rng.random() < spec.leavers
         try:
             if effect == "keyed":
                 await self.link.execute(f"SET tansycrank.request_key = '{key}'")
@@ -229,7 +229,7 @@
     async def _leave(self, sql: str, note: dict) -> None:
         """Hang up while the query runs."""
         task = asyncio.ensure_future(self.link.execute(sql))
-        await asyncio.sleep(self.chance.random() * 0.01)
+        await asyncio.sleep(self.rng.random() * 0.01)
         if not task.done():
             self.link.pgconn.finish()
         note["done"], note["outcome"] = now(), "left"
--- a/tansycrank/testbed/hammer.py
+++ b/tansycrank/testbed/load_generator.py
@@ -1,5 +1,5 @@
-"""Closed-loop clients that cost little themselves: `python -m tansycrank.testbed.hammer SPEC`.
-Bounded in time.
+"""Closed-loop clients that cost little themselves: `python -m tansycrank.testbed.load_generator
+SPEC`. Bounded in time.
 
 Each connection sends prepared bytes and waits for ReadyForQuery. Prints counts and latencies as
 JSON.
--- a/tansycrank/testbed/site.py
+++ b/tansycrank/testbed/local_cluster.py
@@ -2,7 +2,7 @@
 faults.
 
 Used by the demo, drills, measurements and end-to-end tests. Everything is bounded and ends with
-`Site.close`.
+`LocalCluster.close`.
 """
 
 from __future__ import annotations
@@ -191,7 +191,7 @@
     came_up: float = 0.0  # the same instant in ms of the monotonic clock
 
 
-class Site:
+class LocalCluster:
     """A running site. `folder` holds settings, journals and logs."""
 
     def __init__(self, layout: Layout, folder: str | None = None) -> None:
@@ -206,7 +206,7 @@
         self.roster_port = 0
         self.serve: tuple[str, ...] = ("tansycrank", "serve")
 
-    def __enter__(self) -> Site:
+    def __enter__(self) -> LocalCluster:
         self.start()
         return self
 
@@ -234,7 +234,7 @@
             for node in self.nodes.values():
                 self._ports(node)
             self.roster = self._python(
-                "tansycrank.testbed.roster",
+                "tansycrank.testbed.endpoint_feed",
                 msgspec.json.encode([self._line(n) for n in self.nodes.values()]).decode(),
             )
             told = msgspec.json.decode(self.roster.stdout.readline())
--- a/tansycrank/testbed/measure_door.py
+++ b/tansycrank/testbed/measure_admission.py
@@ -20,10 +20,10 @@
 import msgspec
 
 from tansycrank.admission.policy import Admit, Arrived, Ended, Limits, Policy, Settings, Tick
-from tansycrank.testbed.doorlab import Load, Play, Scene, jain
+from tansycrank.testbed.admission_emulator import Load, Play, Scene, jain
 from tansycrank.testbed.engine import DISTRICTS
+from tansycrank.testbed.local_cluster import TENANT_RULES, Layout, LocalCluster
 from tansycrank.testbed.measures import cpu_seconds, machine, memory
-from tansycrank.testbed.site import TENANT_RULES, Layout, Site
 from tansycrank.testbed.tenants import TenantSpec, TenantsSpec
 
 ROOT = Path(__file__).parents[2]
@@ -39,7 +39,7 @@
     more = TENANT_RULES + ("" if door else "[door]\nenabled = off\n")
     nature = {"cores": 1, "work_ms": 40.0, "cached": True}
     layout = Layout(nodes=6, shards=6, seed=seed, nature=nature, log_queries=False, rules_more=more)
-    with Site(layout) as site:
+    with LocalCluster(layout) as site:
         time.sleep(0.5)
         cpu = cpu_seconds(site.routers[0].pid)
         players = []
--- a/tansycrank/testbed/measure_merge.py
+++ b/tansycrank/testbed/measure_merge.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from tansycrank.testbed.bulk import ID_BASE
-from tansycrank.testbed.bulksite import BulkLayout, BulkSite, Checker, ask, skewed
-from tansycrank.testbed.hammer import HammerSpec
+from tansycrank.testbed.bulk_cluster import BulkCluster, BulkLayout, Checker, ask, skewed
+from tansycrank.testbed.bulk_data import ID_BASE
+from tansycrank.testbed.load_generator import HammerSpec
 from tansycrank.testbed.measures import cpu_seconds, machine, memory
 
 MIB = 1 << 20
@@ -32,7 +32,7 @@
 SLACK = 24 * MIB  # the interpreter, its buffers and the kernel's, beside what the bound counts
 
 
-def one(site: BulkSite, kind: str) -> dict:
+def one(site: BulkCluster, kind: str) -> dict:
     """Run one statement; rate, peak memory of the router, verdict of the check."""
     layout, pid = site.layout, site.router.pid
     checker = Checker(kind, layout)
@@ -53,7 +53,7 @@
     }
 
 
-def direct(site: BulkSite) -> float:
+def direct(site: BulkCluster) -> float:
     """Rows a second of one connection straight to the large shard, with the same client and check."""
     checker = Checker("direct", site.layout)
     heard = ask(site.node_ports[0], "SELECT id, g, v FROM s0000.bulk", checker.feed, timeout=240)
@@ -68,8 +68,8 @@
     layout = BulkLayout(rows=skewed(1_000_000), groups=GROUPS)
     lookups = tuple(f"SELECT id, g, v FROM bulk WHERE id = {ID_BASE + n}" for n in range(0, 160, 7))
     report: dict = {"large merges": large}
-    with BulkSite(layout) as site:
-        command = [sys.executable, "-m", "tansycrank.testbed.hammer"]
+    with BulkCluster(layout) as site:
+        command = [sys.executable, "-m", "tansycrank.testbed.load_generator"]
 
         def hammer(
             statements: tuple[str, ...], connections: int, span: float, port=0
@@ -117,7 +117,7 @@
     for size in sizes:
         layout = BulkLayout(rows=skewed(size), groups=GROUPS if not quick else 50_000)
         found: dict = {}
-        with BulkSite(layout) as site:
+        with BulkCluster(layout) as site:
             found["direct rows a second"] = round(direct(site))
             for kind in KINDS:
                 if kind == "top-k" and size > 5_000_000:
@@ -127,7 +127,7 @@
         report["sizes"][str(size)] = found
     many = MANY_GROUPS if not quick else 200_000
     layout = BulkLayout(rows=[many] + [many // 100] * 7, groups=many)
-    with BulkSite(layout) as site:
+    with BulkCluster(layout) as site:
         found = {"grouped": one(site, "grouped")}
     report["many groups"] = {str(many): found}
     say(f"{many:>10,} groups    {found['grouped']}")
@@ -137,7 +137,7 @@
         process=8 << 30,
         query=8 << 30,
     )
-    with BulkSite(wide) as site:
+    with BulkCluster(wide) as site:
         report["all in memory"] = {kind: one(site, kind) for kind in ("distinct", "grouped")}
     report["small beside large"] = small_beside_large(3.0 if quick else 6.0, 30)
     last = report["sizes"][str(sizes[-1])]
--- a/tansycrank/testbed/measures.py
+++ b/tansycrank/testbed/measures.py
@@ -14,8 +14,8 @@
 import msgspec
 
 from tansycrank.postgres import messages as pg
-from tansycrank.testbed.hammer import READY, HammerSpec, dial
-from tansycrank.testbed.site import Layout, Site
+from tansycrank.testbed.load_generator import READY, HammerSpec, dial
+from tansycrank.testbed.local_cluster import Layout, LocalCluster
 
 Say = Callable[[str], None]
 TICK = os.sysconf("SC_CLK_TCK")
@@ -112,7 +112,7 @@
     command = [
         sys.executable,
         "-m",
-        "tansycrank.testbed.hammer",
+        "tansycrank.testbed.load_generator",
         msgspec.json.encode(spec).decode(),
     ]
     running = [
@@ -155,7 +155,7 @@
     one = "SELECT id, fare, note FROM trips WHERE district = 'Quan 1' AND id < 40 ORDER BY id"
     eight = "SELECT id, fare FROM trips WHERE id < 40 ORDER BY id LIMIT 20"
     report: dict = {"measure": "overhead", "seed": seed, "machine": machine(), "rounds": rounds}
-    with Site(layout) as site:
+    with LocalCluster(layout) as site:
         site.wait_ready()
         pid = site.routers[0].pid
         holder = site.nodes[1]
--- a/tansycrank/testbed/sabotage.py
+++ b/tansycrank/testbed/mutations.py
@@ -1,4 +1,4 @@
-"""A router with one rule broken on purpose: `python -m tansycrank.testbed.sabotage RULE --config F
+"""A router with one rule broken on purpose: `python -m tansycrank.testbed.mutations RULE --config F
 --announce`.
 
 It shows that the checkers catch what they are for. Nothing of it is reachable from the product.
@@ -12,7 +12,7 @@
 import msgspec
 
 from tansycrank import config, daemon, routing
-from tansycrank.merge.blocks import PartStream
+from tansycrank.merge.blocks import ShardRowStream
 from tansycrank.postgres.errors import PgError
 from tansycrank.sql_router import coordinator, service
 
@@ -30,7 +30,7 @@
     def extra(self, endpoint: int, request, time_out: float) -> None:
         """One of them; its rows are dropped."""
         memory = self.keeper.open(False)
-        stream = PartStream(memory, request.shard)
+        stream = ShardRowStream(memory, request.shard)
         self.pools.send(
             endpoint, request, stream, time_out, lambda ended: memory.close(), _Unchecked()
         )
@@ -69,19 +69,19 @@
 class DeafToDrains(coordinator.Coordinator):
     """Rule 3: a drain is heard as nothing."""
 
-    def heard_list(self, event) -> None:
+    def handle_endpoint_list(self, event) -> None:
         entries = tuple(replace(e, status=routing.EndpointStatus.IN_SERVICE) for e in event.entries)
-        super().heard_list(routing.EndpointListUpdate(event.kind, entries))
+        super().handle_endpoint_list(routing.EndpointListUpdate(event.kind, entries))
 
 
 class FloodsTheCold(_Extra):
     """Rule 4: cold nodes are taken for warm, and get each part many times."""
 
-    def heard_list(self, event) -> None:
+    def handle_endpoint_list(self, event) -> None:
         self.cold = getattr(self, "cold", set()) | {
             e.endpoint for e in event.entries if e.started_at
         }
-        super().heard_list(
+        super().handle_endpoint_list(
             routing.EndpointListUpdate(
                 event.kind, tuple(replace(e, started_at=0.0) for e in event.entries)
             )
--- a/tansycrank/testbed/node.py
+++ b/tansycrank/testbed/node.py
@@ -24,10 +24,10 @@
 from tansycrank.postgres.errors import PgError, cancelled
 from tansycrank.sql.infer import parameter_types
 from tansycrank.sql.planner import split_comment
-from tansycrank.sql_router.links import REQUEST_KEY
+from tansycrank.sql_router.node_connection import REQUEST_KEY
 from tansycrank.testbed.engine import Engine, to_engine
-from tansycrank.testbed.model import Job, Nature, ServiceModel
 from tansycrank.testbed.process import listen, reactor, serve
+from tansycrank.testbed.reference_model import Job, Nature, ServiceModel
 
 JOURNAL_LIMIT = 64 * 1024 * 1024  # bytes; a journal longer than that ends the node
 CLAIMED_AT = struct.Struct("=d")  # ms of the monotonic clock, which all nodes of a machine share
@@ -248,7 +248,7 @@
                 case pg.Startup(parameters):
                     self.app = parameters.get("application_name", "")
                     self.pid = max(self.node.sessions, default=self.node.spec.id * 100_000) + 1
-                    self.secret = self.node.model.chance.randrange(1, 2**31)
+                    self.secret = self.node.model.rng.randrange(1, 2**31)
                     self.node.sessions[self.pid] = self
                     self.frames = pg.Frames(64 * 1024 * 1024)
                     self.transport.write(
--- a/tansycrank/testbed/model.py
+++ b/tansycrank/testbed/reference_model.py
@@ -74,7 +74,7 @@
     fallen: bool = False
 
     def __post_init__(self) -> None:
-        self.chance = random.Random(self.seed)
+        self.rng = random.Random(self.seed)
 
     def capacity(self, now: float) -> float:
         """Share of its warm capacity."""
@@ -87,7 +87,7 @@
         """The work of one statement."""
         if not self.nature.work_ms:
             return 0.0
-        return self.nature.work_ms * weight * self.chance.lognormvariate(0.0, self.nature.spread)
+        return self.nature.work_ms * weight * self.rng.lognormvariate(0.0, self.nature.spread)
 
     def arrived(self, now: float, work: float) -> None:
         """Count what a cold node is sent; it falls over beyond its limit."""
@@ -119,4 +119,4 @@
 
     def happens(self, share: float) -> bool:
         """Whether a fault of this share strikes now."""
-        return share > 0 and self.chance.random() < share
+        return share > 0 and self.rng.random() < share
--- a/tansycrank/testbed/simulated.py
+++ b/tansycrank/testbed/simulated.py
@@ -16,13 +16,13 @@
 from typing import Any
 
 from tansycrank import routing
-from tansycrank.admission.gate import Gate
+from tansycrank.admission.controller import AdmissionController
 from tansycrank.admission.policy import Policy
 from tansycrank.lifecycle import Attempt
 from tansycrank.merge.blocks import Keeper
 from tansycrank.merge.spill import SpillSpace
 from tansycrank.sql_router.coordinator import Coordinator
-from tansycrank.sql_router.links import Ended, PartRequest
+from tansycrank.sql_router.node_connection import Ended, ShardStatement
 
 
 class Call:
@@ -79,8 +79,8 @@
 class SimNode:
     """A node with so many slots; parts wait in its line. Work is exponential around `work_ms`."""
 
-    def __init__(self, clock: SimClock, number: int, slots: int, chance: random.Random) -> None:
-        self.clock, self.number, self.slots, self.chance = clock, number, slots, chance
+    def __init__(self, clock: SimClock, number: int, slots: int, rng: random.Random) -> None:
+        self.clock, self.number, self.slots, self.rng = clock, number, slots, rng
         self.alive, self.free = True, slots
         self.line: deque[SimSending] = deque()
         self.running: dict[
@@ -103,7 +103,7 @@
                 continue
             self.free -= 1
             self.running[sending] = None
-            work = self.chance.expovariate(1.0) * sending.work_ms
+            work = self.rng.expovariate(1.0) * sending.work_ms
             self.clock.callLater(work / 1000, self._over, sending, work)
 
     def _over(self, sending: SimSending, work: float) -> None:
@@ -162,13 +162,13 @@
     def send(
         self,
         endpoint: int,
-        request: PartRequest,
+        request: ShardStatement,
         stream,
         time_out: float,
         done: Callable[[Ended], None],
         attempt: Attempt,
     ) -> SimSending:
-        """As `Pools.send`."""
+        """As `ConnectionPool.send`."""
         if attempt.start(self.clock.seconds() * 1000) is not None:
             sending = SimSending(endpoint, stream, done, 0.0)
             self.clock.callLater(0, sending.finish, Ended(routing.Outcome.NOT_SENT))
@@ -198,7 +198,7 @@
     seed: int
     nodes: dict[int, SimNode]
     policy: Policy | None
-    gate: Gate = field(init=False)
+    gate: AdmissionController = field(init=False)
     coordinator: Coordinator = field(init=False)
 
     def __post_init__(self) -> None:
@@ -207,7 +207,7 @@
             self.clock, self.settings, self.seed, SimPools(self.clock, self.nodes), keeper,
             lambda on: None, self._broken,
         )  # fmt: skip
-        self.gate = Gate(self.clock, self.policy)
+        self.gate = AdmissionController(self.clock, self.policy)
         self.coordinator.start()
 
     def _broken(self, problem: BaseException) -> None:
@@ -225,7 +225,7 @@
             for n in self.nodes.values()
             if n.alive
         )
-        self.coordinator.heard_list(
+        self.coordinator.handle_endpoint_list(
             routing.EndpointListUpdate(routing.EndpointListKind.SNAPSHOT, entries)
         )
 
@@ -240,7 +240,7 @@
                 ended(answer if isinstance(answer, Exception) else "answered")
                 job.memory.close()
 
-            requests = [PartRequest(shard, str(work_ms)) for shard in shards]
+            requests = [ShardStatement(shard, str(work_ms)) for shard in shards]
             job = self.coordinator.submit(query_class, left, requests, finished, repeat)
             return job
 
--- a/tansycrank/testbed/soak/clients.py
+++ b/tansycrank/testbed/soak/clients.py
@@ -95,7 +95,7 @@
     """All clients of this process."""
 
     def __init__(self, spec: ClientsSpec) -> None:
-        self.spec, self.chance = spec, random.Random(spec.seed)
+        self.spec, self.rng = spec, random.Random(spec.seed)
         self.accepts = [True] * len(spec.ports)
         self.stopping = asyncio.Event()
         self.burst: asyncio.Event | None = None  # set when the burst that goes on is over
@@ -136,9 +136,9 @@
         """One client until this is over: one request at a time, its connections kept."""
         kept: dict[int, Connection] = {}
         while not over.is_set():
-            await asyncio.sleep(self.chance.expovariate(1 / think))
-            router = self.chance.randrange(len(self.spec.ports))
-            if self.chance.random() < STOPS_HALFWAY:
+            await asyncio.sleep(self.rng.expovariate(1 / think))
+            router = self.rng.randrange(len(self.spec.ports))
+            if self.rng.random() < STOPS_HALFWAY:
                 await self.stop_halfway(router)
             else:
                 await self.ask(router, kept)
@@ -166,20 +166,18 @@
         self, router: int, connection: Connection, kept: dict[int, Connection]
     ) -> Ending:
         """Send a request, hear its answer, keep the connection if it goes on; how that ended."""
-        name, shards = self.chance.choice(list(EFFECTS)), self.some_shards()
+        name, shards = self.rng.choice(list(EFFECTS)), self.some_shards()
         self.numbers += 1
         id = f"{self.spec.name}-{router}-{self.numbers}"
-        deadline = int(self.chance.choice(DEADLINES) * self.spec.give_up)
+        deadline = int(self.rng.choice(DEADLINES) * self.spec.give_up)
         record = ClientRecord(
             id, router, EFFECTS[name], shards, 0.0, deadline, 0.0, Ending.NO_ANSWER
         )
-        leaves = self.chance.random() < LEAVES
+        leaves = self.rng.random() < LEAVES
         try:
             await self.send(connection, request_bytes(id, name, shards, deadline))
             record.sent = monotonic_ms()
-            wait = (
-                self.chance.uniform(0.0, LEAVES_WITHIN) if leaves else deadline / 1000 + LONG_AFTER
-            )
+            wait = self.rng.uniform(0.0, LEAVES_WITHIN) if leaves else deadline / 1000 + LONG_AFTER
             status, headers, body = await asyncio.wait_for(connection.answer(), wait)
             record.ending, record.detail = judge(id, shards, status, body)
             if headers.get("connection", "").lower() != "close":
@@ -189,7 +187,7 @@
                 connection.close()
         except TimeoutError:
             record.ending = Ending.LEFT if leaves else Ending.NO_ANSWER
-            connection.close(reset=self.chance.random() < 0.5)
+            connection.close(reset=self.rng.random() < 0.5)
         except (OSError, EOFError) as problem:
             crossed = connection.used and not getattr(problem, "partial", b"")
             record.ending = Ending.CROSSED if crossed else Ending.NO_ANSWER
@@ -202,8 +200,8 @@
 
     async def send(self, connection: Connection, data: bytes) -> None:
         """A request in one piece, or in two."""
-        if self.chance.random() < IN_TWO_PIECES:
-            cut = self.chance.randrange(1, len(data))
+        if self.rng.random() < IN_TWO_PIECES:
+            cut = self.rng.randrange(1, len(data))
             connection.writer.write(data[:cut])
             await asyncio.sleep(0.02)
             data = data[cut:]
@@ -212,7 +210,7 @@
 
     def some_shards(self) -> tuple[int, ...]:
         """The shards of a request."""
-        return tuple(sorted(self.chance.sample(range(SHARDS), self.chance.randint(1, MOST_SHARDS))))
+        return tuple(sorted(self.rng.sample(range(SHARDS), self.rng.randint(1, MOST_SHARDS))))
 
     async def stop_halfway(self, router: int) -> None:
         """Stop in the middle of a request, and stay: an error or a close is owed."""
@@ -220,7 +218,7 @@
         if connection is None:
             return
         data = request_bytes("half", "look", self.some_shards(), 500)
-        connection.writer.write(data[: self.chance.randrange(1, len(data) - 1)])
+        connection.writer.write(data[: self.rng.randrange(1, len(data) - 1)])
         sent = monotonic_ms()
         ended = False
         with suppress(OSError, TimeoutError):
--- a/tansycrank/testbed/soak/fleet.py
+++ b/tansycrank/testbed/soak/fleet.py
@@ -18,8 +18,8 @@
 import msgspec
 
 from tansycrank import clock
+from tansycrank.testbed.interposer import FailingCalls, WallClock, environment
 from tansycrank.testbed.ports import ReservedPort
-from tansycrank.testbed.preload import FailingCalls, WallClock, environment
 from tansycrank.testbed.soak import records
 from tansycrank.testbed.soak.clients import ClientsSpec
 from tansycrank.testbed.soak.discovery import DiscoverySpec
--- a/tansycrank/testbed/soak/node.py
+++ b/tansycrank/testbed/soak/node.py
@@ -56,7 +56,7 @@
 
     def __init__(self, spec: NodeSpec) -> None:
         self.spec, self.trouble = spec, Trouble()
-        self.chance = random.Random(spec.seed)
+        self.rng = random.Random(spec.seed)
         self.journal = Journal(spec.journal)
         self.cores = asyncio.Semaphore(CORES)
         self.connections: set[asyncio.StreamWriter] = set()
@@ -153,15 +153,15 @@
         """Work on a sub-request for which its router waits `wait` ms, then say how it ended."""
         if wait < DROPS_BELOW:
             return None
-        if self.chance.random() < self.trouble.busy:
+        if self.rng.random() < self.trouble.busy:
             self.note(NodeEventKind.BUSY, request=request, shard=shard)
             return self.reply(writer, id, "busy", "")
         async with self.cores:
-            work = self.chance.lognormvariate(0.0, SPREAD) * MEAN_WORK * self.trouble.slow
+            work = self.rng.lognormvariate(0.0, SPREAD) * MEAN_WORK * self.trouble.slow
             await asyncio.sleep(work / self.warmth(monotonic_ms()) / 1000)
-        if self.chance.random() < self.trouble.spoilt:
-            writer.write(self.chance.randbytes(self.chance.randint(1, 40)))
-        elif self.chance.random() < self.trouble.errors:
+        if self.rng.random() < self.trouble.spoilt:
+            writer.write(self.rng.randbytes(self.rng.randint(1, 40)))
+        elif self.rng.random() < self.trouble.errors:
             self.reply(writer, id, "err", "")
         else:
             self.reply(writer, id, "ok", f"{request}/{shard}")
--- a/tansycrank/testbed/soak/plan.py
+++ b/tansycrank/testbed/soak/plan.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from tansycrank.testbed.preload import CallFailure
+from tansycrank.testbed.interposer import CallFailure
 
 SHARDS = 6  # as many as the fewest data nodes, so that each shard has its three replicas
 ZONES = ("a", "b", "c")
@@ -183,35 +183,35 @@
 
 def draw(seed: int, seconds: float = 20.0, most_processes: int = 40) -> Plan:
     """The plan of a seed: 10 to `most_processes` processes, faults that overlap in time."""
-    chance = random.Random(seed)
-    routers = chance.randint(2, 6)
-    client_processes = chance.randint(1, 3)
+    rng = random.Random(seed)
+    routers = rng.randint(2, 6)
+    client_processes = rng.randint(1, 3)
     room = most_processes - routers - client_processes - 1
-    nodes = chance.randint(6, max(min(24, room), 6))
-    wrong = tuple(chance.choice((0.0, 0.0, *STEPS)) for _ in range(routers))
+    nodes = rng.randint(6, max(min(24, room), 6))
+    wrong = tuple(rng.choice((0.0, 0.0, *STEPS)) for _ in range(routers))
     faults = []
     at = QUIET_START
     while at < seconds - QUIET_END:
-        faults.append(_fault(chance, at, routers, nodes))
-        at += chance.expovariate(1 / chance.choice((0.2, 0.5, 1.0)))
+        faults.append(_fault(rng, at, routers, nodes))
+        at += rng.expovariate(1 / rng.choice((0.2, 0.5, 1.0)))
     return Plan(
         seed,
         seconds,
         routers,
         nodes,
         client_processes,
-        clients=chance.randint(4, 12),
+        clients=rng.randint(4, 12),
         wrong_from_the_start=wrong,
-        give_up=chance.choice((800.0, 1_500.0, 2_000.0)),
-        dedup_window=chance.choice((150.0, 400.0, 1_000.0)),
-        drain_grace=chance.choice((250.0, 500.0)),
-        pushed=chance.random() < 0.5,
+        give_up=rng.choice((800.0, 1_500.0, 2_000.0)),
+        dedup_window=rng.choice((150.0, 400.0, 1_000.0)),
+        drain_grace=rng.choice((250.0, 500.0)),
+        pushed=rng.random() < 0.5,
         faults=tuple(faults),
     )
 
 
-def _fault(chance: random.Random, at: float, routers: int, nodes: int) -> Fault:
-    kind = chance.choices(list(WEIGHTS), list(WEIGHTS.values()))[0]
+def _fault(rng: random.Random, at: float, routers: int, nodes: int) -> Fault:
+    kind = rng.choices(list(WEIGHTS), list(WEIGHTS.values()))[0]
     is_router = kind in (
         FaultKind.WALL_CLOCK,
         FaultKind.ROUTER_PAUSE,
@@ -219,19 +219,19 @@
         FaultKind.ROUTER_CRASH,
         FaultKind.ROUTER_CALLS,
     )
-    target = chance.randrange(routers if is_router else nodes)
-    duration = chance.uniform(*DURATIONS[kind]) if kind in DURATIONS else 0.0
+    target = rng.randrange(routers if is_router else nodes)
+    duration = rng.uniform(*DURATIONS[kind]) if kind in DURATIONS else 0.0
     value = 0.0
     if kind is FaultKind.WALL_CLOCK:
-        value = chance.choice(STEPS)
+        value = rng.choice(STEPS)
     elif kind is FaultKind.RECONFIGURE:
-        value = float(chance.randint(1, 4))
+        value = float(rng.randint(1, 4))
     elif kind is FaultKind.NODE_SLOW:
-        value = chance.uniform(3.0, 20.0)
+        value = rng.uniform(3.0, 20.0)
     elif kind in (FaultKind.NODE_ERRORS, FaultKind.NODE_BUSY, FaultKind.NODE_SPOILT):
-        value = chance.uniform(0.05, 0.5)
+        value = rng.uniform(0.05, 0.5)
     elif kind is FaultKind.ROUTER_CALLS:
-        value = chance.uniform(*CALL_FAILURE_SHARES)
-        calls = chance.sample(list(CallFailure), chance.randint(1, MOST_CALL_KINDS))
+        value = rng.uniform(*CALL_FAILURE_SHARES)
+        calls = rng.sample(list(CallFailure), rng.randint(1, MOST_CALL_KINDS))
         return Fault(at, kind, target, duration, value, tuple(calls))
     return Fault(at, kind, target, duration, value)
--- a/tansycrank/testbed/soak/run.py
+++ b/tansycrank/testbed/soak/run.py
@@ -100,7 +100,7 @@
     """Violations that routers counted themselves, and faults of theirs."""
     found = []
     for event in logs:
-        if event["event"] == "invariant violated":
+        if event["event"] == "invariant_violated":
             text = f"router {event['router']}: {event['invariant']}: {event['detail']}"
             found.append(f"{text}; {event['request']}: {' | '.join(event['history'])}")
         elif "traceback" in event:
@@ -115,7 +115,7 @@
     total: Counter[str] = Counter()
     last: dict[int, dict[str, int]] = {}
     for event in logs:
-        if event["event"] == "started":
+        if event["event"] == "process_started":
             total.update(last.pop(event["router"], {}))
         elif "checked" in event:
             last[event["router"]] = event["checked"]
--- a/tansycrank/testbed/soak/seeded_bugs.py
+++ b/tansycrank/testbed/soak/seeded_bugs.py
@@ -29,7 +29,7 @@
 
 def sends_after_the_end() -> None:
     """A sub-request goes out once more most of a second after its request's final answer."""
-    conclude = Coordinator._conclude
+    conclude = Coordinator._complete
 
     def concluded(self: Coordinator, query, kind: AnswerKind, **more) -> None:
         conclude(self, query, kind, **more)
@@ -48,12 +48,12 @@
                 _Unchecked(),
             )
 
-    Coordinator._conclude = concluded
+    Coordinator._complete = concluded
 
 
 def deaf_to_drains() -> None:
     """A node that drains or is gone is taken for one in service."""
-    heard = Coordinator.heard_list
+    heard = Coordinator.handle_endpoint_list
 
     def as_in_service(self: Coordinator, event: routing.EndpointListUpdate) -> None:
         entries = tuple(
@@ -70,7 +70,7 @@
         )
         heard(self, routing.EndpointListUpdate(event.kind, entries))
 
-    Coordinator.heard_list = as_in_service
+    Coordinator.handle_endpoint_list = as_in_service
 
 
 def repeats_unsafe() -> None:
@@ -93,7 +93,7 @@
 
 def swaps_values() -> None:
     """An answer brings a value of another request, now and then."""
-    conclude = Coordinator._conclude
+    conclude = Coordinator._complete
     kept: list[str | None] = [None]
 
     def swapped(self: Coordinator, query, kind: AnswerKind, **more) -> None:
@@ -103,12 +103,12 @@
         kept[0] = shard_request.value
         conclude(self, query, kind, **more)
 
-    Coordinator._conclude = swapped
+    Coordinator._complete = swapped
 
 
 def never_gives_up() -> None:
     """What is not answered in time is not answered at all."""
-    Coordinator._shed = Coordinator._fail = lambda self, action: None
+    Coordinator._reject = Coordinator._fail = lambda self, action: None
 
 
 def waits_for_halves() -> None:
--- a/tansycrank/testbed/tenants.py
+++ b/tansycrank/testbed/tenants.py
@@ -20,7 +20,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from tansycrank.testbed.hammer import READY, dial
+from tansycrank.testbed.load_generator import READY, dial
 
 BACKLOG = 5000  # queries of a tenant that wait for a free connection; more are given up
 TRIES = 6
@@ -79,7 +79,7 @@
     """Plays a spec in one thread."""
 
     def __init__(self, spec: TenantsSpec) -> None:
-        self.spec, self.chance = spec, random.Random(spec.seed)
+        self.spec, self.rng = spec, random.Random(spec.seed)
         self.tenants = [Tenant(one) for one in spec.tenants]
         self.busy: dict[int, tuple[socket.socket, Tenant, Query | None, bytes]] = {}
         self.selector = selectors.DefaultSelector()
@@ -101,13 +101,13 @@
         start = time.perf_counter()
         self.start, end = start, start + self.spec.seconds
         for tenant in self.tenants:
-            first = start + tenant.spec.begins + self.chance.expovariate(tenant.spec.rate)
+            first = start + tenant.spec.begins + self.rng.expovariate(tenant.spec.rate)
             self._at(first, tenant, None)
         while (now := time.perf_counter()) < end:
             while self.events and self.events[0][0] <= now:
                 when, _, tenant, query = heapq.heappop(self.events)
                 if query is None:
-                    self._at(when + self.chance.expovariate(tenant.spec.rate), tenant, None)
+                    self._at(when + self.rng.expovariate(tenant.spec.rate), tenant, None)
                     query = self._new(tenant, when)
                 self._ask(tenant, query)
             pause = min(self.events[0][0] - now if self.events else 0.05, 0.05, end - now)
@@ -117,7 +117,7 @@
 
     def _new(self, tenant: Tenant, when: float) -> Query:
         tenant.asked += 1
-        district = self.chance.choice(self.spec.districts)
+        district = self.rng.choice(self.spec.districts)
         sql = f"SELECT id, fare FROM trips WHERE district = '{district}' AND id < {self._count} LIMIT 3"
         frame = b"Q" + (len(sql) + 5).to_bytes(4, "big") + sql.encode() + b"\0"
         return Query(frame, when)
--- a/tests/admission/test_gate.py
+++ b/tests/admission/test_controller.py
@@ -2,7 +2,7 @@
 
 from twisted.internet.task import Clock
 
-from tansycrank.admission.gate import Gate, refusal
+from tansycrank.admission.controller import AdmissionController, refusal
 from tansycrank.admission.identity import Asker
 from tansycrank.admission.policy import Limits, Policy, Settings
 from tansycrank.postgres.errors import REFUSED, PgError
@@ -10,12 +10,12 @@
 ASKER = Asker("a", "a/x", Limits())
 
 
-class Site:
+class LocalCluster:
     """A gate with queries that end when told to."""
 
     def __init__(self, **bounds):
         self.clock = Clock()
-        self.gate = Gate(self.clock, Policy(Settings(**bounds)))
+        self.gate = AdmissionController(self.clock, Policy(Settings(**bounds)))
         self.running, self.heard, self.left = {}, {}, {}
 
     def ask(self, name, asker=ASKER, remaining=1000.0, mark=0):
@@ -38,7 +38,7 @@
 
 
 def test_a_query_waits_and_starts_with_the_time_it_has_left():
-    site = Site()
+    site = LocalCluster()
     waiting = site.crowd()
     assert waiting
     site.clock.advance(0.3)
@@ -49,7 +49,7 @@
 
 
 def test_what_a_glance_lets_in_is_started():
-    site = Site()
+    site = LocalCluster()
     site.crowd()
     for _ in range(3):  # ends one after the other, so that the door knows its pace
         site.clock.advance(0.5)
@@ -65,7 +65,7 @@
 
 
 def test_a_glance_refuses_only_what_has_no_chance_and_leaves_nothing_behind():
-    site = Site()
+    site = LocalCluster()
     site.crowd()
     for _ in range(3):
         site.clock.advance(0.5)
@@ -81,7 +81,7 @@
 
 
 def test_the_modules_refusal_leaves_with_the_doors_wait():
-    site = Site()
+    site = LocalCluster()
     site.ask("q", mark=3)
     site.end("q", PgError(REFUSED, "no", "retry_after_ms=900"))
     (answer,) = site.heard["q"]
@@ -89,7 +89,7 @@
 
 
 def test_who_leaves_hears_once_and_frees_the_line():
-    site = Site()
+    site = LocalCluster()
     site.crowd()
     entry = site.ask("leaver", remaining=60_000.0)
     site.gate.leave(entry, lambda running: None)
@@ -99,7 +99,7 @@
 
 
 def test_the_end_of_the_router_is_told_to_all_who_wait():
-    site = Site()
+    site = LocalCluster()
     waiting = site.crowd()
     site.gate.close(PgError("57P01", "over"))
     assert all(site.heard[name][0].state == "57P01" for name in waiting)
@@ -107,7 +107,7 @@
 
 
 def test_a_line_that_is_late_is_answered_at_its_moment():
-    site = Site()
+    site = LocalCluster()
     site.crowd()
     site.ask("hurried", remaining=200.0)
     assert "hurried" not in site.heard
@@ -117,7 +117,7 @@
 
 def test_with_the_door_off_everyone_goes_straight_in():
     clock, started = Clock(), []
-    gate = Gate(clock, None)
+    gate = AdmissionController(clock, None)
     for _ in range(100):
         gate.enter(
             ASKER, 0, 1, 100.0, lambda left, done: started.append(left), lambda outcome: None
--- a/tests/admission/test_policy.py
+++ b/tests/admission/test_policy.py
@@ -64,10 +64,10 @@
 
     def load(self, seconds, rates, seed=1, **more):
         """Open load: queries a second of each tenant."""
-        chance, began = random.Random(seed), self.now
+        rng, began = random.Random(seed), self.now
         while self.now < began + seconds * 1000:
             for tenant, rate in rates.items():
-                for _ in range(int(rate * 0.01) + (chance.random() < rate * 0.01 % 1)):
+                for _ in range(int(rate * 0.01) + (rng.random() < rate * 0.01 % 1)):
                     self.ask(tenant, **more)
             self.run(self.now + 10)
         return self
@@ -97,10 +97,10 @@
 
 def test_shares_follow_weights():
     world = World()
-    chance = random.Random(2)
+    rng = random.Random(2)
     while world.now < 8000:
         for tenant, weight in (("a", 1.0), ("b", 3.0)):
-            for _ in range(chance.randrange(10)):
+            for _ in range(rng.randrange(10)):
                 world.ask(tenant, limits=Limits(weight=weight))
         world.run(world.now + 10)
     assert world.got("b") / world.got("a") == pytest.approx(3.0, rel=0.2)
@@ -130,9 +130,9 @@
     world = World().load(1, {"a": 500})
     counts = {"few": 0, "many": 0}
     before = len(world.admitted)
-    chance, who = random.Random(3), {}
+    rng, who = random.Random(3), {}
     while world.now < 7000:
-        for _ in range(chance.randrange(3)):
+        for _ in range(rng.randrange(3)):
             who[world.ask("a", client="few")] = "few"
         for i in range(8):
             who[world.ask("a", client="many", mark=world.ids * 100 + i)] = "many"
@@ -145,7 +145,7 @@
 
 def test_cost_guessed_wrong_by_ten_is_corrected():
     world = World(slots=10, work=10.0)
-    chance = random.Random(4)
+    rng = random.Random(4)
     slow = {}
     world_start = world._start
 
@@ -158,7 +158,7 @@
     assert world_start
     while world.now < 8000:
         for tenant in "ab":
-            for _ in range(chance.randrange(12)):
+            for _ in range(rng.randrange(12)):
                 world.ids_next = world.ids + 1
                 slow[world.ids_next] = tenant == "b"
                 world.ask(tenant, statement=ord(tenant))
@@ -254,11 +254,11 @@
 
 def test_a_new_name_for_each_query_leaves_old_tenants_their_part():
     world = World(tenants=64, queries=300)
-    chance = random.Random(5)
+    rng = random.Random(5)
     while world.now < 6000:
         for i in range(20):
             world.ask(f"made-up-{world.ids}-{i}")
-        if chance.random() < 0.4:
+        if rng.random() < 0.4:
             world.ask("honest", limits=Limits(min_share=0.3))
         world.run(world.now + 10)
     asked = sum(t == "honest" for t in world.tenant_of.values())
--- a/tests/admission/test_turns.py
+++ b/tests/admission/test_reader_scheduler.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from tansycrank.admission.turns import SLICE, Turns
+from tansycrank.admission.reader_scheduler import SLICE, Turns
 
 
 class Reactor:
--- a/tests/admission/test_simulated.py
+++ b/tests/admission/test_simulated.py
@@ -1,7 +1,7 @@
 """Door, coordinator and module together in simulated time: the same run every time."""
 
 from tansycrank.admission.policy import Limits
-from tansycrank.testbed.doorlab import Load, Play, Scene, jain
+from tansycrank.testbed.admission_emulator import Load, Play, Scene, jain
 from tansycrank.testbed.simulated import SimClock
 
 SITE = {"nodes": 6, "shards": 6, "slots": 2, "seed": 3}
--- a/tests/e2e/conftest.py
+++ b/tests/e2e/conftest.py
@@ -4,14 +4,14 @@
 
 from tansycrank import config
 from tansycrank.testbed.engine import Engine
-from tansycrank.testbed.site import Layout, Site, settings_text
+from tansycrank.testbed.local_cluster import Layout, LocalCluster, settings_text
 
 LAYOUT = Layout(nodes=6, shards=6, scale=0.25, nature={"work_ms": 1.0})
 
 
 @pytest.fixture(scope="session")
 def site():
-    with Site(LAYOUT) as running:
+    with LocalCluster(LAYOUT) as running:
         running.wait_ready()
         yield running
 
--- a/tests/e2e/test_door.py
+++ b/tests/e2e/test_admission.py
@@ -9,8 +9,8 @@
 import psycopg
 import pytest
 
-from tansycrank.testbed.site import TENANT_RULES as RULES
-from tansycrank.testbed.site import Layout, Site
+from tansycrank.testbed.local_cluster import TENANT_RULES as RULES
+from tansycrank.testbed.local_cluster import Layout, LocalCluster
 
 NATURE = {"cores": 1, "work_ms": 60.0, "cached": True}
 DISTRICT = "Quan 1"
@@ -19,7 +19,7 @@
 @pytest.fixture(scope="module")
 def slow():
     """A site that does about fifty parts a second."""
-    with Site(Layout(nodes=3, shards=3, nature=NATURE, rules_more=RULES)) as running:
+    with LocalCluster(Layout(nodes=3, shards=3, nature=NATURE, rules_more=RULES)) as running:
         running.wait_ready()
         yield running
 
@@ -170,14 +170,16 @@
 
 
 def test_networks_that_may_not_enter_hear_so():
-    with Site(Layout(nodes=3, shards=3, rules_more="[door]\ndeny = 127.0.0.0/8\n")) as site:
+    with LocalCluster(Layout(nodes=3, shards=3, rules_more="[door]\ndeny = 127.0.0.0/8\n")) as site:
         with pytest.raises(psycopg.OperationalError) as problem:
             connect(site)
         assert "no entry for 127.0.0.1" in str(problem.value)
 
 
 def test_others_than_operators_see_and_change_nothing():
-    with Site(Layout(nodes=3, shards=3, rules_more="[door]\noperators = 10.0.0.0/8\n")) as site:
+    with LocalCluster(
+        Layout(nodes=3, shards=3, rules_more="[door]\noperators = 10.0.0.0/8\n")
+    ) as site:
         site.wait_ready()
         with connect(site) as link:
             for sql in ("SHOW tansycrank.tenants", "SET tansycrank.limits = 'a weight=2'"):
@@ -186,7 +188,7 @@
 
 
 def test_a_restart_with_a_full_line_answers_everyone():
-    with Site(Layout(nodes=3, shards=3, nature=NATURE, rules_more=RULES)) as site:
+    with LocalCluster(Layout(nodes=3, shards=3, nature=NATURE, rules_more=RULES)) as site:
         site.wait_ready()
         heard = []
         threads = flood(site, "t_flood", 30, 2.0, heard)
--- a/tests/e2e/test_hard_cases.py
+++ b/tests/e2e/test_hard_cases.py
@@ -10,8 +10,8 @@
 
 from tansycrank.clock import monotonic_ms
 from tansycrank.postgres import messages as pg
-from tansycrank.testbed.hammer import READY, dial
-from tansycrank.testbed.model import Faults
+from tansycrank.testbed.load_generator import READY, dial
+from tansycrank.testbed.reference_model import Faults
 
 CLEAN = {
     "slow": 1.0,
--- a/tests/e2e/test_large.py
+++ b/tests/e2e/test_large.py
@@ -10,9 +10,9 @@
 import pytest
 
 from tansycrank.postgres import messages as pg
-from tansycrank.testbed.bulk import GROUP_BASE, value_of
-from tansycrank.testbed.bulksite import BulkLayout, BulkSite, Checker, ask, skewed
-from tansycrank.testbed.hammer import dial
+from tansycrank.testbed.bulk_cluster import BulkCluster, BulkLayout, Checker, ask, skewed
+from tansycrank.testbed.bulk_data import GROUP_BASE, value_of
+from tansycrank.testbed.load_generator import dial
 from tansycrank.testbed.measures import memory
 
 MIB = 1 << 20
@@ -27,7 +27,7 @@
 
 @pytest.fixture(scope="module")
 def bulk():
-    with BulkSite(LAYOUT) as running:
+    with BulkCluster(LAYOUT) as running:
         yield running
 
 
@@ -205,7 +205,7 @@
 
 def test_a_replica_lost_amid_its_rows_is_an_honest_error():
     layout = BulkLayout(rows=[200_000, 20_000], groups=1000, die_after={0: 90_000})
-    with BulkSite(layout) as site:
+    with BulkCluster(layout) as site:
         seen = []
         heard = ask(site.port, "SELECT id, g, v FROM bulk ORDER BY id", seen.append)
         assert heard.error.startswith("58T02") and 0 < heard.rows < 220_000
@@ -221,13 +221,13 @@
 
 def test_one_row_of_fifty_megabytes():
     layout = BulkLayout(rows=[1, 1], groups=10, pad=50 * MIB, more="max_row_bytes = 60000000")
-    with BulkSite(layout) as site:
+    with BulkCluster(layout) as site:
         heard = ask(site.port, "SELECT id, pad FROM bulk")
         assert heard.error == "" and heard.rows == 2
         heard = ask(site.port, "SELECT id FROM bulk ORDER BY id")
         assert heard.error == "" and heard.rows == 2
     layout.more = "max_row_bytes = 1000000"
-    with BulkSite(layout) as site:
+    with BulkCluster(layout) as site:
         assert ask(site.port, "SELECT id, pad FROM bulk").error != ""
         assert ask(site.port, "SELECT id FROM bulk").rows == 2
 
@@ -236,12 +236,12 @@
     layout = BulkLayout(
         rows=skewed(400_000), groups=400_000, process=16 * MIB, query=2 * MIB, quota=300_000
     )
-    with BulkSite(layout) as site:
+    with BulkCluster(layout) as site:
         heard = ask(site.port, "SELECT DISTINCT g, v FROM bulk")
         assert heard.error.startswith("53100")
         assert ask(site.port, "SELECT id, g, v FROM bulk").error == ""
     layout.quota = 1 << 30
-    with BulkSite(layout) as site:
+    with BulkCluster(layout) as site:
         link = dial(site.port)
         link.sendall(pg.query("SELECT DISTINCT g, v FROM bulk"))
         time.sleep(1.0)
--- a/tests/e2e/test_many_clients.py
+++ b/tests/e2e/test_many_clients.py
@@ -56,9 +56,9 @@
 
 
 async def _play(kind, asked, number, heard, ask):
-    chance = random.Random(f"{kind}{number}")
-    await asyncio.sleep(chance.random())
-    left, question, tries = EACH, chance.choice(asked), 0
+    rng = random.Random(f"{kind}{number}")
+    await asyncio.sleep(rng.random())
+    left, question, tries = EACH, rng.choice(asked), 0
     while left and tries < TRIES:
         began, stood = time.monotonic(), STOOD[0]
         try:
@@ -70,8 +70,8 @@
         if outcome == "53T01":
             tries += 1
         else:
-            left, question, tries = left - 1, chance.choice(asked), 0
-        await asyncio.sleep(chance.random() * 0.3 * (1 + tries))
+            left, question, tries = left - 1, rng.choice(asked), 0
+        await asyncio.sleep(rng.random() * 0.3 * (1 + tries))
 
 
 async def _psycopg(site, asked, number, heard):
--- a/tests/e2e/test_random_statements.py
+++ b/tests/e2e/test_random_statements.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tansycrank.testbed.engine import DISTRICTS
-from tansycrank.testbed.site import Layout, Site
+from tansycrank.testbed.local_cluster import Layout, LocalCluster
 
 # the data of `conftest.reference`
 LAYOUT = Layout(nodes=6, shards=6, scale=0.25, nature={"work_ms": 1.0})
@@ -21,7 +21,7 @@
 @pytest.fixture(scope="module")
 def site():
     """A site of its own: other tests write to theirs."""
-    with Site(LAYOUT) as running:
+    with LocalCluster(LAYOUT) as running:
         running.wait_ready()
         yield running
 
@@ -49,72 +49,67 @@
 ]
 
 
-def condition(chance):
+def condition(rng):
     kinds = [
-        lambda: f"fare {chance.choice(['<', '>', '<=', '>='])} {chance.randint(10, 900)}",
-        lambda: f"stars = {chance.randint(0, 6)}",
+        lambda: f"fare {rng.choice(['<', '>', '<=', '>='])} {rng.randint(10, 900)}",
+        lambda: f"stars = {rng.randint(0, 6)}",
         lambda: (
-            f"note {chance.choice(['IS NULL', 'IS NOT NULL', '> ' + chr(39) + 'Ghi chú 3' + chr(39)])}"
+            f"note {rng.choice(['IS NULL', 'IS NOT NULL', '> ' + chr(39) + 'Ghi chú 3' + chr(39)])}"
         ),
         lambda: (
-            f"district IN ({', '.join(repr(d) for d in chance.sample(DISTRICTS, chance.randint(1, 5)))})"
+            f"district IN ({', '.join(repr(d) for d in rng.sample(DISTRICTS, rng.randint(1, 5)))})"
         ),
-        lambda: f"district = '{chance.choice(DISTRICTS)}'",
-        lambda: f"id BETWEEN {chance.randint(0, 3000)} AND {chance.randint(3000, 6000)}",
-        lambda: f"(paid OR stars < {chance.randint(1, 5)})",
+        lambda: f"district = '{rng.choice(DISTRICTS)}'",
+        lambda: f"id BETWEEN {rng.randint(0, 3000)} AND {rng.randint(3000, 6000)}",
+        lambda: f"(paid OR stars < {rng.randint(1, 5)})",
         lambda: "NOT paid",
-        lambda: f"day > '2026-01-{chance.randint(10, 28)}'",
+        lambda: f"day > '2026-01-{rng.randint(10, 28)}'",
     ]
-    terms = [chance.choice(kinds)() for _ in range(chance.randint(0, 3))]
+    terms = [rng.choice(kinds)() for _ in range(rng.randint(0, 3))]
     return f" WHERE {' AND '.join(terms)}" if terms else ""
 
 
-def direction(chance):
-    return chance.choice(["", " DESC", " NULLS FIRST", " DESC NULLS LAST", " ASC"])
+def direction(rng):
+    return rng.choice(["", " DESC", " NULLS FIRST", " DESC NULLS LAST", " ASC"])
 
 
-def bounds(chance):
-    limit = f" LIMIT {chance.randint(0, 40)}" if chance.random() < 0.6 else ""
-    return limit + (f" OFFSET {chance.randint(0, 15)}" if chance.random() < 0.4 else "")
+def bounds(rng):
+    limit = f" LIMIT {rng.randint(0, 40)}" if rng.random() < 0.6 else ""
+    return limit + (f" OFFSET {rng.randint(0, 15)}" if rng.random() < 0.4 else "")
 
 
 def statement(seed):
     """(sql, whether the order of its rows is full)."""
-    chance = random.Random(seed)
-    where, kind = condition(chance), chance.choice(["rows", "groups", "whole", "distinct", "join"])
+    rng = random.Random(seed)
+    where, kind = condition(rng), rng.choice(["rows", "groups", "whole", "distinct", "join"])
     if kind == "rows":
-        columns = chance.sample(ORDERED, chance.randint(1, 4))
-        keys = chance.sample(ORDERED, chance.randint(0, 2))
-        order = ", ".join(
-            [k + direction(chance) for k in keys] + ["id" + chance.choice(["", " DESC"])]
-        )
-        return (
-            f"SELECT {', '.join(columns)} FROM trips{where} ORDER BY {order}{bounds(chance)}",
-            True,
-        )
+        columns = rng.sample(ORDERED, rng.randint(1, 4))
+        keys = rng.sample(ORDERED, rng.randint(0, 2))
+        order = ", ".join([k + direction(rng) for k in keys] + ["id" + rng.choice(["", " DESC"])])
+        return f"SELECT {', '.join(columns)} FROM trips{where} ORDER BY {order}{bounds(rng)}", True
     if kind == "whole":
         return (
-            f"SELECT {', '.join(chance.sample(AGGREGATES, chance.randint(1, 4)))} FROM trips{where}",
+            f"SELECT {', '.join(rng.sample(AGGREGATES, rng.randint(1, 4)))} FROM trips{where}",
             True,
         )
     if kind == "groups":
-        by = chance.sample(["stars", "note", "paid", "day", "district"], chance.randint(1, 2))
-        wanted = chance.sample(AGGREGATES, chance.randint(1, 3))
-        having = f" HAVING count(*) > {chance.randint(1, 30)}" if chance.random() < 0.4 else ""
-        order = ", ".join(f"{n + 1}{direction(chance)}" for n in range(len(by)))
+        by = rng.sample(["stars", "note", "paid", "day", "district"], rng.randint(1, 2))
+        wanted = rng.sample(AGGREGATES, rng.randint(1, 3))
+        having = f" HAVING count(*) > {rng.randint(1, 30)}" if rng.random() < 0.4 else ""
+        order = ", ".join(f"{n + 1}{direction(rng)}" for n in range(len(by)))
         return (
             f"SELECT {', '.join(by + wanted)} FROM trips{where} GROUP BY {', '.join(by)}{having} "
-            f"ORDER BY {order}{bounds(chance)}"
+            f"ORDER BY {order}{bounds(rng)}"
         ), True
     if kind == "distinct":
-        columns = chance.sample(["stars", "note", "paid", "day", "district"], chance.randint(1, 3))
-        order = ", ".join(f"{n + 1}{direction(chance)}" for n in range(len(columns)))
+        columns = rng.sample(["stars", "note", "paid", "day", "district"], rng.randint(1, 3))
+        order = ", ".join(f"{n + 1}{direction(rng)}" for n in range(len(columns)))
         text = f"SELECT DISTINCT {', '.join(columns)} FROM trips{where}"
-        return f"{text} ORDER BY {order}{bounds(chance)}", True
-    side = chance.choice(["JOIN", "LEFT JOIN"])
+        return f"{text} ORDER BY {order}{bounds(rng)}", True
+    side = rng.choice(["JOIN", "LEFT JOIN"])
     return (
         f"SELECT t.id, c.plate, z.base_fare FROM trips t {side} cabs c ON c.district = t.district AND "
-        f"c.id = t.cab_id JOIN zones z ON z.district = t.district ORDER BY t.id{bounds(chance)}"
+        f"c.id = t.cab_id JOIN zones z ON z.district = t.district ORDER BY t.id{bounds(rng)}"
     ), True
 
 
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -6,7 +6,7 @@
 from tansycrank import config
 from tansycrank.merge.rows import Result
 from tansycrank.postgres import messages as pg
-from tansycrank.postgres.server import FrontFactory
+from tansycrank.postgres.server import PostgresServerFactory
 from tansycrank.sql.planner import Planner
 from tansycrank.sql_router.service import Running, Service
 
@@ -58,7 +58,7 @@
         more = "\n".join(f"{k} = {v}" for k, v in listen.items())
         found = config.parse(f"{text}\n[listen]\n{more}\n")
         self.clock, self.core = Clock(), Core(found)
-        self.factory = FrontFactory(self.core, found.listen, self.clock, 1)
+        self.factory = PostgresServerFactory(self.core, found.listen, self.clock, 1)
         self.session, self.transport = self.connect()
 
     def connect(self):
--- a/tests/http_router/real.py
+++ b/tests/http_router/real.py
@@ -130,7 +130,7 @@
         return [(f[3], f[4].partition(":")[0]) for f in lines if f[2].endswith(f":{self.port:04X}")]
 
 
-class Discovery:
+class DiscoveryClient:
     """Accepts watches and says what it is told to."""
 
     def __init__(self):
@@ -163,7 +163,7 @@
         ready=True,
         environment=None,
     ):
-        self.nodes, self.discovery, self.cells = nodes, Discovery(), cells
+        self.nodes, self.discovery, self.cells = nodes, DiscoveryClient(), cells
         self.reserved = ReservedPort()
         self.port = self.reserved.number
         settings = json.loads(json.dumps(TOLD))
@@ -202,7 +202,7 @@
         if ready:
             self.discovery.watch()
             self.discovery.say(5)
-            self.logged("ready")
+            self.logged("became_ready")
 
     def _read_log(self):
         for line in self.process.stderr:
--- a/tests/http_router/test_crossings.py
+++ b/tests/http_router/test_crossings.py
@@ -113,7 +113,7 @@
     client = program.client(big("gone", *range(9)))
     until(lambda: node.blocked, "a full socket")
     leave(client, how)
-    program.logged("a frame its node does not take")
+    program.logged("frame_send_stalled")
     node.wakes.set()
     served(program)
     [ids] = program.ended()
@@ -173,7 +173,7 @@
         node, told={"services": {"aim": 2000.0}}
     )  # new connections for 0.6 s, 2.6 s in all
     program.signal(signal.SIGTERM)
-    program.logged("stopping")
+    program.logged("shutdown_started")
     program.halt()
     client = program.client(post(id="late", deadline=1900))
     time.sleep(0.8)  # the port is due to close
@@ -276,7 +276,7 @@
     program.turned()
     if end == "drain":
         program.discovery.say(6, program.entry(1, "terminating"))
-        program.logged("a frame its node does not take")
+        program.logged("frame_send_stalled")
         client.close()
     else:
         leave(client, end)
@@ -346,17 +346,17 @@
     for number in (signal.SIGTERM, signal.SIGTERM, signal.SIGHUP):
         program.signal(number)
         program.turned()
-    program.logged("stopping")
+    program.logged("shutdown_started")
     connection.sendall(answer("open.0"))
     assert read_answer(client)[0] == 200
     assert program.process.wait(30) == 0
-    assert program.said("stopping") == 1
+    assert program.said("shutdown_started") == 1
 
 
 @pytest.mark.parametrize("pushed", [True, False], ids=["pushed", "asked"])
 def test_sigterm_before_the_first_list_ends_the_start(start, pushed):
     program = start(Node(), told={"discovery": "push" if pushed else "ask"}, ready=False)
-    program.logged("started")
+    program.logged("process_started")
     program.signal(signal.SIGTERM)
     assert program.process.wait(30) == 0
 
@@ -367,7 +367,7 @@
     client = program.client(post(id="open", deadline=1900))
     connection = node.got("open.0")
     program.signal(signal.SIGTERM)
-    program.logged("stopping")
+    program.logged("shutdown_started")
     time.sleep(0.8)  # from here on each connection closes with its answer
     program.halt()
     connection.sendall(answer("open.0"))
--- a/tests/http_router/test_discovery.py
+++ b/tests/http_router/test_discovery.py
@@ -10,7 +10,7 @@
 
 from tansycrank import routing
 from tansycrank.http_router import settings as configuration
-from tansycrank.http_router.names import FORGET, Names
+from tansycrank.http_router.endpoint_directory import FORGET, EndpointDirectory
 from tansycrank.http_router.settings import Entry, Listing
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -138,7 +138,7 @@
 
 
 def test_numbers_are_kept_while_a_node_may_come_back_and_forgotten_after():
-    names = Names(("a", "b"))
+    names = EndpointDirectory(("a", "b"))
 
     def heard(now, *entries):
         listing = msgspec.convert({"version": 1, "servers": list(entries)}, Listing)
@@ -399,7 +399,7 @@
 @pytest.mark.parametrize("apart", [0.0, 3_600_000.0, -3_600_000.0])
 def test_cold_nodes_stay_cold_and_a_restart_is_a_changed_start_whatever_the_wall_clock_says(apart):
     """`apart`: ms by which the nodes' clock differs from anything this process could read."""
-    names, nodes_clock = Names(("a", "b")), 1_700_000_000_000.0 + apart
+    names, nodes_clock = EndpointDirectory(("a", "b")), 1_700_000_000_000.0 + apart
 
     def told(kind, now, version, **starts):
         servers = [
--- a/tests/http_router/test_failing_calls.py
+++ b/tests/http_router/test_failing_calls.py
@@ -14,7 +14,7 @@
 from real import Node, Program, read_answer
 
 from tansycrank.http_router import settings as configuration
-from tansycrank.testbed.preload import CallFailure, FailingCalls
+from tansycrank.testbed.interposer import CallFailure, FailingCalls
 
 DEADLINE = 1500  # ms that a client waits
 SLACK = 0.5  # s after its time in which a late answer only earns nothing
--- a/tests/http_router/test_given_up.py
+++ b/tests/http_router/test_given_up.py
@@ -7,7 +7,7 @@
 import pytest
 from live import Live, answer, entry, post, status
 
-from tansycrank.http_router.given_up_log import LINES_A_SECOND
+from tansycrank.http_router.failure_log import LINES_A_SECOND
 from tansycrank.routing import FailureReason
 
 
@@ -23,7 +23,7 @@
     return [
         (event["request"], event["answer"], event["reason"], event["history"])
         for event in events
-        if event["event"] == "given up"
+        if event["event"] == "query_rejected_or_failed"
     ]
 
 
@@ -62,7 +62,7 @@
     live.ask(post(path="/book", deadline=2000))
     live.sent()
     live.daemon.coordinator.loop.stop()
-    live.daemon.coordinator.loop.hear = lambda *events: None
+    live.daemon.coordinator.loop.handle = lambda *events: None
     live.run(live.daemon.settings.stop_within / 1000 - 1.0 + 0.1)
 
 
--- a/tests/http_router/test_node_links.py
+++ b/tests/http_router/test_node_connections.py
@@ -41,7 +41,7 @@
                 0,
                 b"text",
                 time_out,
-                self.hear(id),
+                self.handle(id),
                 self.lives.attempt(self.reactor.seconds() * 1000, endpoint, time_out, leave_within),
                 connect_within,
                 b"",
@@ -52,7 +52,7 @@
         self.pool.flush()
         return sendings
 
-    def hear(self, id):
+    def handle(self, id):
         return lambda outcome, value, load: self.ends.setdefault(id, []).append(
             (outcome, value, load)
         )
@@ -386,7 +386,7 @@
     """Danger: told to go, and the connection comes up 250 ms later with the part."""
     node = Node()
     node.send("a.1")
-    node.pool.hold_back(1)
+    node.pool.revoke_unsent(1)
     assert outcomes(node) == {"a.1": [Outcome.NOT_SENT]}
     assert not node.peers[0].accept().calls()
 
@@ -403,7 +403,7 @@
     peer = stuck(node, "a.1")
     b, c = node.send("b.1")[0], node.send("c.1")[0]
     assert [id for id, *_ in peer.calls()] == ["a.1"]
-    node.pool.withdraw(b)
+    node.pool.revoke(b)
     assert outcomes(node)["b.1"] == [Outcome.NOT_SENT] and not c.ended
     peer.transport.stuck = False
     peer.protocol.resumeProducing()
@@ -417,11 +417,11 @@
     peer = stuck(node, "a.1", "a.2")
     sending = peer.protocol.out[b"a.1"]
     if end == "withdraw":
-        node.pool.withdraw(sending)
+        node.pool.revoke(sending)
     elif end == "cancel":
         node.pool.cancel(sending)
     elif end == "drain":
-        node.pool.hold_back(1)
+        node.pool.revoke_unsent(1)
     else:
         node.reactor.advance(1.0)
     assert end == "time out" or not peer.transport.over
@@ -435,7 +435,7 @@
 def test_a_frame_that_goes_after_all_keeps_its_link():
     node = Node()
     peer = stuck(node, "a.1", "a.2")
-    node.pool.withdraw(peer.protocol.out[b"a.1"])
+    node.pool.revoke(peer.protocol.out[b"a.1"])
     peer.transport.stuck = False
     peer.protocol.resumeProducing()
     node.reactor.advance(0.2)
--- a/tests/http_router/test_program.py
+++ b/tests/http_router/test_program.py
@@ -53,7 +53,7 @@
             connection.sendall(answer(id, value=f"value of {shard}"))
 
 
-class Discovery:
+class DiscoveryClient:
     def __init__(self):
         self.listening, self.port = listener()
         self.asked = threading.Event()
@@ -73,7 +73,7 @@
 def program(tmp_path):
     nodes, node_port = listener()
     serve(nodes, node)
-    first = Discovery()
+    first = DiscoveryClient()
     reserved = ReservedPort()
     port = reserved.number
     path = tmp_path / "config.json"
@@ -125,7 +125,7 @@
     assert status == 200 and found["complete"] is True
     assert {hit["shard"]: hit["doc"] for hit in found["hits"]} == {1: "value of 1", 5: "value of 5"}
     assert ask(program, b"{}")[0] == 400 and ask(program, b"x" * 200_000)[0] == 413
-    second = Discovery()
+    second = DiscoveryClient()
     program.write(second)
     program.send_signal(signal.SIGHUP)
     assert second.asked.wait(10) and second.request.startswith(b"GET /api/targets?watch=1&after=4 ")
--- a/tests/http_router/test_size.py
+++ b/tests/http_router/test_size.py
@@ -97,8 +97,8 @@
     live.run(0)
     told = [one for one in logged(caplog) if "list" in one["event"] or "address" in one["event"]]
     assert [one["event"] for one in told] == [
-        "a list with what the protocol does not name",
-        "nodes without a usable address",
+        "unknown_endpoint_list_content_received",
+        "endpoint_addresses_rejected",
     ]
     assert told[0]["unknown_states"].startswith("300, 'on_holiday'")
     assert told[0]["named_twice"].startswith("300")
@@ -127,9 +127,7 @@
     live.watch.say(line(9, full=True))
     live.run(0)
     assert served(live, "q1", range(0, 3 * SIZE, 97)) == 200
-    assert [one["event"] for one in logged(caplog)].count(
-        "a list of no nodes is asked for again"
-    ) == 1
+    assert [one["event"] for one in logged(caplog)].count("empty_endpoint_list_received") == 1
     again = live.discovery[1].accept()
     assert again.transport.take().startswith(b"GET /api/targets HTTP/1.1")
     data = json.dumps({"version": 9, "full": True, "servers": []}).encode()
--- a/tests/http_router/test_wall_clock.py
+++ b/tests/http_router/test_wall_clock.py
@@ -8,7 +8,7 @@
 from live import entry, post
 from real import Node, Program, read_answer
 
-from tansycrank.testbed.preload import WallClock
+from tansycrank.testbed.interposer import WallClock
 
 HOUR = 3600.0
 STEPS = {
@@ -107,4 +107,4 @@
     answers = [read_answer(program.client(post(id=f"cold{number}")))[0] for number in range(30)]
     assert answers == [200] * 30
     program.process.kill()
-    assert program.said("the decision module failed") == 0
+    assert program.said("policy_failed") == 0
--- a/tests/recorded_streams.py
+++ b/tests/recorded_streams.py
@@ -166,7 +166,7 @@
     made.restart(cold)
     made.tell(cold)
     for number in range(12):
-        made.hear(number, routing.EndpointListUpdate(routing.EndpointListKind.FAILED))
+        made.handle(number, routing.EndpointListUpdate(routing.EndpointListKind.FAILED))
     made.run(6000.0)
     made.start([1])
     made.run(11_000.0)
--- a/tests/test_edge_forms.py
+++ b/tests/test_edge_forms.py
@@ -13,8 +13,8 @@
 import pytest
 
 from tansycrank import config, simulator_protocol
-from tansycrank.discovery import view
-from tansycrank.http_router import discovery, frames, request, settings
+from tansycrank.discovery import endpoint_view
+from tansycrank.http_router import discovery_client, frames, request_codec, settings
 from tansycrank.merge.spill import SpillSpace
 from tansycrank.postgres import errors
 
@@ -92,12 +92,14 @@
 
 
 def test_answers_to_http_clients_keep_their_bytes():
-    assert request.reply(503, b"{}", True, *request.wait(150.0)) == (
+    assert request_codec.reply(503, b"{}", True, *request_codec.wait(150.0)) == (
         b"HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nContent-Length: 2\r\n"
         b"Retry-After: 0.150\r\nConnection: close\r\n\r\n{}"
     )
-    assert request.hits(True, [(3, "v")]) == b'{"complete":true,"hits":[{"shard":3,"doc":"v"}]}'
-    assert request.words("why") == b'{"error":"why"}'
+    assert (
+        request_codec.hits(True, [(3, "v")]) == b'{"complete":true,"hits":[{"shard":3,"doc":"v"}]}'
+    )
+    assert request_codec.words("why") == b'{"error":"why"}'
 
 
 def test_queries_of_http_clients_keep_their_fields():
@@ -108,7 +110,7 @@
         b"idempotency-key": b"k~1",
     }
     body = b'{"shards":[{"shard":1,"weight":1.0,"cost":2,"key":"00000000000000ff"}],"q":"t"}'
-    read = request.read(b"/look", b"obj=00000000000000aa", headers, body, {"look": 0}, 4)
+    read = request_codec.read(b"/look", b"obj=00000000000000aa", headers, body, {"look": 0}, 4)
     assert (read.id, read.deadline, read.repeat, read.key) == (b"id-1", 900.0, True, 0xAA)
 
 
@@ -117,13 +119,13 @@
     "cell":2,"weight":0.5,"started_ms":8.0}]}"""
     read = msgspec.json.decode(told, type=settings.Listing)
     assert msgspec.json.decode(msgspec.json.encode(read)) == msgspec.json.decode(told)
-    assert "/api/targets?watch=1&after=" in Path(discovery.__file__).read_text()
+    assert "/api/targets?watch=1&after=" in Path(discovery_client.__file__).read_text()
 
 
 def test_lines_of_the_feed_keep_their_fields():
     told = b"""{"kind":"changes","version":3,"epoch":9,"nodes":[{"id":1,"host":"h","port":7,"cell":2,"zone":"z",
     "status":"draining","started":8.0}]}"""
-    read = msgspec.json.decode(told, type=view.FeedLine)
+    read = msgspec.json.decode(told, type=endpoint_view.FeedLine)
     assert msgspec.json.decode(msgspec.json.encode(read)) == msgspec.json.decode(told)
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -97,7 +97,7 @@
     made.watches.clear()
     for wave in range(6):
         for number in made.routers:
-            made.hear(number, routing.EndpointListUpdate(routing.EndpointListKind.FAILED))
+            made.handle(number, routing.EndpointListUpdate(routing.EndpointListKind.FAILED))
         made.run(made.now + 3000.0)
         times = sorted(time for time, _ in made.watches)
         made.watches.clear()
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -8,7 +8,7 @@
 
 from tansycrank.merge import governor as gov
 from tansycrank.merge import operators as op
-from tansycrank.merge.blocks import Keeper, PartStream, frames_of
+from tansycrank.merge.blocks import Keeper, ShardRowStream, frames_of
 from tansycrank.merge.pipeline import build
 from tansycrank.merge.spill import SpillSpace
 from tansycrank.merge.work import RowStream, Worker
@@ -49,7 +49,7 @@
 
 
 def part(memory, rows, fields=FIELDS, cut=7):
-    stream = PartStream(memory)
+    stream = ShardRowStream(memory)
     stream.fields = fields
     for start in range(0, len(rows), cut):
         some = rows[start : start + cut]
@@ -168,7 +168,7 @@
 
 def test_a_limit_closes_the_parts_it_no_longer_needs(keeper):
     memory, closed = keeper.open(True), []
-    streams = [PartStream(memory) for _ in range(2)]
+    streams = [ShardRowStream(memory) for _ in range(2)]
     for stream in streams:
         stream.fields = FIELDS
         stream.on_close = lambda stream=stream: closed.append(stream)
@@ -187,7 +187,7 @@
 
 def test_a_part_that_fails_mid_stream_ends_the_answer_with_its_error(keeper):
     memory = keeper.open(True)
-    stream = PartStream(memory)
+    stream = ShardRowStream(memory)
     stream.fields = FIELDS
     stream.add(row(1, "x"), 1)
     calls = []
@@ -225,7 +225,7 @@
 
 def test_a_large_streaming_query_holds_its_nodes_back_and_lets_them_go_on(keeper):
     memory, held = keeper.open(True), []
-    stream = PartStream(memory)
+    stream = ShardRowStream(memory)
     stream.hold = held.append
     memory.on_began = lambda s: setattr(s, "committed", True)
     while not held:
@@ -239,7 +239,7 @@
 
 def test_a_large_gathering_query_spills_and_reads_back_in_order(keeper, space):
     memory = keeper.open(False)
-    stream = PartStream(memory)
+    stream = ShardRowStream(memory)
     blocks = [row(n, "x" * 50_000) for n in range(200)]
     for block in blocks:
         stream.add(block, 1)
@@ -258,7 +258,7 @@
     keeper = Keeper(16 * MIB, 8 * MIB, space, lambda: 0.0)
     memory = keeper.open(False)
     with pytest.raises(PgError) as problem:
-        stream = PartStream(memory)
+        stream = ShardRowStream(memory)
         for _ in range(400):
             stream.add(data_row([os.urandom(50_000)]), 1)
     assert problem.value.state == "53100"
--- a/tests/test_links.py
+++ b/tests/test_sql_node_connection.py
@@ -5,17 +5,17 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from tansycrank.config import StoreSection
-from tansycrank.merge.blocks import Keeper, PartStream
+from tansycrank.merge.blocks import Keeper, ShardRowStream
 from tansycrank.merge.spill import SpillSpace
 from tansycrank.postgres import messages as pg
 from tansycrank.postgres.errors import PgError
 from tansycrank.routing import Outcome
-from tansycrank.sql_router.links import PartRequest
-from tansycrank.sql_router.pool import Pools
+from tansycrank.sql_router.connection_pool import ConnectionPool
+from tansycrank.sql_router.node_connection import ShardStatement
 
 ADDRESS = ("10.0.0.1", 5432)
 HELLO = pg.AUTHENTICATION_OK + pg.backend_key(7, 99) + pg.ready("I")
-ASK = PartRequest(0, "SELECT 1")
+ASK = ShardStatement(0, "SELECT 1")
 ANSWER = (
     pg.row_description((pg.Field("a", 23),)) + pg.data_row([b"1"]) + pg.command_complete("SELECT 1")
 )
@@ -37,14 +37,14 @@
     def __init__(self, max_row=1 << 20, **store):
         self.reactor = MemoryReactorClock()
         self.keeper = Keeper(1 << 26, 1 << 24, SpillSpace("", 0), lambda: 0.0)
-        self.pools = Pools(self.reactor, StoreSection(**store), {"user": "x"}, max_row)
+        self.pools = ConnectionPool(self.reactor, StoreSection(**store), {"user": "x"}, max_row)
         self.streams = []
         self.lives = Lives()
         self.pools.place(1, *ADDRESS)
         self.ended, self.links = [], []
 
     def send(self, request=ASK, time_out=0.0):
-        stream = PartStream(self.keeper.open(False))
+        stream = ShardRowStream(self.keeper.open(False))
         self.streams.append(stream)
         attempt = self.lives.attempt(self.reactor.seconds() * 1000)
         return self.pools.send(1, request, stream, time_out, self.ended.append, attempt)
@@ -242,7 +242,7 @@
     node = Node()
     sending = node.send()
     link = node.accept()
-    node.streams[0].hold_back(True)
+    node.streams[0].revoke_unsent(True)
     assert link.transport.producerState == "paused"
     node.pools.cancel(sending)
     assert link.transport.producerState == "producing"
@@ -284,13 +284,13 @@
 
 
 def test_a_request_key_goes_before_its_statement():
-    wire = PartRequest(0, "INSERT", key="it's").wire()
+    wire = ShardStatement(0, "INSERT", key="it's").wire()
     assert b"SET LOCAL tansycrank.request_key = 'it''s'" in wire
     assert wire.index(b"SET LOCAL") < wire.index(b"INSERT") and wire.count(pg.SYNC_FRAME) == 1
 
 
 def test_a_link_held_back_by_its_last_block_reads_on_for_the_next_part():
     node, link = ready()
-    node.streams[0].memory.grew = lambda stream, size: node.streams[0].hold_back(True)
+    node.streams[0].memory.grew = lambda stream, size: node.streams[0].revoke_unsent(True)
     link.dataReceived(ANSWER + pg.ready("I"))
     assert node.outcomes == [Outcome.SUCCEEDED] and link.transport.producerState == "producing"
