--- a/Makefile
+++ b/Makefile
@@ -23,6 +23,7 @@
 	$(BIN)/python -m tansycrank.testbed.interposer.stepped $(SEED) $(BIN)/python -m pytest $(FLAGS)
 
 lint: $(VENV)/.installed
+	$(BIN)/ruff format --check .
 	$(BIN)/ruff check .
 	$(BIN)/lint-imports
 
--- a/tansycrank/admission/concurrency_limit.py
+++ b/tansycrank/admission/concurrency_limit.py
@@ -33,7 +33,7 @@
     """How long queries of one statement take: smoothed (the least of means of few would be far too
     short), and at the least."""
 
-    __slots__ = ("mean", "least")
+    __slots__ = ("least", "mean")
 
     def __init__(self) -> None:
         self.mean = self.least = 0.0
--- a/tansycrank/admission/fair_queue.py
+++ b/tansycrank/admission/fair_queue.py
@@ -44,7 +44,7 @@
 class Lane:
     """The line of one class of one client: first come, first served."""
 
-    __slots__ = ("weight", "start", "finish", "burst", "debt", "queued", "line")
+    __slots__ = ("burst", "debt", "finish", "line", "queued", "start", "weight")
 
     def __init__(self, weight: float = 1.0) -> None:
         self.weight, self.start, self.finish, self.burst, self.debt = weight, 0.0, 0.0, 0.0, 0.0
--- a/tansycrank/admission/policy.py
+++ b/tansycrank/admission/policy.py
@@ -179,7 +179,7 @@
 class Recent:
     """Charge of late: a sum that fades over `memory` ms."""
 
-    __slots__ = ("memory", "_sum", "_at")
+    __slots__ = ("_at", "_sum", "memory")
 
     def __init__(self, memory: float) -> None:
         self.memory, self._sum, self._at = memory, 0.0, 0.0
@@ -197,8 +197,25 @@
     """A tenant known exactly."""
 
     __slots__ = (
-        "key", "limits", "line", "account", "inside", "rate", "parked", "seen", "asked", "returns",
-        "arrived", "admitted", "answered", "refused", "corrected", "early", "left", "wait", "charged",
+        "account",
+        "admitted",
+        "answered",
+        "arrived",
+        "asked",
+        "charged",
+        "corrected",
+        "early",
+        "inside",
+        "key",
+        "left",
+        "limits",
+        "line",
+        "parked",
+        "rate",
+        "refused",
+        "returns",
+        "seen",
+        "wait",
     )  # fmt: skip
 
     def __init__(self, key: str, limits: Limits, class_weights: tuple[float, ...]) -> None:
--- a/tansycrank/admission/reservations.py
+++ b/tansycrank/admission/reservations.py
@@ -27,7 +27,7 @@
     cost.
     """
 
-    __slots__ = ("mark", "session", "due", "until", "charge", "wait", "kept")
+    __slots__ = ("charge", "due", "kept", "mark", "session", "until", "wait")
 
     def __init__(self, mark: int, session: int, due: float, wait: float, charge: float) -> None:
         self.mark, self.session = mark, session
@@ -38,7 +38,7 @@
 class Account:
     """The promises of one tenant."""
 
-    __slots__ = ("owed", "unnamed", "show", "places", "count", "touched")
+    __slots__ = ("count", "owed", "places", "show", "touched", "unnamed")
 
     def __init__(self) -> None:
         self.owed = 0.0  # charge of places kept
--- a/tansycrank/clock.py
+++ b/tansycrank/clock.py
@@ -54,7 +54,7 @@
         since = min(self._due, self._stood_since) if self._polls_after else self._due
         return max(self.seconds() - since, 0.0)
 
-    def listenTCP(self, port, factory, backlog=50, interface="") -> Port:  # noqa: N802
+    def listenTCP(self, port, factory, backlog=50, interface="") -> Port:
         """Listen, on a port that loses nobody while descriptors are missing. Raises
         CannotListenError.
         """
--- a/tansycrank/discovery/endpoint_view.py
+++ b/tansycrank/discovery/endpoint_view.py
@@ -252,7 +252,7 @@
             actions.append(Tell(self._list(routing.EndpointListKind.DELTA, changed, now)))
             self._starts.forget(node.id for node in changed if node.status == "gone")
         elif line.kind == "beat":
-            if same and line.version > self.version or not same:
+            if (same and line.version > self.version) or not same:
                 self._want_whole(actions)
             else:
                 self._starts.heard(now)
--- a/tansycrank/discovery/feed_client.py
+++ b/tansycrank/discovery/feed_client.py
@@ -23,18 +23,18 @@
     def __init__(self, feed: FeedClient, limit: int) -> None:
         self.feed, self.MAX_LENGTH = feed, limit
 
-    def connectionMade(self) -> None:  # noqa: N802
+    def connectionMade(self) -> None:
         self.feed.protocol = self
         self.feed.play(endpoint_view.Connected())
 
-    def lineReceived(self, line: bytes) -> None:  # noqa: N802
+    def lineReceived(self, line: bytes) -> None:
         try:
             heard = msgspec.json.decode(line, type=endpoint_view.FeedLine)
         except msgspec.MsgspecError:
             heard = None
         self.feed.play(endpoint_view.Heard(heard))
 
-    def connectionLost(self, reason=None) -> None:  # noqa: N802
+    def connectionLost(self, reason=None) -> None:
         if self.feed.protocol is self:
             self.feed.protocol = None
             self.feed.play(endpoint_view.Lost())
@@ -46,10 +46,10 @@
     def __init__(self, feed: FeedClient, limit: int) -> None:
         self.feed, self.limit = feed, limit
 
-    def buildProtocol(self, addr) -> _FeedProtocol:  # noqa: N802
+    def buildProtocol(self, addr) -> _FeedProtocol:
         return _FeedProtocol(self.feed, self.limit)
 
-    def clientConnectionFailed(self, connector, reason) -> None:  # noqa: N802
+    def clientConnectionFailed(self, connector, reason) -> None:
         self.feed.play(endpoint_view.Lost())
 
 
--- a/tansycrank/http_router/client_connection.py
+++ b/tansycrank/http_router/client_connection.py
@@ -73,11 +73,11 @@
         """Whether nobody would miss an answer if it closed now."""
         return not self.slots and not self.in_message
 
-    def connectionMade(self) -> None:  # noqa: N802
+    def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
 
-    def dataReceived(self, data: bytes) -> None:  # noqa: N802
+    def dataReceived(self, data: bytes) -> None:
         if self.server.settling:
             self.server.read_on(self)
         if self.closing or self.fault is not None:
@@ -238,7 +238,7 @@
         while self.slots and self.slots[0].answer is not None and not self.closing:
             slot = self.slots.popleft()
             last = not self.slots and not self.in_message
-            close = not slot.keep or self.server.draining and last
+            close = not slot.keep or (self.server.draining and last)
             status, body, more = slot.answer
             self.since = self.server.now
             self.transport.write(codec.reply(status, body, close, *more))
@@ -308,20 +308,20 @@
 
     # --- the transport's word ---------------------------------------------------------
 
-    def pauseProducing(self) -> None:  # noqa: N802
+    def pauseProducing(self) -> None:
         """Its answers are not being read: no further requests."""
         self.unread_since = self.server.now
 
-    def resumeProducing(self) -> None:  # noqa: N802
+    def resumeProducing(self) -> None:
         self.unread_since = None
         held, self.held = self.held, bytearray()
         if held and not self.closing and self.fault is None:
             self._feed(bytes(held))
 
-    def stopProducing(self) -> None:  # noqa: N802
+    def stopProducing(self) -> None:
         self.unread_since = None
 
-    def connectionLost(self, reason=connectionDone) -> None:  # noqa: N802
+    def connectionLost(self, reason=connectionDone) -> None:
         self.closing = True
         self.server.connections.pop(self, None)
         self.server.unused.pop(self, None)
--- a/tansycrank/http_router/connection_pool.py
+++ b/tansycrank/http_router/connection_pool.py
@@ -201,10 +201,8 @@
             and not ids & link.past.keys()
         ]
         link = min(fit, key=lambda link: (link.load, not link.up, -link.used), default=None)
-        if (
-            link is None
-            or link.load
-            and len(node.links) < max(self.max_links // len(self.nodes), 1)
+        if link is None or (
+            link.load and len(node.links) < max(self.max_links // len(self.nodes), 1)
         ):
             link = self._open(node) or link
         if link is None:
--- a/tansycrank/http_router/discovery_client.py
+++ b/tansycrank/http_router/discovery_client.py
@@ -85,11 +85,11 @@
         self.connector = None
         self.timer = reactor.callLater(CALL_WITHIN, self.end, False)
 
-    def connectionMade(self) -> None:  # noqa: N802
+    def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
         self.transport.write(self.request)
 
-    def dataReceived(self, data: bytes) -> None:  # noqa: N802
+    def dataReceived(self, data: bytes) -> None:
         if self.ended:
             return
         try:
@@ -136,7 +136,7 @@
             elif not line.strip():
                 self.on_beat()
 
-    def connectionLost(self, reason=connectionDone) -> None:  # noqa: N802
+    def connectionLost(self, reason=connectionDone) -> None:
         if not self.framed and reason.check(ConnectionDone):  # an answer without a length ends so
             self.on_message_complete()  # danger: a reset is no end, wherever it falls
         self.end(False)
--- a/tansycrank/http_router/http_server.py
+++ b/tansycrank/http_router/http_server.py
@@ -53,7 +53,7 @@
         """Seconds of the reactor's clock."""
         return self.reactor.seconds()
 
-    def buildProtocol(self, addr) -> ClientConnection:  # noqa: N802
+    def buildProtocol(self, addr) -> ClientConnection:
         connection = ClientConnection(self)
         self.connections[connection] = None
         self.counts["accepted"] += 1
--- a/tansycrank/http_router/node_connection.py
+++ b/tansycrank/http_router/node_connection.py
@@ -52,13 +52,13 @@
         """Parts it carries or will carry."""
         return len(self.out) + sum(not sending.ended for call in self.waiting for sending in call)
 
-    def connectionMade(self) -> None:  # noqa: N802
+    def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
         self.up, self.used = True, self.pool.now
         self.transport.registerProducer(self, False)  # which asks for the first frame
         self.settle()
 
-    def resumeProducing(self) -> None:  # noqa: N802
+    def resumeProducing(self) -> None:
         """The system has taken all that the socket was given."""
         self.taken, self.going = True, []
         if self.doubt is not None:
@@ -66,7 +66,7 @@
             self.doubt = None
         self._push()
 
-    def stopProducing(self) -> None:  # noqa: N802
+    def stopProducing(self) -> None:
         """The socket is gone."""
 
     def carry(self, call: list[OutgoingCall]) -> None:
@@ -122,7 +122,7 @@
         if self.going:
             self.revoke(self.going[0])
 
-    def dataReceived(self, data: bytes) -> None:  # noqa: N802
+    def dataReceived(self, data: bytes) -> None:
         self.heard = self.pool.now
         was_partial, last = self.reader.partial, None
         try:
@@ -171,7 +171,7 @@
         self.out.pop(sending.id, None)
         self._remember(sending.id)
         silent = self.pool.now - sending.written if self.heard < sending.written else 0.0
-        if silent >= self.pool.connect_timeout or silent and outcome is Outcome.TIMED_OUT:
+        if silent >= self.pool.connect_timeout or (silent and outcome is Outcome.TIMED_OUT):
             # Danger: one that fell silent, or whose machine vanished, takes each trial of its node.
             self.retired = True
         self.words.append(sending.id)
@@ -208,7 +208,7 @@
             self.connector.disconnect()
         self.gone()
 
-    def connectionLost(self, reason=connectionDone) -> None:  # noqa: N802
+    def connectionLost(self, reason=connectionDone) -> None:
         self.gone()
 
     def gone(self, reason=None) -> None:
--- a/tansycrank/listening.py
+++ b/tansycrank/listening.py
@@ -42,13 +42,13 @@
         """Whether somebody may wait whom the system would not let this process accept."""
         return self.socket.failed
 
-    def createInternetSocket(self) -> ListeningSocket:  # noqa: N802
+    def createInternetSocket(self) -> ListeningSocket:
         """The socket, before it is bound."""
         made = super().createInternetSocket()
         # Its kind is told, not asked of the system: not every layer below a process can say it.
         return ListeningSocket(made.family, made.type, made.proto, fileno=made.detach())
 
-    def doRead(self) -> None:  # noqa: N802
+    def doRead(self) -> None:
         """Accept who waits."""
         super().doRead()
         if self.connected and self.starved:
--- a/tansycrank/merge/operators.py
+++ b/tansycrank/merge/operators.py
@@ -114,7 +114,7 @@
 class Source:
     """Sorted rows of one part, run or list: a block at a time, its keys decoded together."""
 
-    __slots__ = ("read", "over", "key", "frames", "keys", "at", "last", "name")
+    __slots__ = ("at", "frames", "key", "keys", "last", "name", "over", "read")
 
     def __init__(
         self, read: Callable[[], bytes | None], over: Callable[[], bool], key, name: str
@@ -248,7 +248,7 @@
     skip, left = offset, limit
     if left != 0:
         for block in source:
-            if block is None or not block[0] or not skip and left is None:
+            if block is None or not block[0] or (not skip and left is None):
                 yield block
                 continue
             frames = frames_of(block[0])
@@ -419,7 +419,7 @@
                 size = table.measured()
             memory.table(size - counted)
             counted = size
-            if aside is None and size >= memory.room or retains and size >= 2 * memory.room:
+            if (aside is None and size >= memory.room) or (retains and size >= 2 * memory.room):
                 if depth >= DEPTH or aside is not None:
                     raise PgError(
                         "53200",
--- a/tansycrank/merge/pipeline.py
+++ b/tansycrank/merge/pipeline.py
@@ -55,11 +55,8 @@
 
 def streams(plan: MergePlan | None) -> bool:
     """Whether rows may leave before the parts are whole: nothing has to be seen to its end first."""
-    return (
-        plan is None
-        or plan.kind != "grouped"
-        and not plan.distinct
-        and (not plan.sort or plan.presorted)
+    return plan is None or (
+        plan.kind != "grouped" and not plan.distinct and (not plan.sort or plan.presorted)
     )
 
 
--- a/tansycrank/postgres/messages.py
+++ b/tansycrank/postgres/messages.py
@@ -98,7 +98,7 @@
                     yield 0x44, data[start:at] if at - start < size else data, rows
                     continue
             length = unpack(data, at + 1)[0]
-            if length < 4 or length > self._limit or data[at] == 0x44 and length < 6:
+            if length < 4 or length > self._limit or (data[at] == 0x44 and length < 6):
                 raise ProtocolError(
                     f"message of type {chr(data[at])!r} says {length} bytes", "54000"
                 )
--- a/tansycrank/postgres/server.py
+++ b/tansycrank/postgres/server.py
@@ -208,7 +208,7 @@
 
     # --- Twisted ------------------------------------------------------------------------
 
-    def connectionMade(self) -> None:  # noqa: N802
+    def connectionMade(self) -> None:
         self.setRawMode()
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
@@ -217,7 +217,7 @@
             self.limits.login_timeout_ms / 1000, self._too_late
         )
 
-    def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
+    def rawDataReceived(self, data: bytes) -> None:
         try:
             if self.state == "startup":
                 data = self._read_startup(data)
@@ -247,7 +247,7 @@
             self.caller, self.settings.get("tansycrank.tenant", "")
         ).tenant
 
-    def connectionLost(self, reason=None) -> None:  # noqa: N802
+    def connectionLost(self, reason=None) -> None:
         self.state = "closed"
         if self._login is not None and self._login.active():
             self._login.cancel()
@@ -264,11 +264,11 @@
 
     # Twisted's IPushProducer: the transport tells whether the client reads.
 
-    def pauseProducing(self) -> None:  # noqa: N802
+    def pauseProducing(self) -> None:
         self._blocked = True
         self._throttle()
 
-    def resumeProducing(self) -> None:  # noqa: N802
+    def resumeProducing(self) -> None:
         self._blocked = False
         self._throttle()
         if self._emission is not None:
@@ -276,7 +276,7 @@
         else:
             self.advance()
 
-    def stopProducing(self) -> None:  # noqa: N802
+    def stopProducing(self) -> None:
         self._blocked = True
 
     def _throttle(self) -> None:
@@ -530,7 +530,7 @@
             else:
                 frames = stream.take(left)
                 rows = len(frames)
-            over = stream.ended or left is not None and rows >= left
+            over = stream.ended or (left is not None and rows >= left)
             return frames, rows, over, stream.error if stream.ended else None
         rows, at, size, end = emission.result.rows, emission.at, 0, len(emission.result.rows)
         if left is not None:
@@ -1192,7 +1192,7 @@
         self._watching = None
         self.turns = Turns(lambda f: reactor.callLater(0, f), reactor.seconds)
 
-    def buildProtocol(self, addr) -> Session:  # noqa: N802
+    def buildProtocol(self, addr) -> Session:
         return Session(self)
 
     def opened(self, session: Session) -> None:
--- a/tansycrank/postgres/types.py
+++ b/tansycrank/postgres/types.py
@@ -440,7 +440,7 @@
     if oid not in ORDERED:
         raise unsupported(f"ordering or grouping by type {type_name(oid)}")
     if oid in (TEXT, VARCHAR, NAME, BYTEA, UUID):
-        if oid == BYTEA and code == 0 or oid == UUID and code == 0:
+        if (oid == BYTEA and code == 0) or (oid == UUID and code == 0):
             return lambda data: decode(oid, 0, data)
         return lambda data: data
     if oid in (FLOAT4, FLOAT8, NUMERIC):
--- a/tansycrank/routing/policy.py
+++ b/tansycrank/routing/policy.py
@@ -236,7 +236,9 @@
                         endpoint.lot_until,
                     )
                 self.endpoints[entry.endpoint] = endpoint = new
-            elif entry.incarnation == endpoint.incarnation:  # the same start may be known better by now
+            elif (
+                entry.incarnation == endpoint.incarnation
+            ):  # the same start may be known better by now
                 endpoint.started_at = entry.started_at
             endpoint.status, endpoint.cell, endpoint.zone = entry.status, entry.cell, entry.zone
         for endpoint in [
@@ -307,8 +309,8 @@
             event.shard_requests >= PILOT
             and cls.latency_objective >= PILOT_ROOM * self.all.read(self.now)[1]
         )
-        query.careful, query.prompt = prompt and roomy or self.now < self.wary_until, prompt
-        query.proven = event.shard_requests <= PILOT_LATE or prompt and not query.careful
+        query.careful, query.prompt = (prompt and roomy) or self.now < self.wary_until, prompt
+        query.proven = event.shard_requests <= PILOT_LATE or (prompt and not query.careful)
         density = cls.priority_weight / (event.shard_requests + cls.follow_up)
         self.densest = max(self.densest, density)
         start_by = self._start_by(query)
@@ -515,7 +517,7 @@
         first.
         """
         within = self._repeat_within(shard_request)
-        return within is None or within > 0 and not hedge
+        return within is None or (within > 0 and not hedge)
 
     def _repeat_within(self, shard_request: ShardRequest) -> float | None:
         """Milliseconds in which a further attempt has to leave; None where it may at any time."""
@@ -637,7 +639,7 @@
             held = not shard_request.attempts and (
                 shard_request.cell in full or piloting
             )  # danger: unseen queues (i6691d2)
-            held = held or self._suspect(query) and any(p.out for p in query.shard_requests)
+            held = held or (self._suspect(query) and any(p.out for p in query.shard_requests))
             endpoint = None if held else self._pick(shard_request, called)
             if endpoint is not None:
                 called += [endpoint] if self.cfg.call_work and endpoint not in called else []
@@ -699,7 +701,7 @@
             return
         attempt.fired, attempt.endpoint.overdue = True, attempt.endpoint.overdue + 1
         query = attempt.shard_request.query
-        query.proven = query.proven or query.careful and query.prompt and not self._suspect(query)
+        query.proven = query.proven or (query.careful and query.prompt and not self._suspect(query))
         if not query.ended and query.cls.idempotency is Idempotency.IDEMPOTENT:
             # Before that a copy earns nothing; without its pilot a query is given up long before
             # its aim.
@@ -791,10 +793,8 @@
                 max(2 * endpoint.backoff, first), TRIAL_LAST * first / TRIAL_FIRST
             )
             endpoint.flag_until = self.now + endpoint.backoff
-        elif (
-            event.outcome is Outcome.REJECTED
-            or event.latency > self.target
-            and not attempt.streamed
+        elif event.outcome is Outcome.REJECTED or (
+            event.latency > self.target and not attempt.streamed
         ):
             self._cut(
                 endpoint
--- a/tansycrank/single_connection.py
+++ b/tansycrank/single_connection.py
@@ -16,8 +16,8 @@
     def __init__(self, protocol: Protocol, failed: Callable[[Failure], None]) -> None:
         self.protocol, self.failed = protocol, failed
 
-    def buildProtocol(self, addr) -> Protocol:  # noqa: N802
+    def buildProtocol(self, addr) -> Protocol:
         return self.protocol
 
-    def clientConnectionFailed(self, connector, reason: Failure) -> None:  # noqa: N802
+    def clientConnectionFailed(self, connector, reason: Failure) -> None:
         self.failed(reason)
--- a/tansycrank/sql/scope.py
+++ b/tansycrank/sql/scope.py
@@ -49,7 +49,7 @@
             table = self.tables.get(alias)
             return alias if table and table.distribution and table.column == column else None
         holders = [a for a, t in self.tables.items() if column in t.columns]
-        if not holders or self.opaque or len(holders) > 1 and column not in self.merged:
+        if not holders or self.opaque or (len(holders) > 1 and column not in self.merged):
             return None
         return next(
             (a for a in holders if self.tables[a].distribution and self.tables[a].column == column),
--- a/tansycrank/sql_router/node_connection.py
+++ b/tansycrank/sql_router/node_connection.py
@@ -117,7 +117,7 @@
 
     # --- Twisted ----------------------------------------------------------------------
 
-    def connectionMade(self) -> None:  # noqa: N802
+    def connectionMade(self) -> None:
         self.setRawMode()
         if self.state == "closed":  # given up while it was connecting
             self.transport.abortConnection()
@@ -128,7 +128,7 @@
         )
         self.transport.write(pg.startup(self.parameters))
 
-    def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
+    def rawDataReceived(self, data: bytes) -> None:
         large = (
             self.state == "busy"
             and self._stream is not None
@@ -164,7 +164,7 @@
             self._lost(problem if isinstance(problem, ProtocolError) else None)
             self.transport.abortConnection()
 
-    def connectionLost(self, reason=None) -> None:  # noqa: N802
+    def connectionLost(self, reason=None) -> None:
         if self._pending:  # danger: the end of a part may be in it, and is no loss then
             self.step()
         self._lost(None)
@@ -333,10 +333,10 @@
     def __init__(self, key: tuple[int, int], done: Callable[[], None]) -> None:
         self.key, self.done = key, done
 
-    def connectionMade(self) -> None:  # noqa: N802
+    def connectionMade(self) -> None:
         self.transport.write(pg.cancel_request(*self.key))
 
-    def connectionLost(self, reason=None) -> None:  # noqa: N802
+    def connectionLost(self, reason=None) -> None:
         self.done()
 
 
--- a/tansycrank/sql_router/service.py
+++ b/tansycrank/sql_router/service.py
@@ -373,7 +373,7 @@
         if prepared.local is not None:
             done((prepared.oids, prepared.fields if prepared.returns_rows else None))
             return None
-        if target.fields is not None or not target.returns_rows and 0 not in target.oids:
+        if target.fields is not None or (not target.returns_rows and 0 not in target.oids):
             done((target.oids, prepared.fields if prepared.explain else target.fields))
             return None
         shard_request = target.describe_sql()
--- a/tansycrank/testbed/bulk_data.py
+++ b/tansycrank/testbed/bulk_data.py
@@ -138,11 +138,11 @@
         self.spec, self.frames, self.started = spec, None, b""
         self.sql, self.source, self.sent = "", None, 0
 
-    def connectionMade(self) -> None:  # noqa: N802
+    def connectionMade(self) -> None:
         self.setRawMode()
         self.transport.setTcpNoDelay(True)
 
-    def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
+    def rawDataReceived(self, data: bytes) -> None:
         if self.frames is None:
             self.started += data
             size = pg.INT.unpack_from(self.started)[0]
@@ -164,7 +164,7 @@
             if isinstance(message, pg.Sync | pg.Query):
                 self._start()
 
-    def connectionLost(self, reason=None) -> None:  # noqa: N802
+    def connectionLost(self, reason=None) -> None:
         self.source = None
         SESSIONS.pop(id(self) & 0x7FFFFFFF, None)
 
@@ -176,7 +176,7 @@
         self.transport.write(head + pg.row_description(fields))
         self.transport.registerProducer(self, False)
 
-    def resumeProducing(self) -> None:  # noqa: N802
+    def resumeProducing(self) -> None:
         """Twisted's pull: the socket has taken what it was given."""
         if self.source is None:
             return
@@ -189,7 +189,7 @@
         if self.spec.die_after and self.sent >= self.spec.die_after:
             os._exit(9)
 
-    def stopProducing(self) -> None:  # noqa: N802
+    def stopProducing(self) -> None:
         self.source = None
 
     def _end(self, last: bytes) -> None:
--- a/tansycrank/testbed/endpoint_feed.py
+++ b/tansycrank/testbed/endpoint_feed.py
@@ -64,18 +64,16 @@
     def __init__(self, roster: Roster) -> None:
         self.roster = roster
 
-    def lineReceived(self, line: bytes) -> None:  # noqa: N802
+    def lineReceived(self, line: bytes) -> None:
         order, roster = msgspec.json.decode(line), self.roster
         if roster.silent:
             return
         if order["op"] == "watch":
             roster.watchers.add(self)
             missed = [(v, n) for v, n in roster.changes if v > order["version"]]
-            follows = (
-                missed
-                and missed[0][0] == order["version"] + 1
-                or order["version"] == roster.version
-            )
+            follows = (missed and missed[0][0] == order["version"] + 1) or order[
+                "version"
+            ] == roster.version
             if order["epoch"] == roster.epoch and follows:
                 for version, node in missed:
                     self.sendLine(
@@ -88,7 +86,7 @@
                 return
         self.sendLine(msgspec.json.encode(roster.whole()))
 
-    def connectionLost(self, reason=None) -> None:  # noqa: N802
+    def connectionLost(self, reason=None) -> None:
         self.roster.watchers.discard(self)
 
 
@@ -100,7 +98,7 @@
     def __init__(self, roster: Roster) -> None:
         self.roster = roster
 
-    def lineReceived(self, line: bytes) -> None:  # noqa: N802
+    def lineReceived(self, line: bytes) -> None:
         order, roster = msgspec.json.decode(line), self.roster
         if "set" in order:
             node = msgspec.convert(order["set"], NodeLine)
--- a/tansycrank/testbed/node.py
+++ b/tansycrank/testbed/node.py
@@ -214,13 +214,13 @@
         self.job: Job | None = None
         self.cancelled = False
 
-    def connectionMade(self) -> None:  # noqa: N802
+    def connectionMade(self) -> None:
         self.setRawMode()
         self.transport.setTcpNoDelay(True)
         if self.node.model.faults.vanish:
             self.transport.pauseProducing()
 
-    def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
+    def rawDataReceived(self, data: bytes) -> None:
         if self.node.model.faults.vanish:
             return
         if self.frames is None:
@@ -264,7 +264,7 @@
                     return rest
         return b""
 
-    def connectionLost(self, reason=None) -> None:  # noqa: N802
+    def connectionLost(self, reason=None) -> None:
         self.node.sessions.pop(self.pid, None)
         if self.pid:
             self.node.note("close", self, busy=self.job is not None)
@@ -352,7 +352,7 @@
         out, rows, tag = self._kept(batch)
         self.node.note("ran", self, rows=rows, tag=tag)
         self.node.counts["answered"] += 1
-        if model.happens(faults.lose) or faults.deaf_to and faults.deaf_to == self.app:
+        if model.happens(faults.lose) or (faults.deaf_to and faults.deaf_to == self.app):
             return
         if model.happens(faults.reset_after):
             self.node.note("reset", self, ran=True)
@@ -427,7 +427,7 @@
         return b"".join(m for m in out if m is not None) + pg.ready("I"), rows, tag
 
     def _types(self, sql: str, oids: tuple[int, ...]) -> tuple[int, ...]:
-        if "$" not in sql or oids and all(oids):
+        if "$" not in sql or (oids and all(oids)):
             return oids
         try:
             (raw,) = pglast.parse_sql(sql)
@@ -483,7 +483,7 @@
     def __init__(self, line: bytes) -> None:
         self.line = line
 
-    def buildProtocol(self, addr):  # noqa: N802
+    def buildProtocol(self, addr):
         protocol = LineOnlyReceiver()
         protocol.delimiter = b"\n"
         protocol.connectionMade = lambda: (
@@ -504,7 +504,7 @@
     def __init__(self, node: Node) -> None:
         self.node = node
 
-    def lineReceived(self, line: bytes) -> None:  # noqa: N802
+    def lineReceived(self, line: bytes) -> None:
         order = msgspec.json.decode(line)
         answer: dict = {"ok": True}
         if "faults" in order:
--- a/tansycrank/testbed/process.py
+++ b/tansycrank/testbed/process.py
@@ -24,7 +24,7 @@
     def __init__(self, make: Callable[[], Protocol]) -> None:
         self.make = make
 
-    def buildProtocol(self, addr) -> Protocol:  # noqa: N802
+    def buildProtocol(self, addr) -> Protocol:
         return self.make()
 
 
--- a/tansycrank/testbed/simulated.py
+++ b/tansycrank/testbed/simulated.py
@@ -28,7 +28,7 @@
 class Call:
     """A call that is to come."""
 
-    __slots__ = ("at", "what", "args")
+    __slots__ = ("args", "at", "what")
 
     def __init__(self, at: float, what: Callable, args: tuple) -> None:
         self.at, self.what, self.args = at, what, args
@@ -57,7 +57,7 @@
         """Now."""
         return self._now
 
-    def callLater(self, delay: float, what: Callable, *args: Any) -> Call:  # noqa: N802
+    def callLater(self, delay: float, what: Callable, *args: Any) -> Call:
         """Call after so many seconds, in the order of time, then of asking."""
         call = Call(self._now + delay, what, args)
         self._count += 1
--- a/tests/e2e/test_hard_cases.py
+++ b/tests/e2e/test_hard_cases.py
@@ -133,9 +133,8 @@
 def test_an_unsafe_insert_whose_connection_breaks_after_the_send_is_never_sent_again(site):
     at = monotonic_ms()
     site.faults((1, 2, 3), reset_before=1.0)
-    with connect(site) as link:
-        with pytest.raises(psycopg.Error) as failure:
-            link.execute("INSERT INTO trips (id, district) VALUES (2000000001, 'Quan 1')")
+    with connect(site) as link, pytest.raises(psycopg.Error) as failure:
+        link.execute("INSERT INTO trips (id, district) VALUES (2000000001, 'Quan 1')")
     assert failure.value.sqlstate == "58T01"
     assert len(since(site, at, needle="2000000001")) == 1
 
@@ -171,9 +170,8 @@
 def test_a_keyed_insert_is_not_sent_again_past_its_window(site):
     at = monotonic_ms()
     site.faults((1, 2, 3), hang=True)
-    with connect(site, request_key="k-past") as link:
-        with pytest.raises(psycopg.Error) as failure:
-            link.execute("INSERT INTO trips (id, district) VALUES (2000000301, 'Quan 1')")
+    with connect(site, request_key="k-past") as link, pytest.raises(psycopg.Error) as failure:
+        link.execute("INSERT INTO trips (id, district) VALUES (2000000301, 'Quan 1')")
     assert failure.value.sqlstate in ("58T01", "53T01")
     sends = since(site, at, needle="2000000301")
     assert sends and sends[-1]["t"] - sends[0]["t"] < 2000
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -97,10 +97,10 @@
         self.aborted = True
         self.loseConnection()
 
-    def pauseProducing(self):  # noqa: N802
+    def pauseProducing(self):
         self.producerState = "paused"
 
-    def resumeProducing(self):  # noqa: N802
+    def resumeProducing(self):
         self.producerState = "producing"
 
 
--- a/tests/http_router/live.py
+++ b/tests/http_router/live.py
@@ -220,16 +220,16 @@
     reading = True
     starved = False
 
-    def stopReading(self):  # noqa: N802
+    def stopReading(self):
         self.reading = False
 
-    def startReading(self):  # noqa: N802
+    def startReading(self):
         self.reading = True
 
     def stopListening(self):  # noqa: N802
         self.reading = False
 
-    def doRead(self):  # noqa: N802
+    def doRead(self):
         pass
 
 
--- a/tests/http_router/test_endings.py
+++ b/tests/http_router/test_endings.py
@@ -160,7 +160,7 @@
         ]
         if self.stopping and not usable:
             return
-        client = usable[-1] if usable and not new or self.stopping else (*self.live.client(), [])
+        client = usable[-1] if (usable and not new) or self.stopping else (*self.live.client(), [])
         self.clients += [client] if client not in self.clients else []
         self.numbers += 1
         query = Asked(f"q{self.numbers}", cls, sorted(shards), self.now, deadline / 1000)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -73,7 +73,7 @@
                 )
 
     def pytest_runtest_logreport(self, report):
-        failed = report.failed or hasattr(report, "wasxfail") and report.skipped
+        failed = report.failed or (hasattr(report, "wasxfail") and report.skipped)
         passed = report.when == "call" and report.passed
         if (failed or passed) and (test := self.listed_name(report.nodeid)):
             self.results[test].add("failed" if failed else "passed")
--- a/tests/test_edge_forms.py
+++ b/tests/test_edge_forms.py
@@ -56,11 +56,63 @@
     told = {
         key for key in re.findall(r'"([A-Za-z_]+)"', Path(simulator_protocol.__file__).read_text())
     }
-    wanted = """familyInfo caps clients rules prices services localities discovery me replicasOfMe zone step slabs positions
-    inARow bundleMax perCallWork attemptsCap secondCopies cancel mayProbe peers retryAfter maxRetryAfter openCap marksRetry
-    askEvery graceToAnswer stopSendingWithin overloadFactor fall coldFrom cold crossZone waste probe lateFail extraFloor
-    repeatRatio countedOver aim giveUp points lateWorth window minShare wholeAt shortWorth followUp effect read_like
-    idempotency_key non_idempotent ask push""".split()
+    wanted = [
+        "familyInfo",
+        "caps",
+        "clients",
+        "rules",
+        "prices",
+        "services",
+        "localities",
+        "discovery",
+        "me",
+        "replicasOfMe",
+        "zone",
+        "step",
+        "slabs",
+        "positions",
+        "inARow",
+        "bundleMax",
+        "perCallWork",
+        "attemptsCap",
+        "secondCopies",
+        "cancel",
+        "mayProbe",
+        "peers",
+        "retryAfter",
+        "maxRetryAfter",
+        "openCap",
+        "marksRetry",
+        "askEvery",
+        "graceToAnswer",
+        "stopSendingWithin",
+        "overloadFactor",
+        "fall",
+        "coldFrom",
+        "cold",
+        "crossZone",
+        "waste",
+        "probe",
+        "lateFail",
+        "extraFloor",
+        "repeatRatio",
+        "countedOver",
+        "aim",
+        "giveUp",
+        "points",
+        "lateWorth",
+        "window",
+        "minShare",
+        "wholeAt",
+        "shortWorth",
+        "followUp",
+        "effect",
+        "read_like",
+        "idempotency_key",
+        "non_idempotent",
+        "ask",
+        "push",
+    ]
     assert set(wanted) <= told
 
 
