--- a/tansycrank/merge/blocks.py
+++ b/tansycrank/merge/blocks.py
@@ -90,10 +90,10 @@
         self.held -= len(block)
         self.memory.shrank(len(block))
         if self._held_back and not self.memory.over(self):
-            self.revoke_unsent(False)
+            self.set_paused(False)
         return block
 
-    def revoke_unsent(self, stop: bool) -> None:
+    def set_paused(self, stop: bool) -> None:
         """Let the node wait, through TCP, or go on."""
         if stop != self._held_back and self.state == "open":
             self._held_back = stop
@@ -172,9 +172,9 @@
             ):
                 self.on_began(one)
             if self.mode in ("stream", "wait") and self.over(one):
-                one.revoke_unsent(True)
+                one.set_paused(True)
             elif self.mode != "wait" and not self.over(one):
-                one.revoke_unsent(False)
+                one.set_paused(False)
         if self.mode == "spill":
             while self.held > self.working:
                 largest = max(self.streams, key=lambda s: s.held, default=None)
--- a/tansycrank/merge/operators.py
+++ b/tansycrank/merge/operators.py
@@ -61,13 +61,13 @@
 
 def key_maker(keys: Sequence[SortKey], fields: Sequence[Field]) -> Callable[[bytes], object]:
     """A function from a frame to what it sorts by, ascending, as PostgreSQL orders it."""
-    parts = [_part_key(key, fields) for key in keys]
-    if len(parts) == 1:
-        return parts[0]
-    return lambda frame: tuple([part(frame) for part in parts])
+    shard_results = [_shard_key(key, fields) for key in keys]
+    if len(shard_results) == 1:
+        return shard_results[0]
+    return lambda frame: tuple([shard_result(frame) for shard_result in shard_results])
 
 
-def _part_key(key: SortKey, fields: Sequence[Field]) -> Callable[[bytes], object]:
+def _shard_key(key: SortKey, fields: Sequence[Field]) -> Callable[[bytes], object]:
     column = key.column if key.column >= 0 else len(fields) + key.column
     oid, code = fields[column].oid, fields[column].format
     order, descending = types.order_key(oid, code), key.descending
@@ -147,7 +147,7 @@
             return True
 
 
-def part_source(stream: ShardRowStream, key) -> Source:
+def shard_source(stream: ShardRowStream, key) -> Source:
     """The rows of a part that its node has sorted."""
     return Source(stream.take, lambda: stream.done, key, f"shard {stream.shard}")
 
@@ -215,11 +215,11 @@
 # --- operators ----------------------------------------------------------------------
 
 
-def concat(parts: Sequence[ShardRowStream]) -> Pulled:
+def concat(shard_results: Sequence[ShardRowStream]) -> Pulled:
     """All rows, part by part, as the bytes they came in."""
-    for part in parts:
-        while not part.done:
-            block = part.take()
+    for shard_result in shard_results:
+        while not shard_result.done:
+            block = shard_result.take()
             yield None if block is None else (block, -1)
 
 
--- a/tansycrank/merge/pipeline.py
+++ b/tansycrank/merge/pipeline.py
@@ -16,7 +16,7 @@
 
 def build(
     plan: MergePlan | None,
-    parts: Sequence[ShardRowStream],
+    shard_results: Sequence[ShardRowStream],
     params: Sequence[object],
     oids: Sequence[int],
     results: tuple[int, ...],
@@ -24,16 +24,19 @@
     memory: Memory,
 ) -> tuple[tuple[Field, ...], op.Pulled]:
     """The columns of the answer and its rows. All parts have told their columns."""
-    fields = parts[0].fields or ()
+    fields = shard_results[0].fields or ()
     if plan is None:
-        return fields, op.concat(parts)
-    shapes = {tuple((f.oid, f.format) for f in part.fields or ()) for part in parts}
+        return fields, op.concat(shard_results)
+    shapes = {
+        tuple((f.oid, f.format) for f in shard_result.fields or ())
+        for shard_result in shard_results
+    }
     if len(shapes) != 1:
         raise PgError(
             "XX000", "shards answer with different columns", hint="are their tables alike?"
         )
     limit, offset = scalar(plan.limit, params, "LIMIT"), scalar(plan.offset, params, "OFFSET") or 0
-    rows = op.concat(parts)
+    rows = op.concat(shard_results)
     if plan.kind == "grouped":
         table = GroupTable(plan, fields, params, oids, results, told)
         if plan.distinct_first:
@@ -44,7 +47,9 @@
     if plan.sort:
         by = op.key_maker(plan.sort, fields)
         if plan.presorted:
-            rows = op.merge_sorted([op.part_source(part, by) for part in parts])
+            rows = op.merge_sorted(
+                [op.shard_source(shard_result, by) for shard_result in shard_results]
+            )
         elif limit is not None and limit + offset <= TOP:
             rows = op.top(rows, by, limit + offset, memory)
         else:
--- a/tansycrank/merge/rows.py
+++ b/tansycrank/merge/rows.py
@@ -65,7 +65,7 @@
 
 def merge(
     plan: MergePlan,
-    parts: Sequence[PartRows],
+    shard_results: Sequence[PartRows],
     params: Sequence[object],
     oids: Sequence[int],
     results: tuple[int, ...],
@@ -77,14 +77,16 @@
     been told.
     """
     limit, offset = scalar(plan.limit, params, "LIMIT"), scalar(plan.offset, params, "OFFSET") or 0
-    shapes = {tuple((f.oid, f.format) for f in part.fields) for part in parts}
+    shapes = {
+        tuple((f.oid, f.format) for f in shard_result.fields) for shard_result in shard_results
+    }
     if len(shapes) != 1:
         raise PgError(
             "XX000", "shards answer with different columns", hint="are their tables alike?"
         )
     if plan.kind == "grouped":
-        return _grouped(plan, parts, params, oids, results, limit, offset, told)
-    return _plain(plan, parts, limit, offset)
+        return _grouped(plan, shard_results, params, oids, results, limit, offset, told)
+    return _plain(plan, shard_results, limit, offset)
 
 
 def _cut(rows: list, limit: int | None, offset: int) -> list:
@@ -109,14 +111,16 @@
     return rows
 
 
-def _plain(plan: MergePlan, parts: Sequence[PartRows], limit: int | None, offset: int) -> Result:
-    fields = parts[0].fields
+def _plain(
+    plan: MergePlan, shard_results: Sequence[PartRows], limit: int | None, offset: int
+) -> Result:
+    fields = shard_results[0].fields
     visible = fields[: len(fields) - plan.hidden] if plan.hidden else fields
     if not plan.sort and not plan.distinct:
-        frames = [row for part in parts for row in part.rows]
+        frames = [row for shard_result in shard_results for row in shard_result.rows]
         frames = _cut(frames, limit, offset)
         return Result(visible, frames, f"SELECT {len(frames)}")
-    rows = [(row, *read_row(row)) for part in parts for row in part.rows]
+    rows = [(row, *read_row(row)) for shard_result in shard_results for row in shard_result.rows]
     if plan.distinct:
         orders = [types.order_key(f.oid, f.format) for f in visible]
         seen: dict[tuple, tuple] = {}
@@ -183,7 +187,7 @@
         results: tuple[int, ...],
         told: tuple[Field, ...] | None,
     ) -> None:
-        self.plan, self.part_fields, self.told = plan, fields, told
+        self.plan, self.shard_fields, self.told = plan, fields, told
         self.params = list(zip(oids, params, strict=True))
         width = len(plan.outputs)
         self.codes = _codes(results, width - plan.hidden) + (0,) * plan.hidden
@@ -205,12 +209,12 @@
         places = []
         for output in self.plan.outputs:
             kind, *rest = output.expression
-            if kind == "group" and self.part_fields[rest[0]].format == 0:
+            if kind == "group" and self.shard_fields[rest[0]].format == 0:
                 places.append(rest[0])
             elif kind == "agg" and self.plan.aggregates[rest[0]].kind in ("count", "sum"):
                 if self.plan.aggregates[rest[0]].raw:
                     return None
-                if self.part_fields[self.plan.aggregates[rest[0]].columns[0]].oid != types.INT8:
+                if self.shard_fields[self.plan.aggregates[rest[0]].columns[0]].oid != types.INT8:
                     return None
                 places.append(self.plan.groups + rest[0])
             else:
@@ -263,7 +267,7 @@
 
     def result(self) -> Iterator[list[bytes]]:
         """Rows, some at a time."""
-        groups, fields, aggregates = self.plan.groups, self.part_fields, self.plan.aggregates
+        groups, fields, aggregates = self.plan.groups, self.shard_fields, self.plan.aggregates
         out: list[bytes] = []
         having = self.plan.having
         if not groups and not self.groups:  # aggregates over nothing are still one row
@@ -294,7 +298,7 @@
 
 def _grouped(
     plan: MergePlan,
-    parts: Sequence[PartRows],
+    shard_results: Sequence[PartRows],
     params: Sequence[object],
     oids: Sequence[int],
     results: tuple[int, ...],
@@ -302,10 +306,10 @@
     offset: int,
     told: tuple[Field, ...] | None,
 ) -> Result:
-    table = GroupTable(plan, parts[0].fields, params, oids, results, told)
-    frames = [frame for part in parts for frame in part.rows]
+    table = GroupTable(plan, shard_results[0].fields, params, oids, results, told)
+    frames = [frame for shard_result in shard_results for frame in shard_result.rows]
     if plan.distinct_first:
-        orders = [types.order_key(f.oid, f.format) for f in parts[0].fields]
+        orders = [types.order_key(f.oid, f.format) for f in shard_results[0].fields]
         first = {
             tuple(None if v is None else o(v) for o, v in zip(orders, read_row(f), strict=True)): f
             for f in frames
--- a/tansycrank/merge/work.py
+++ b/tansycrank/merge/work.py
@@ -23,11 +23,16 @@
         self,
         fields: tuple[Field, ...],
         source: Pulled,
-        parts: Sequence[ShardRowStream],
+        shard_results: Sequence[ShardRowStream],
         memory: Memory,
         worker: Worker,
     ) -> None:
-        self.fields, self.parts, self.memory, self.worker = fields, parts, memory, worker
+        self.fields, self.shard_results, self.memory, self.worker = (
+            fields,
+            shard_results,
+            memory,
+            worker,
+        )
         self.on_ready: Callable[[], None] = lambda: None
         self.error: PgError | None = None
         self.finished = self.closed = False
@@ -35,8 +40,8 @@
         self._source = source
         self._out: deque[bytes] = deque()
         self._size = 0
-        for part in parts:
-            part.on_data = self.wake
+        for shard_result in shard_results:
+            shard_result.on_data = self.wake
         worker.wake(self)
 
     def wake(self) -> None:
@@ -132,8 +137,8 @@
         self._out.clear()
         self.memory.table(-self._size)
         self._size = 0
-        for part in self.parts:
-            part.on_data = lambda: None
+        for shard_result in self.shard_results:
+            shard_result.on_data = lambda: None
         self.memory.close()
 
 
--- a/tests/test_merge.py
+++ b/tests/test_merge.py
@@ -71,14 +71,14 @@
         limit=Scalar(limit),
         offset=Scalar(offset),
     )
-    got = texts(merge(plan, [rows(INTS, *part) for part in split], (), (), ()))
+    got = texts(merge(plan, [rows(INTS, *shard_result) for shard_result in split], (), (), ()))
 
     def key(row):
         value = row[0]
         rank = (0 if nulls_first else 2) if value is None else 1
         return rank, -(value or 0) if descending else (value or 0), row[1]
 
-    wanted = sorted((row for part in split for row in part), key=key)[offset:]
+    wanted = sorted((row for shard_result in split for row in shard_result), key=key)[offset:]
     wanted = wanted if limit is None else wanted[:limit]
     assert got == [tuple(None if v is None else str(v) for v in row) for row in wanted]
 
@@ -98,17 +98,17 @@
 )
 def test_groups_over_parts_are_the_groups_of_all(split):
     fields = (Field("k", types.NUMERIC), Field("s", types.INT8), Field("n", types.INT8))
-    parts = []
-    for part in split:
+    shard_results = []
+    for shard_result in split:
         sums: dict = {}
-        for key, value in part:
+        for key, value in shard_result:
             name = "1.0" if key == "1.00" else key
             total, number = sums.get(name, (None, 0))
             sums[name] = (
                 total if value is None else (total or 0) + value,
                 number + (value is not None),
             )
-        parts.append(rows(fields, *((k, s, n) for k, (s, n) in sums.items())))
+        shard_results.append(rows(fields, *((k, s, n) for k, (s, n) in sums.items())))
     plan = MergePlan(
         "grouped",
         sort=(SortKey(0),),
@@ -116,10 +116,10 @@
         aggregates=(Aggregate("sum", (1,)), Aggregate("avg", (1, 2))),
         outputs=(Output("k", ("group", 0)), Output("s", ("agg", 0)), Output("a", ("agg", 1))),
     )
-    got = texts(merge(plan, parts, (), (), ()))
+    got = texts(merge(plan, shard_results, (), (), ()))
     wanted: dict = {}
-    for part in split:
-        for key, value in part:
+    for shard_result in split:
+        for key, value in shard_result:
             wanted.setdefault("1.0" if key == "1.00" else key, []).append(value)
     assert len(got) == len(wanted)
     for key, total, mean in got:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -48,7 +48,7 @@
     return memory
 
 
-def part(memory, rows, fields=FIELDS, cut=7):
+def shard_result(memory, rows, fields=FIELDS, cut=7):
     stream = ShardRowStream(memory)
     stream.fields = fields
     for start in range(0, len(rows), cut):
@@ -72,7 +72,9 @@
     keeper = Keeper(16 * MIB, 8 * MIB, space, lambda: 0.0)
     memory = tight(keeper.open(False), 700) if little else keeper.open(False)
     key = op.key_maker((SortKey(0), SortKey(1)), FIELDS)
-    got = drain(op.external_sort(op.concat([part(memory, rows) for rows in split]), key, memory))
+    got = drain(
+        op.external_sort(op.concat([shard_result(memory, rows) for rows in split]), key, memory)
+    )
     wanted = sorted((r for rows in split for r in rows), key=pg_key)
     assert got == [(None if a is None else str(a), b) for a, b in wanted]
     memory.close()
@@ -93,19 +95,23 @@
             0
         ] or 0
 
-    parts = [sorted(rows, key=rank) for rows in split]
-    got = drain(op.merge_sorted([op.part_source(part(memory, rows), key) for rows in parts]))
+    shard_results = [sorted(rows, key=rank) for rows in split]
+    got = drain(
+        op.merge_sorted(
+            [op.shard_source(shard_result(memory, rows), key) for rows in shard_results]
+        )
+    )
     wanted = sorted(
-        (r for rows in parts for r in rows), key=rank
+        (r for rows in shard_results for r in rows), key=rank
     )  # stable: ties by part, then by arrival
     assert got == [(None if a is None else str(a), b) for a, b in wanted]
 
 
 def test_a_part_in_another_order_is_an_error_not_a_wrong_answer(keeper):
     key = op.key_maker((SortKey(0),), FIELDS)
-    stream = part(keeper.open(True), [(n, "x") for n in (1, 2, 5, 4)], cut=2)
+    stream = shard_result(keeper.open(True), [(n, "x") for n in (1, 2, 5, 4)], cut=2)
     with pytest.raises(PgError) as problem:
-        drain(op.merge_sorted([op.part_source(stream, key)]))
+        drain(op.merge_sorted([op.shard_source(stream, key)]))
     assert "another order" in str(problem.value)
 
 
@@ -116,7 +122,9 @@
     )
     memory = keeper.open(False)
     key = op.key_maker((SortKey(0), SortKey(1)), FIELDS)
-    rows = op.top(op.concat([part(memory, rows) for rows in split]), key, limit + offset, memory)
+    rows = op.top(
+        op.concat([shard_result(memory, rows) for rows in split]), key, limit + offset, memory
+    )
     got = drain(op.limited(rows, limit, offset))
     wanted = sorted((r for rows in split for r in rows), key=pg_key)[offset : offset + limit]
     assert got == [(None if a is None else str(a), b) for a, b in wanted]
@@ -137,9 +145,9 @@
         aggregates=(Aggregate("sum", (1,)), Aggregate("max", (1,))),
         outputs=(Output("k", ("group", 0)), Output("s", ("agg", 0)), Output("m", ("agg", 1))),
     )
-    parts = [part(memory, rows, fields) for rows in split]
+    shard_results = [shard_result(memory, rows, fields) for rows in split]
     try:
-        _, pulled = build(plan, parts, (), (), (), None, memory)
+        _, pulled = build(plan, shard_results, (), (), (), None, memory)
         got = {int(k): (int(s), int(m)) for k, s, m in drain(pulled)}
     except (
         PgError
@@ -158,11 +166,11 @@
 def test_distinct_treats_equal_numerics_as_one_and_null_as_one(keeper):
     fields = (Field("n", types.NUMERIC),)
     memory = tight(keeper.open(False), 300)
-    parts = [
-        part(memory, [("1.0",), (None,), ("2",)], fields),
-        part(memory, [("1.00",), (None,)], fields),
+    shard_results = [
+        shard_result(memory, [("1.0",), (None,), ("2",)], fields),
+        shard_result(memory, [("1.00",), (None,)], fields),
     ]
-    _, pulled = build(MergePlan(distinct=True), parts, (), (), (), None, memory)
+    _, pulled = build(MergePlan(distinct=True), shard_results, (), (), (), None, memory)
     assert sorted(drain(pulled), key=str) == [("1.0",), ("2",), (None,)]
 
 
@@ -204,7 +212,7 @@
 
 def test_taking_a_few_rows_at_a_time_loses_none(keeper):
     memory = keeper.open(True)
-    stream, calls = part(memory, [(n, "x") for n in range(100)]), []
+    stream, calls = shard_result(memory, [(n, "x") for n in range(100)]), []
     rows = RowStream(
         FIELDS, op.concat([stream]), [stream], memory, Worker(calls.append, lambda: 0.0)
     )
