--- a/tansycrank/http_router/settings.py
+++ b/tansycrank/http_router/settings.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from tansycrank import routing
-from tansycrank.simulator_protocol import settings_from
+from tansycrank.operator_settings import settings_from
 
 # Bounds of what a router holds for its peers. None of them routes anything.
 MAX_BODY = 64 * 1024  # bytes of a client's request, as the protocol says
--- a/tansycrank/simulator_adapter.py
+++ b/tansycrank/simulator_adapter.py
@@ -8,7 +8,7 @@
 import sys
 from typing import BinaryIO
 
-from tansycrank import simulator_protocol
+from tansycrank import operator_settings, simulator_protocol
 from tansycrank.routing.policy import RoutingPolicy
 
 
@@ -26,11 +26,11 @@
         batches: dict[int, list] = {}
         actions: list[tuple[int, object]] = []
         for instance, record in records:
-            if isinstance(record, simulator_protocol.Killed):
+            if isinstance(record, simulator_protocol.InstanceKilled):
                 self._routers.pop(instance, None)
                 self._broken.discard(instance)
                 batches.pop(instance, None)
-            elif isinstance(record, simulator_protocol.Attached):
+            elif isinstance(record, simulator_protocol.InstanceStarted):
                 self._attach(instance, record, actions)
                 batches[instance] = []
             elif instance not in self._broken:
@@ -47,12 +47,14 @@
                 self._break(instance, f"{type(error).__name__}: {error}{_place(error)}", actions)
         return simulator_protocol.encode(actions)
 
-    def _attach(self, instance: int, record: simulator_protocol.Attached, actions: list) -> None:
+    def _attach(
+        self, instance: int, record: simulator_protocol.InstanceStarted, actions: list
+    ) -> None:
         self._broken.discard(instance)
         self._routers.pop(instance, None)
         try:
             self._routers[instance] = RoutingPolicy(
-                simulator_protocol.settings_from(record.info), record.seed
+                operator_settings.settings_from(record.info), record.seed
             )
         except (ValueError, TypeError) as error:
             self._break(instance, str(error), actions)
@@ -60,7 +62,7 @@
     def _break(self, instance: int, text: str, actions: list) -> None:
         self._broken.add(instance)
         self._routers.pop(instance, None)
-        actions.append((instance, simulator_protocol.Broken(text)))
+        actions.append((instance, simulator_protocol.InstanceFailed(text)))
 
 
 def _place(error: BaseException) -> str:
--- a/tansycrank/simulator_protocol.py
+++ b/tansycrank/simulator_protocol.py
@@ -2,10 +2,8 @@
 
 from __future__ import annotations
 
-import json
-import math
 import struct
-from collections.abc import Container, Iterable, Mapping
+from collections.abc import Iterable
 from dataclasses import dataclass
 
 from tansycrank import routing
@@ -70,11 +68,6 @@
     2: routing.EndpointListKind.DELTA,
     3: routing.EndpointListKind.CACHED,
 }
-EFFECTS = {
-    "read_like": routing.Idempotency.IDEMPOTENT,
-    "idempotency_key": routing.Idempotency.WITH_KEY,
-    "non_idempotent": routing.Idempotency.NOT_IDEMPOTENT,
-}
 REPEAT_BIT = 2
 
 
@@ -83,7 +76,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Attached:
+class InstanceStarted:
     """A fresh instance, with its seed and the text of its settings."""
 
     seed: int
@@ -91,12 +84,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Killed:
+class InstanceKilled:
     """The instance is no more."""
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class InstanceFailed:
     """The decision code of an instance has failed."""
 
     text: str
@@ -147,7 +140,7 @@
                 shard_request,
                 attempt,
                 endpoint,
-                _known(OUTCOMES, ended, "disposition", where),
+                _look_up(OUTCOMES, ended, "disposition", where),
                 latency,
                 bool(closed),
                 tuple(load[:count]),
@@ -158,39 +151,41 @@
             return routing.QueryCancelled(*fields)
         if code == VIEW:
             scope, _version, number = fields
-            kind = _known(LIST_KINDS, scope, "scope", where)
+            kind = _look_up(LIST_KINDS, scope, "scope", where)
             if kind is routing.EndpointListKind.FAILED:
                 return routing.EndpointListUpdate(kind)
-            return routing.EndpointListUpdate(kind, _known(self._lists, number, "buffer", where))
+            return routing.EndpointListUpdate(kind, _look_up(self._lists, number, "buffer", where))
         if code == ATTACH:
             seed, offset, length = fields
             try:
-                return Attached(seed, _slice(tail, offset, length, where).decode("utf-8"))
+                return InstanceStarted(
+                    seed, _slice_of_tail(tail, offset, length, where).decode("utf-8")
+                )
             except UnicodeDecodeError as error:
                 raise FrameError(f"{where}: info is not UTF-8: {error}") from error
         if code == CRASH_NOW:
-            return Killed()
+            return InstanceKilled()
         if code == PROBE_RESULT:
             ended, endpoint, latency, count, *load = fields
             return routing.HealthCheckEnded(
                 endpoint,
-                _known(OUTCOMES, ended, "disposition", where),
+                _look_up(OUTCOMES, ended, "disposition", where),
                 latency,
                 tuple(load[:count]),
             )
         if code == FROM_PEER:
             peer, offset, length = fields
-            return routing.GossipReceived(peer, _slice(tail, offset, length, where))
+            return routing.GossipReceived(peer, _slice_of_tail(tail, offset, length, where))
         return routing.ResponseStarted(*fields)
 
     @staticmethod
     def _entries(
         tail: bytes, offset: int, count: int, where: str
     ) -> tuple[routing.EndpointEntry, ...]:
-        raw = _slice(tail, offset, count * ENTRY.size, where)
+        raw = _slice_of_tail(tail, offset, count * ENTRY.size, where)
         return tuple(
             routing.EndpointEntry(
-                endpoint, cell, zone, _known(STATUSES, status, "status", where), came_up, hint
+                endpoint, cell, zone, _look_up(STATUSES, status, "status", where), came_up, hint
             )
             for _shape, hint, endpoint, zone, status, came_up, cell in ENTRY.iter_unpack(raw)
         )
@@ -205,7 +200,7 @@
     return routing.ShardRequestArrived(job, int(number), int(shard), measure, key)
 
 
-def _slice(tail: bytes, offset: int, length: int, where: str) -> bytes:
+def _slice_of_tail(tail: bytes, offset: int, length: int, where: str) -> bytes:
     if offset + length > len(tail):
         raise FrameError(
             f"{where}: bytes {offset} to {offset + length} lie beyond the tail of {len(tail)} bytes"
@@ -213,7 +208,7 @@
     return tail[offset : offset + length]
 
 
-def _known(table: dict, value: int, field: str, where: str) -> object:
+def _look_up(table: dict, value: int, field: str, where: str) -> object:
     if value not in table:
         raise FrameError(f"{where}: unknown {field} {value}")
     return table[value]
@@ -234,7 +229,7 @@
         return _encode_gossip(instance, action, tail)
     if isinstance(action, routing.LogMessage):
         return _text(NOTE_DOWN, instance, action.text, tail)
-    if isinstance(action, Broken):
+    if isinstance(action, InstanceFailed):
         return _text(BROKEN, instance, action.text, tail)
     if type(action) not in _ACTIONS:
         raise TypeError(f"not an action: {action!r}")
@@ -273,178 +268,3 @@
     record = struct.pack("<BHII", code, instance, len(tail), len(raw))
     tail += raw
     return record
-
-
-_FIELDS = (  # of `interface.Settings`: the group of the settings object, the key there, what it is
-    ("router_index", "", "me", "count"),
-    ("routers", "", "replicasOfMe", "count"),
-    ("zone", "", "zone", "count"),
-    ("tick", "", "step", "number"),
-    ("shards", "familyInfo", "slabs", "count"),
-    ("cells", "familyInfo", "positions", "count"),
-    ("replica_span", "familyInfo", "inARow", "count"),
-    ("call_batch_size", "familyInfo", "bundleMax", "count"),
-    ("call_work", "familyInfo", "perCallWork", "number"),
-    ("max_attempts", "caps", "attemptsCap", "count"),
-    ("allows_hedging", "caps", "secondCopies", "flag"),
-    ("can_cancel", "caps", "cancel", "flag"),
-    ("can_check_health", "caps", "mayProbe", "flag"),
-    ("can_gossip", "caps", "peers", "flag"),
-    ("can_retry_after", "caps", "retryAfter", "flag"),
-    ("max_retry_after", "caps", "maxRetryAfter", "number"),
-    ("max_in_flight", "caps", "openCap", "count"),
-    ("marks_retries", "clients", "marksRetry", "flag"),
-    ("poll_interval", "rules", "askEvery", "number"),
-    ("answer_grace", "rules", "graceToAnswer", "number"),
-    ("drain_grace", "rules", "stopSendingWithin", "number"),
-    ("slow_start_overload_factor", "rules", "overloadFactor", "number"),
-    ("slow_start_window", "rules", "fall", "number"),
-    ("slow_start_initial_share", "rules", "coldFrom", "number"),
-    ("slow_start_duration", "rules", "cold", "number"),
-    ("price_crossing", "prices", "crossZone", "number"),
-    ("price_waste", "prices", "waste", "number"),
-    ("price_probe", "prices", "probe", "number"),
-    ("price_late_fail", "prices", "lateFail", "number"),
-)
-_BUDGET = (
-    ("budget_floor", "rules", "extraFloor", "number"),
-    ("budget_share", "rules", "repeatRatio", "number"),
-    ("budget_window", "rules", "countedOver", "number"),
-)
-_CLASS_FIELDS = (
-    ("latency_objective", "aim"),
-    ("deadline", "giveUp"),
-    ("priority_weight", "points"),
-    ("late_weight", "lateWorth"),
-    ("dedup_window", "window"),
-)
-_CLASS_SHARES = (
-    ("minimum_coverage", "minShare"),
-    ("complete_coverage", "wholeAt"),
-    ("partial_weight", "shortWorth"),
-    ("follow_up", "followUp"),
-)
-
-
-def settings_from(info: str) -> routing.Settings:
-    """Read the settings text of an instance; ValueError names the place of what is missing or
-    absurd.
-    """
-    try:
-        raw = json.loads(info)
-    except json.JSONDecodeError as error:
-        raise ValueError(f"settings: not JSON: {error}") from error
-    root = _Node(raw, "settings")
-    groups = {
-        name: root.node(name) for name in ("familyInfo", "caps", "clients", "rules", "prices")
-    }
-    groups[""] = root
-    budget = any(
-        key in groups["rules"].raw for _, _, key, _ in _BUDGET
-    )  # danger: half of one taken for none
-    fields = _FIELDS + (_BUDGET if budget else ())
-    told = {name: getattr(groups[group], kind)(key) for name, group, key, kind in fields}
-    places = {name: f"{groups[group].path}.{key}" for name, group, key, _ in fields}
-    classes = tuple(
-        _class(groups["familyInfo"], node, index)
-        for index, node in enumerate(root.items("services"))
-    )
-    places |= {"classes": "settings.services", "zones": "settings.localities"}
-    polls_discovery = root.word("discovery", ("ask", "push")) == "ask"
-    zones = len(root.listed("localities"))
-    return _made(
-        routing.Settings,
-        places,
-        classes=classes,
-        zones=zones,
-        polls_discovery=polls_discovery,
-        **told,
-    )
-
-
-def _class(family: _Node, node: _Node, index: int) -> routing.QueryClass:
-    told: dict[str, object] = {name: node.number(key) for name, key in _CLASS_FIELDS}
-    places = {name: f"{node.path}.{key}" for name, key in _CLASS_FIELDS}
-    for name, key in _CLASS_SHARES:
-        values, places[name] = family.listed(key), f"{family.path}.{key}[{index}]"
-        if index >= len(values):
-            raise ValueError(f"{places[name]}: no figure for class {index}")
-        told[name] = _number(values[index], places[name])
-    _count(told["follow_up"], places["follow_up"])
-    return _made(
-        routing.QueryClass, places, idempotency=EFFECTS[node.word("effect", EFFECTS)], **told
-    )
-
-
-def _made(kind: type, places: Mapping[str, str], **told: object):
-    """A record of these values; what it does not take is told with the place that it came from."""
-    try:
-        return kind(**told)
-    except ValueError as problem:
-        name, colon, rest = str(problem).partition(":")
-        raise ValueError(f"{places.get(name, name)}{colon}{rest}") from problem
-
-
-def _number(value: object, path: str) -> float:
-    if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
-        raise ValueError(f"{path}: a number is needed, got {value!r:.40}")
-    return value
-
-
-def _count(value: object, path: str) -> int:
-    number = _number(value, path)
-    if number != int(number):
-        raise ValueError(f"{path}: a whole number is needed, got {number}")
-    return int(number)
-
-
-class _Node:
-    """A JSON object that knows its own path, so that a fault can name it."""
-
-    def __init__(self, raw: object, path: str) -> None:
-        if not isinstance(raw, dict):
-            raise ValueError(f"{path}: an object is needed, got {type(raw).__name__}")
-        self.raw = raw
-        self.path = path
-
-    def __getitem__(self, key: str) -> object:
-        if key not in self.raw:
-            raise ValueError(f"{self.path}.{key}: required key is missing")
-        return self.raw[key]
-
-    def node(self, key: str) -> _Node:
-        """The object under this key."""
-        return _Node(self[key], f"{self.path}.{key}")
-
-    def number(self, key: str) -> float:
-        """A finite number."""
-        return _number(self[key], f"{self.path}.{key}")
-
-    def count(self, key: str) -> int:
-        """A whole number."""
-        return _count(self[key], f"{self.path}.{key}")
-
-    def flag(self, key: str) -> bool:
-        """True or false, or 1 or 0."""
-        if self[key] not in (True, False):
-            raise ValueError(f"{self.path}.{key}: true or false is needed, got {self[key]!r:.40}")
-        return bool(self[key])
-
-    def word(self, key: str, known: Container[str]) -> str:
-        """One of the words that are known."""
-        if not isinstance(self[key], str) or self[key] not in known:
-            raise ValueError(f"{self.path}.{key}: unknown word {self[key]!r:.40}")
-        return self[key]
-
-    def listed(self, key: str) -> list:
-        """A list."""
-        if not isinstance(self[key], list):
-            raise ValueError(f"{self.path}.{key}: a list is needed, got {self[key]!r:.40}")
-        return self[key]
-
-    def items(self, key: str) -> list[_Node]:
-        """The objects of a list."""
-        return [
-            _Node(value, f"{self.path}.{key}[{index}]")
-            for index, value in enumerate(self.listed(key))
-        ]
--- a/tests/test_edge_forms.py
+++ b/tests/test_edge_forms.py
@@ -12,7 +12,7 @@
 import msgspec
 import pytest
 
-from tansycrank import config, simulator_protocol
+from tansycrank import config, operator_settings, simulator_protocol
 from tansycrank.discovery import endpoint_view
 from tansycrank.http_router import discovery_client, frames, request_codec, settings
 from tansycrank.merge.spill import SpillSpace
@@ -82,7 +82,7 @@
 
 
 def test_the_simulator_s_settings_keep_their_keys():
-    told = set(re.findall(r'"([A-Za-z_]+)"', Path(simulator_protocol.__file__).read_text()))
+    told = set(re.findall(r'"([A-Za-z_]+)"', Path(operator_settings.__file__).read_text()))
     wanted = [
         "familyInfo",
         "caps",
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tansycrank import routing, simulator_protocol
+from tansycrank import operator_settings, routing, simulator_protocol
 
 ROOT = Path(__file__).parent.parent
 EMPTY = bytes.fromhex("1000000000000000206ec04000000000")
@@ -188,8 +188,8 @@
         == bytes.fromhex("31000000010000004603000000000011000000").ljust(32, b"\0")
         + b"two servers known"
     )
-    told = simulator_protocol.encode([(3, routing.SendGossip(None, b"hi 7"))])
-    assert told[8:20].hex() == "420300ffffffff0000000004" and told.endswith(b"hi 7")
+    arguments = simulator_protocol.encode([(3, routing.SendGossip(None, b"hi 7"))])
+    assert arguments[8:20].hex() == "420300ffffffff0000000004" and arguments.endswith(b"hi 7")
 
 
 @pytest.mark.parametrize(
@@ -210,17 +210,17 @@
 
 
 def test_settings_are_read_and_a_missing_key_is_named():
-    cfg = simulator_protocol.settings_from(json.dumps(INFO))
+    cfg = operator_settings.settings_from(json.dumps(INFO))
     assert cfg.budget_window is None and cfg.classes[0].follow_up == 5 and not cfg.polls_discovery
     for table, key in (("rules", "coldFrom"), ("caps", "openCap"), ("familyInfo", "slabs")):
         broken = json.loads(json.dumps(INFO))
         del broken[table][key]
         with pytest.raises(ValueError, match=f"settings.{table}.{key}"):
-            simulator_protocol.settings_from(json.dumps(broken))
+            operator_settings.settings_from(json.dumps(broken))
     broken = json.loads(json.dumps(INFO))
     del broken["services"][0]["aim"]
     with pytest.raises(ValueError, match=r"settings.services\[0\].aim"):
-        simulator_protocol.settings_from(json.dumps(broken))
+        operator_settings.settings_from(json.dumps(broken))
 
 
 def test_host_serves_several_instances_and_ends_quietly():
