--- /dev/null
+++ b/tansycrank/http_router/listing_reader.py
@@ -0,0 +1,80 @@
+"""Incremental reading of the JSON objects on a discovery watch. No I/O."""
+
+from __future__ import annotations
+
+import re
+
+import msgspec
+
+from tansycrank.errors import TansycrankError
+from tansycrank.http_router.settings import Listing
+
+MAX_LISTING_BYTES = 4 * 1024 * 1024
+
+_DECODER = msgspec.json.Decoder(Listing)
+_STRING_OR_BRACKET = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')  # brackets in strings don't count
+
+
+class ListingError(TansycrankError):
+    """The bytes are no listing."""
+
+
+def decode_listing(data: bytes) -> Listing:
+    """Decode one complete JSON object; ListingError if it is no listing."""
+    try:
+        return _DECODER.decode(data)
+    except ValueError as error:
+        raise ListingError(str(error)) from error
+
+
+class ListingReader:
+    """Joins lines into listings: an object may take one line or, indented, several."""
+
+    def __init__(self) -> None:
+        self._lines: list[bytes] = []
+        self._depth = 0  # of open brackets
+        self._size = 0  # bytes
+
+    def feed(self, line: bytes) -> Listing | None:
+        """Return the listing that this line completes, if it does.
+
+        Raise ListingError for a line that cannot belong to one. An empty line between objects is a
+        heartbeat. At most `MAX_LISTING_BYTES` are held.
+        """
+        line = line.strip()
+        if not line:
+            if self._lines:
+                raise ListingError("an empty line within an object")
+            return None
+        self._append(line)
+        if self._depth > 0:
+            self._check_unfinished()
+            return None
+        complete = b"\n".join(self._lines)
+        self._lines, self._depth, self._size = [], 0, 0
+        return decode_listing(complete)
+
+    def _append(self, line: bytes) -> None:
+        for token in _STRING_OR_BRACKET.findall(line):
+            self._depth += (token in b"{[") - (token in b"}]")
+        self._lines.append(line)
+        self._size += len(line)
+
+    def _check_unfinished(self) -> None:
+        if self._size > MAX_LISTING_BYTES:
+            raise ListingError("an object without an end")
+        if len(self._lines) == 1:
+            _check_beginning(self._lines[0])
+
+
+def _check_beginning(line: bytes) -> None:
+    """Raise ListingError if no listing can begin with this line, whatever follows."""
+    try:
+        _DECODER.decode(line)
+    except ValueError as error:
+        if isinstance(error, msgspec.ValidationError) or not _is_truncated(error):
+            raise ListingError(str(error)) from error
+
+
+def _is_truncated(error: ValueError) -> bool:
+    return isinstance(error, msgspec.DecodeError) and "truncated" in str(error)
--- a/tests/http_router/test_discovery.py
+++ b/tests/http_router/test_discovery.py
@@ -109,7 +109,7 @@
         2: routing.EndpointStatus.IN_SERVICE,
         4: routing.EndpointStatus.IN_SERVICE,
     }
-    assert len(live.discovery) == 2 and not live.daemon.discovery.calls
+    assert len(live.discovery) == 2 and live.daemon.discovery.poll is None
 
 
 def test_beats_keep_a_watch(live):
@@ -393,7 +393,7 @@
     call.say(b'HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{"version":9,"full":true,"servers":[]}')
     call.transport.end()
     live.run(0)
-    assert len(states(live)) == 3 and not live.daemon.discovery.calls
+    assert len(states(live)) == 3 and live.daemon.discovery.poll is None
 
 
 @pytest.mark.parametrize("apart", [0.0, 3_600_000.0, -3_600_000.0])
