--- a/tansycrank/http_router/endpoint_directory.py
+++ b/tansycrank/http_router/endpoint_directory.py
@@ -1,107 +1,163 @@
-"""Names of data nodes and zones to the module's integers, and discovery's lists to its events."""
+"""Maps discovery's ids, words and lists to the routing policy's numbers and events. No I/O."""
 
 from __future__ import annotations
 
-from dataclasses import replace
+from collections.abc import Mapping
+from dataclasses import dataclass, replace
+from typing import NamedTuple
 
-from tansycrank import routing
 from tansycrank.http_router.settings import Entry, Listing
+from tansycrank.routing import (
+    EndpointEntry,
+    EndpointListKind,
+    EndpointListUpdate,
+    EndpointStatus,
+)
 from tansycrank.routing.start_times import FIRST, LONG_AGO, Start, StartTimes
 
-STATES = {
-    "in_service": routing.EndpointStatus.IN_SERVICE,
-    "terminating": routing.EndpointStatus.DRAINING,
-    "terminated": routing.EndpointStatus.REMOVED,
+TERMINATED = "terminated"
+STATUSES = {
+    "in_service": EndpointStatus.IN_SERVICE,
+    "terminating": EndpointStatus.DRAINING,
+    TERMINATED: EndpointStatus.REMOVED,
 }
-UNKNOWN = (
-    routing.EndpointStatus.DRAINING
-)  # a state that the protocol does not name: it may not want anything new
-NO_START = Start(LONG_AGO, FIRST)  # of a node that is gone: it gets nothing
-FORGET = (
-    60_000.0  # ms a node that is gone keeps its number, so that one that comes back is the same
-)
+STATUS_OF_UNKNOWN_STATE = EndpointStatus.DRAINING  # it may not want anything new
+START_OF_REMOVED = Start(LONG_AGO, FIRST)
+REMOVED_RETENTION_MS = 60_000.0  # within which a node that comes back keeps its number
+MAX_EXAMPLE_LENGTH = 40  # characters of a word shown in the log
+
+
+class DirectoryUpdate(NamedTuple):
+    """The event for the policy, and the addresses by endpoint, "" for a removed one."""
+
+    event: EndpointListUpdate
+    addresses: dict[int, str]
+
+
+@dataclass(slots=True)
+class _Node:
+    """What is known of one node: its number, its last entry, and when it was removed (ms)."""
+
+    number: int
+    entry: EndpointEntry | None = None
+    removed_at: float | None = None
+
+    @property
+    def is_removed(self) -> bool:
+        """Whether discovery no longer lists it."""
+        return self.removed_at is not None
+
+    def has_expired(self, now: float) -> bool:
+        """Whether it was removed so long ago that its number may be forgotten."""
+        return self.is_removed and now - self.removed_at >= REMOVED_RETENTION_MS
 
 
 class EndpointDirectory:
-    """Numbers are never used twice. It holds the nodes listed, and those gone for less than
-    `FORGET`.
+    """The nodes listed, and those removed less than `REMOVED_RETENTION_MS` ago.
+
+    A number is never given to a second node. Instants are ms of the reactor's clock.
     """
 
     def __init__(self, zones: tuple[str, ...]) -> None:
+        self.version = -1
         self._zones = {zone: index for index, zone in enumerate(zones)}
-        self._numbers: dict[str, int] = {}
-        self._gone: dict[str, float] = {}  # when it went, ms
-        self._listed: dict[str, routing.EndpointEntry] = {}  # as last told to the policy
-        self._last = 0
+        self._nodes: dict[str, _Node] = {}
+        self._last_number = 0
         self._starts = StartTimes()
-        self.version = -1
 
     def __len__(self) -> int:
-        return len(self._numbers)
-
-    def _dated(self, id: str, start: Start) -> routing.EndpointEntry:
-        """A node that was not told of now, with a start that is known better."""
-        self._listed[id] = replace(self._listed[id], started_at=start.at)
-        return self._listed[id]
+        return len(self._nodes)
 
     def unchanged(self, now: float) -> None:
-        """Discovery says on its watch that nothing changed; `now` is ms of the reactor's clock."""
+        """Note that discovery reported no change on its watch."""
         self._starts.heard(now)
 
     def oddities(self, listing: Listing) -> dict[str, str]:
-        """What a listing holds that the protocol does not foresee: how often, and an example each."""
+        """Return what the protocol does not foresee in a listing: how often, and an example."""
         seen: set[str] = set()
         twice = [entry.id for entry in listing.servers if entry.id in seen or seen.add(entry.id)]
-        unknown = [entry.state for entry in listing.servers if entry.state not in STATES]
-        found: dict[str, str] = {}
+        unknown = [entry.state for entry in listing.servers if entry.state not in STATUSES]
+        problems: dict[str, str] = {}
         if unknown:
-            found["unknown_states"] = f"{len(unknown)}, {unknown[0][:40]!r}"
+            problems["unknown_states"] = _count_and_example(unknown)
         if twice:
-            found["named_twice"] = f"{len(twice)}, {twice[0][:40]!r}"
-        return found
-
-    def heard(
-        self, listing: Listing, kind: routing.EndpointListKind, now: float
-    ) -> tuple[routing.EndpointListUpdate, dict[int, str]]:
-        """The event for the module, and the addresses told, "" for a node that is gone."""
-        entries = list(
-            {entry.id: entry for entry in listing.servers}.values()
-        )  # the last of a name counts
-        if kind is not routing.EndpointListKind.DELTA:
-            standing = {entry.id for entry in entries}
-            entries += [Entry(id, "terminated") for id in self._numbers if id not in standing]
-        started = {entry.id: entry.started_ms for entry in entries if entry.state != "terminated"}
-        starts = self._starts.listed(started, now, cached=kind is routing.EndpointListKind.CACHED)
-        places = {}
-        listed = [
-            self._dated(id, start)
-            for id, start in starts.items()
-            if id not in started and id not in self._gone
-        ]
+            problems["named_twice"] = _count_and_example(twice)
+        return problems
+
+    def heard(self, listing: Listing, kind: EndpointListKind, now: float) -> DirectoryUpdate:
+        """Apply a listing."""
+        entries = self._complete_entries(listing, kind)
+        started = {entry.id: entry.started_ms for entry in entries if entry.state != TERMINATED}
+        is_cached = kind is EndpointListKind.CACHED
+        starts = self._starts.listed(started, now, cached=is_cached)
+        updated = self._redate_unlisted(starts, started)
+        addresses: dict[int, str] = {}
         for entry in entries:
-            status = STATES.get(entry.state, UNKNOWN)
-            if entry.id not in self._numbers:
-                if status is routing.EndpointStatus.REMOVED:
-                    continue
-                self._last += 1
-                self._numbers[entry.id] = self._last
-            number = self._numbers[entry.id]
-            if status is routing.EndpointStatus.REMOVED:
-                self._gone.setdefault(entry.id, now)
-                places[number] = ""
-            else:
-                self._gone.pop(entry.id, None)
-                places[number] = entry.addr
-            zone = self._zones.get(entry.zone, len(self._zones))
-            start = starts.get(entry.id, NO_START)
-            told = routing.EndpointEntry(
-                number, entry.cell, zone, status, start.at, entry.weight, start.incarnation
-            )
-            self._listed[entry.id] = told
-            listed.append(told)
-        forgotten = [id for id, went in self._gone.items() if now - went >= FORGET]
-        for id in forgotten:
-            del self._gone[id], self._numbers[id], self._listed[id]
-        self._starts.forget(forgotten)
+            node = self._update_node(entry, now)
+            if node is None:
+                continue
+            node.entry = self._to_endpoint_entry(entry, node.number, starts)
+            addresses[node.number] = "" if node.is_removed else entry.addr
+            updated.append(node.entry)
+        self._forget_expired(now)
         self.version = listing.version
-        return routing.EndpointListUpdate(kind, tuple(listed)), places
+        return DirectoryUpdate(EndpointListUpdate(kind, tuple(updated)), addresses)
+
+    def _complete_entries(self, listing: Listing, kind: EndpointListKind) -> list[Entry]:
+        """Return one entry a node, the last of each id; a whole list removes those it lacks."""
+        by_id = {entry.id: entry for entry in listing.servers}
+        entries = list(by_id.values())
+        if kind is not EndpointListKind.DELTA:
+            entries += [Entry(id, TERMINATED) for id in self._nodes if id not in by_id]
+        return entries
+
+    def _redate_unlisted(
+        self, starts: Mapping[str, Start], listed: Mapping[str, float]
+    ) -> list[EndpointEntry]:
+        """Return the entries of nodes not listed now whose start is known better than before."""
+        redated = []
+        for id, start in starts.items():
+            if id in listed or (id in self._nodes and self._nodes[id].is_removed):
+                continue
+            node = self._nodes[id]
+            node.entry = replace(node.entry, started_at=start.at)
+            redated.append(node.entry)
+        return redated
+
+    def _update_node(self, entry: Entry, now: float) -> _Node | None:
+        """Return the record of an entry; None for a removed node that was never known."""
+        is_removed = _status(entry) is EndpointStatus.REMOVED
+        node = self._nodes.get(entry.id)
+        if node is None:
+            if is_removed:
+                return None
+            self._last_number += 1
+            node = self._nodes[entry.id] = _Node(self._last_number)
+        if not is_removed:
+            node.removed_at = None
+        elif not node.is_removed:
+            node.removed_at = now
+        return node
+
+    def _to_endpoint_entry(
+        self, entry: Entry, number: int, starts: Mapping[str, Start]
+    ) -> EndpointEntry:
+        zone = self._zones.get(entry.zone, len(self._zones))
+        start = starts.get(entry.id, START_OF_REMOVED)
+        return EndpointEntry(
+            number, entry.cell, zone, _status(entry), start.at, entry.weight, start.incarnation
+        )
+
+    def _forget_expired(self, now: float) -> None:
+        expired = [id for id, node in self._nodes.items() if node.has_expired(now)]
+        for id in expired:
+            del self._nodes[id]
+        self._starts.forget(expired)
+
+
+def _status(entry: Entry) -> EndpointStatus:
+    return STATUSES.get(entry.state, STATUS_OF_UNKNOWN_STATE)
+
+
+def _count_and_example(words: list[str]) -> str:
+    return f"{len(words)}, {words[0][:MAX_EXAMPLE_LENGTH]!r}"
--- a/tests/http_router/test_discovery.py
+++ b/tests/http_router/test_discovery.py
@@ -10,7 +10,7 @@
 
 from tansycrank import routing
 from tansycrank.http_router import settings as configuration
-from tansycrank.http_router.endpoint_directory import FORGET, EndpointDirectory
+from tansycrank.http_router.endpoint_directory import REMOVED_RETENTION_MS, EndpointDirectory
 from tansycrank.http_router.settings import Entry, Listing
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -150,10 +150,10 @@
     assert event.entries[0].endpoint == 1 and places == {1: "127.0.0.1:7070"}
     heard(30, entry(1, "terminated"))
     for n in range(3, 2000):
-        heard(30 + FORGET * n, entry(n))
-        heard(40 + FORGET * n, entry(n, "terminated"))
+        heard(30 + REMOVED_RETENTION_MS * n, entry(n))
+        heard(40 + REMOVED_RETENTION_MS * n, entry(n, "terminated"))
     assert len(names) <= 3
-    event, _ = heard(FORGET * 3000, entry(1))
+    event, _ = heard(REMOVED_RETENTION_MS * 3000, entry(1))
     assert event.entries[0].endpoint > 1
 
 
