--- a/tansycrank/daemon.py
+++ b/tansycrank/daemon.py
@@ -14,7 +14,8 @@
 
 from tansycrank import clock
 from tansycrank.config import Config
-from tansycrank.discovery.feed_client import EndpointFile, FeedClient
+from tansycrank.discovery.endpoint_file import EndpointFile
+from tansycrank.discovery.feed_client import FeedClient
 from tansycrank.lifecycle import Violation
 from tansycrank.merge.blocks import Keeper
 from tansycrank.merge.spill import SpillSpace
--- /dev/null
+++ b/tansycrank/discovery/endpoint_file.py
@@ -0,0 +1,84 @@
+"""An endpoint list in a file, for small sites; it is read again when it changes."""
+
+from __future__ import annotations
+
+import configparser
+from pathlib import Path
+
+import msgspec
+
+from tansycrank.config import Config
+from tansycrank.discovery.endpoint_source import EndpointSource, Publish
+from tansycrank.discovery.feed_lines import FeedLine, LineKind, NodeLine
+from tansycrank.discovery.view_messages import LineReceived
+from tansycrank.errors import TansycrankError
+from tansycrank.routing import EndpointListKind, EndpointListUpdate
+
+POLL_INTERVAL_SECONDS = 1.0
+FILE_EPOCH = 1
+
+
+class EndpointFileError(TansycrankError):
+    """The file holds something else than nodes; the message names section and key."""
+
+
+class EndpointFile(EndpointSource):
+    """A file of `[node ID]` sections with the keys host, port, cell, zone and status."""
+
+    def __init__(self, reactor, config: Config, pools, publish: Publish, log=None) -> None:
+        super().__init__(reactor, config, pools, publish, log)
+        self.path = Path(config.roster.file)
+        self._modified_ns: int | None = None  # of the file as it was last read
+        self._version = 0
+        self._poll_timer = None
+
+    def watch(self, on: bool) -> None:
+        """Start polling the file when the routing policy asks for it."""
+        if on and self._poll_timer is None:
+            self._poll()
+
+    def stop(self) -> None:
+        """Stop polling."""
+        if self._poll_timer is not None and self._poll_timer.active():
+            self._poll_timer.cancel()
+
+    def _poll(self) -> None:
+        self._poll_timer = self.reactor.callLater(POLL_INTERVAL_SECONDS, self._poll)
+        try:
+            modified_ns = self.path.stat().st_mtime_ns
+            if modified_ns == self._modified_ns:
+                return
+            nodes = read_nodes(self.path)
+        except (OSError, ValueError, configparser.Error, EndpointFileError) as error:
+            self._on_unreadable(error)
+            return
+        self._modified_ns, self._version = modified_ns, self._version + 1
+        line = FeedLine(LineKind.SNAPSHOT.value, self._version, FILE_EPOCH, nodes)
+        for action in self.view.step(self.now_ms(), [LineReceived(line)]):
+            self.carry_out(action)
+
+    def _on_unreadable(self, error: Exception) -> None:
+        """Keep the last list; where there is none yet, the policy requests a watch again."""
+        self.log_problem(f"{self.path}: {error}; the last list stays")
+        if self._modified_ns is None:
+            self.publish(EndpointListUpdate(EndpointListKind.FAILED))
+            self._poll_timer.cancel()
+            self._poll_timer = None
+
+
+def read_nodes(path: Path) -> tuple[NodeLine, ...]:
+    """Return the nodes of an endpoint file; raise EndpointFileError naming section and key."""
+    parser = configparser.ConfigParser(interpolation=None)
+    parser.read_string(path.read_text(encoding="utf-8"), str(path))
+    return tuple(_read_node(parser, section) for section in parser.sections())
+
+
+def _read_node(parser: configparser.ConfigParser, section: str) -> NodeLine:
+    word, _, number = section.partition(" ")
+    if word != "node":
+        raise EndpointFileError(f"[{section}]: only sections [node ID] are allowed")
+    fields = dict(parser[section]) | {"id": number}
+    try:
+        return msgspec.convert(fields, NodeLine, strict=False)
+    except msgspec.ValidationError as error:
+        raise EndpointFileError(f"[{section}]: {error}") from None
--- /dev/null
+++ b/tansycrank/discovery/endpoint_source.py
@@ -0,0 +1,43 @@
+"""The common base of all sources of an endpoint list."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from tansycrank.config import Config
+from tansycrank.discovery.endpoint_view import EndpointView
+from tansycrank.discovery.view_messages import Action, PublishUpdate, RemoveEndpoint, SetAddress
+from tansycrank.routing import EndpointListUpdate
+
+Publish = Callable[[EndpointListUpdate], None]
+
+
+class EndpointSource:
+    """Carries out the view's actions that do not depend on where the list comes from."""
+
+    def __init__(self, reactor, config: Config, pools, publish: Publish, log=None) -> None:
+        """`pools` is given the addresses, `publish` the updates."""
+        section = config.roster
+        self.reactor, self.pools, self.publish, self.log = reactor, pools, publish, log
+        self.view = EndpointView(
+            config.zones, config.store.cells, section.silence_ms, section.max_nodes
+        )
+
+    def now_ms(self) -> float:
+        """Return milliseconds of the reactor's clock."""
+        return self.reactor.seconds() * 1000
+
+    def carry_out(self, action: Action) -> None:
+        """Publish an update or pass on an address; ignore other actions."""
+        match action:
+            case PublishUpdate(update):
+                self.publish(update)
+            case SetAddress(endpoint, host, port):
+                self.pools.place(endpoint, host, port)
+            case RemoveEndpoint(endpoint):
+                self.pools.forget(endpoint)
+
+    def log_problem(self, text: str) -> None:
+        """Log something unexpected about the list."""
+        if self.log:
+            self.log.warning("endpoint_list_problem_seen", odd=text)
--- a/tansycrank/discovery/endpoint_view.py
+++ b/tansycrank/discovery/endpoint_view.py
@@ -1,294 +1,227 @@
-"""Decisions about the list of nodes: what to believe of a feed, late, cut, repeated, reordered or
-new.
+"""Decisions about an endpoint feed whose lines may be late, cut, repeated, reordered or wrong.
 
-No I/O and no clock: `step(now, events) -> actions`. The module decides when to ask (its
-`WatchEndpoints`); this decides what an answer is worth. A feed's versions count within its epoch
-(one life of the roster).
+No I/O and no clock: `step(now, events) -> actions`. A feed's versions count within its epoch, which
+changes when the feed restarts.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
-from dataclasses import dataclass
-
-import msgspec
-
-from tansycrank import routing
-from tansycrank.routing.start_times import Start, StartTimes
-
-STATUSES = {  # the feed's words
-    "ready": routing.EndpointStatus.IN_SERVICE,
-    "draining": routing.EndpointStatus.DRAINING,
-    "gone": routing.EndpointStatus.REMOVED,
-}
-SILENT_ASKS = (
-    2  # beats of the silence bound: at half of it the feed is asked, at the whole it is given up
+from enum import Enum, auto
+
+from tansycrank.discovery.feed_lines import STATUSES, FeedLine, LineKind, NodeLine, Operation
+from tansycrank.discovery.view_messages import (
+    Action,
+    Connect,
+    ConnectionEstablished,
+    ConnectionLost,
+    Disconnect,
+    Event,
+    LineReceived,
+    LogProblem,
+    PublishUpdate,
+    RemoveEndpoint,
+    SendRequest,
+    SetAddress,
+    SetTimer,
+    TimerExpired,
+    WatchRequested,
 )
+from tansycrank.routing import EndpointEntry, EndpointListKind, EndpointListUpdate
+from tansycrank.routing.start_times import Start, StartTimes
 
-
-class NodeLine(msgspec.Struct, frozen=True):
-    """One node as the feed names it; `started` is Unix time in ms, 0 for long ago."""
-
-    id: int
-    host: str
-    port: int
-    cell: int
-    zone: str
-    status: str = "ready"
-    started: float = 0.0
-
-
-class FeedLine(msgspec.Struct, frozen=True):
-    """One line of a feed: "full", "changes" or "beat"."""
-
-    kind: str
-    version: int
-    epoch: int = 0
-    nodes: tuple[NodeLine, ...] = ()
-
-
-# events
-
-
-@dataclass(frozen=True, slots=True)
-class Asked:
-    """The module wants to hear of changes from now on."""
-
-
-@dataclass(frozen=True, slots=True)
-class Connected:
-    """The connection to the feed stands."""
-
-
-@dataclass(frozen=True, slots=True)
-class Lost:
-    """It broke, or could not be made."""
-
-
-@dataclass(frozen=True, slots=True)
-class Heard:
-    """A line came; None where it could not be read."""
-
-    line: FeedLine | None
-
-
-@dataclass(frozen=True, slots=True)
-class Tick:
-    """A wake-up that was asked for."""
-
-
-# actions
-
-
-@dataclass(frozen=True, slots=True)
-class Connect:
-    """Connect to the feed."""
-
-
-@dataclass(frozen=True, slots=True)
-class Drop:
-    """Close the connection to the feed."""
-
-
-@dataclass(frozen=True, slots=True)
-class Say:
-    """Send a request: "watch" (changes since a version) or "list" (the whole list)."""
-
-    op: str
-    version: int = 0
-    epoch: int = 0
-
-
-@dataclass(frozen=True, slots=True)
-class Tell:
-    """Tell the module."""
-
-    event: routing.EndpointListUpdate
-
-
-@dataclass(frozen=True, slots=True)
-class Place:
-    """Where a node is to be reached."""
-
-    id: int
-    host: str
-    port: int
-
-
-@dataclass(frozen=True, slots=True)
-class Forget:
-    """A node is gone."""
-
-    id: int
-
-
-@dataclass(frozen=True, slots=True)
-class WakeAfter:
-    """Wake this again after so many ms."""
-
-    ms: float
+POLL_SHARE = 1 / 2  # of the silence limit, after which the feed is polled
+CHECK_SHARE = 1 / 4  # of the silence limit, between two checks of it
+MAX_PORT = 65535
+MAX_ENDPOINT_ID = 2**32 - 1
 
 
-@dataclass(frozen=True, slots=True)
-class Odd:
-    """Something for the log."""
+class FeedState(Enum):
+    """The connection to the feed."""
 
-    text: str
+    DISCONNECTED = auto()
+    CONNECTING = auto()
+    CONNECTED = auto()
 
 
 class EndpointView:
-    """What a router holds of the roster."""
+    """What a router knows of the endpoints of a feed."""
 
     def __init__(self, zones: tuple[str, ...], cells: int, silence: float, max_nodes: int) -> None:
-        self._zones, self._cells, self._silence, self._most = zones, cells, silence, max_nodes
+        """`silence` is the ms without a line after which the connection counts as failed."""
         self.nodes: dict[int, NodeLine] = {}
-        self.version, self.epoch = -1, None
-        self._state = "off"  # off, connecting, on
+        self.version = -1
+        self.epoch: int | None = None
+        self._zones, self._cells = zones, cells
+        self._silence_limit, self._max_nodes = silence, max_nodes
+        self._state = FeedState.DISCONNECTED
         self._starts = StartTimes()
-        self._heard_at = 0.0
-        self._whole_wanted = (
-            False  # a gap was seen: changes are not believed until a whole list came
-        )
-        self._asked = False
-        self._ticking = False
-
-    def step(self, now: float, events: Iterable[object]) -> list[object]:
-        """Hear what happened, say what to do."""
-        actions: list[object] = []
+        self._last_received = 0.0
+        self._awaits_snapshot = False  # after a gap in the versions
+        self._silence_polled = False
+        self._timer_is_set = False
+
+    def step(self, now: float, events: Iterable[Event]) -> list[Action]:
+        """Handle events at `now` (ms) and return the actions to carry out, in order."""
+        actions: list[Action] = []
         for event in events:
-            match event:
-                case Asked():
-                    self._ask(now, actions)
-                case Connected():
-                    self._state, self._heard_at = "on", now
-                    actions.append(self._watch())
-                case Lost():
-                    self._fail(actions)
-                case Heard(None):
-                    actions.append(Odd("a line of the feed can't be read"))
-                    self._want_whole(actions)
-                case Heard(line):
-                    self._heard_at = now
-                    self._hear(now, line, actions)
-                case Tick():
-                    self._ticking = False
-        if self._state == "on":
+            self._handle(now, event, actions)
+        if self._state is FeedState.CONNECTED:
             self._check_silence(now, actions)
         return actions
 
-    def _watch(self) -> Say:
-        return Say("watch", max(self.version, 0) if self.epoch is not None else 0, self.epoch or 0)
-
-    def _ask(self, now: float, actions: list) -> None:
-        if self._state == "off":
-            self._state = "connecting"
+    def _handle(self, now: float, event: Event, actions: list[Action]) -> None:
+        match event:
+            case WatchRequested():
+                self._on_watch_requested(actions)
+            case ConnectionEstablished():
+                self._state, self._last_received = FeedState.CONNECTED, now
+                actions.append(self._watch_request())
+            case ConnectionLost():
+                self._fail(actions)
+            case LineReceived(None):
+                actions.append(LogProblem("a line of the feed can't be read"))
+                self._request_snapshot(actions)
+            case LineReceived(line):
+                self._last_received = now
+                self._on_line(now, line, actions)
+            case TimerExpired():
+                self._timer_is_set = False
+
+    # --- the connection -------------------------------------------------------------------
+
+    def _watch_request(self) -> SendRequest:
+        version = max(self.version, 0) if self.epoch is not None else 0
+        return SendRequest(Operation.WATCH, version, self.epoch or 0)
+
+    def _on_watch_requested(self, actions: list[Action]) -> None:
+        if self._state is FeedState.DISCONNECTED:
+            self._state = FeedState.CONNECTING
             actions.append(Connect())
-        elif self._state == "on":
-            actions.append(self._watch())
-
-    def _fail(self, actions: list) -> None:
-        """The last list stays; the module is told and asks again when it thinks fit."""
-        if self._state != "off":
-            self._state = "off"
-            actions.append(Tell(routing.EndpointListUpdate(routing.EndpointListKind.FAILED)))
-
-    def _check_silence(self, now: float, actions: list) -> None:
-        silent = now - self._heard_at
-        if silent >= self._silence:
-            actions += [Odd(f"the feed is silent for {silent:.0f} ms"), Drop()]
+        elif self._state is FeedState.CONNECTED:
+            actions.append(self._watch_request())
+
+    def _fail(self, actions: list[Action]) -> None:
+        """Keep the last list; the policy decides when to request a watch again."""
+        if self._state is not FeedState.DISCONNECTED:
+            self._state = FeedState.DISCONNECTED
+            actions.append(PublishUpdate(EndpointListUpdate(EndpointListKind.FAILED)))
+
+    def _check_silence(self, now: float, actions: list[Action]) -> None:
+        silent = now - self._last_received
+        if silent >= self._silence_limit:
+            actions += [LogProblem(f"the feed is silent for {silent:.0f} ms"), Disconnect()]
             self._fail(actions)
             return
-        if silent >= self._silence / SILENT_ASKS and not self._asked:
-            self._asked = True
-            actions.append(Say("list"))
-        if not self._ticking:
-            self._ticking = True
-            actions.append(WakeAfter(self._silence / SILENT_ASKS / 2))
-
-    def _want_whole(self, actions: list) -> None:
-        if not self._whole_wanted:
-            self._whole_wanted = True
-            actions.append(Say("list"))
+        if silent >= self._silence_limit * POLL_SHARE and not self._silence_polled:
+            self._silence_polled = True
+            actions.append(SendRequest(Operation.LIST))
+        if not self._timer_is_set:
+            self._timer_is_set = True
+            actions.append(SetTimer(self._silence_limit * CHECK_SHARE))
+
+    def _request_snapshot(self, actions: list[Action]) -> None:
+        if not self._awaits_snapshot:
+            self._awaits_snapshot = True
+            actions.append(SendRequest(Operation.LIST))
+
+    # --- lines ----------------------------------------------------------------------------
+
+    def _on_line(self, now: float, line: FeedLine, actions: list[Action]) -> None:
+        self._silence_polled = False
+        if line.kind == LineKind.SNAPSHOT:
+            self._on_snapshot(now, line, actions)
+        elif line.kind == LineKind.DELTA:
+            self._on_delta(now, line, actions)
+        elif line.kind == LineKind.HEARTBEAT:
+            self._on_heartbeat(now, line, actions)
+        else:
+            actions.append(LogProblem(f"unknown kind of line {line.kind!r}"))
 
-    def _hear(self, now: float, line: FeedLine, actions: list) -> None:
-        self._asked = False
-        same = line.epoch == self.epoch
-        if line.kind == "full":
-            if (
-                same and line.version < self.version
-            ):  # danger: an old list would bring the dead back
-                actions.append(
-                    Odd(f"whole list of version {line.version} is older than {self.version}")
-                )
-                return
-            nodes = {n.id: n for n in self._believed(line.nodes, actions)}
-            gone = [i for i in self.nodes if i not in nodes]
-            self.nodes, self.version, self.epoch, self._whole_wanted = (
-                nodes,
-                line.version,
-                line.epoch,
-                False,
-            )
-            actions += [Place(n.id, n.host, n.port) for n in nodes.values()]
-            actions += [Forget(i) for i in gone]
-            self._starts.forget(gone)
-            actions.append(Tell(self._list(routing.EndpointListKind.SNAPSHOT, nodes.values(), now)))
-        elif line.kind == "changes":
-            if not same or line.version > self.version + 1:
-                self._want_whole(actions)
-            if not same or line.version <= self.version:
-                return
-            changed = self._believed(line.nodes, actions)
-            if line.version == self.version + 1:
-                self.version = line.version
-            for node in changed:
-                if node.status == "gone":
-                    self.nodes.pop(node.id, None)
-                    actions.append(Forget(node.id))
-                else:
-                    self.nodes[node.id] = node
-                    actions.append(Place(node.id, node.host, node.port))
-            # told even over a gap: a drain must be heard at once, whatever was missed before
-            actions.append(Tell(self._list(routing.EndpointListKind.DELTA, changed, now)))
-            self._starts.forget(node.id for node in changed if node.status == "gone")
-        elif line.kind == "beat":
-            if (same and line.version > self.version) or not same:
-                self._want_whole(actions)
-            else:
-                self._starts.heard(now)
+    def _on_snapshot(self, now: float, line: FeedLine, actions: list[Action]) -> None:
+        if line.epoch == self.epoch and line.version < self.version:
+            # An old list would restore removed endpoints.
+            text = f"whole list of version {line.version} is older than {self.version}"
+            actions.append(LogProblem(text))
+            return
+        nodes = {node.id: node for node in self._valid_nodes(line.nodes, actions)}
+        removed = [id for id in self.nodes if id not in nodes]
+        self.nodes, self.version, self.epoch = nodes, line.version, line.epoch
+        self._awaits_snapshot = False
+        actions += [SetAddress(node.id, node.host, node.port) for node in nodes.values()]
+        actions += [RemoveEndpoint(id) for id in removed]
+        self._starts.forget(removed)
+        update = self._update(EndpointListKind.SNAPSHOT, list(nodes.values()), now)
+        actions.append(PublishUpdate(update))
+
+    def _on_delta(self, now: float, line: FeedLine, actions: list[Action]) -> None:
+        is_same_epoch = line.epoch == self.epoch
+        if not is_same_epoch or line.version > self.version + 1:
+            self._request_snapshot(actions)
+        if not is_same_epoch or line.version <= self.version:
+            return
+        changed = self._valid_nodes(line.nodes, actions)
+        if line.version == self.version + 1:
+            self.version = line.version
+        for node in changed:
+            actions.append(self._apply(node))
+        # Published even after a gap: calls must not start at an endpoint that drains.
+        actions.append(PublishUpdate(self._update(EndpointListKind.DELTA, changed, now)))
+        self._starts.forget(node.id for node in changed if node.is_removed)
+
+    def _apply(self, node: NodeLine) -> Action:
+        if node.is_removed:
+            self.nodes.pop(node.id, None)
+            return RemoveEndpoint(node.id)
+        self.nodes[node.id] = node
+        return SetAddress(node.id, node.host, node.port)
+
+    def _on_heartbeat(self, now: float, line: FeedLine, actions: list[Action]) -> None:
+        if line.epoch != self.epoch or line.version > self.version:
+            self._request_snapshot(actions)
         else:
-            actions.append(Odd(f"unknown kind of line {line.kind!r}"))
+            self._starts.heard(now)
 
-    def _believed(self, nodes: tuple[NodeLine, ...], actions: list) -> list[NodeLine]:
-        good = []
-        for node in nodes[: self._most]:
-            if node.status not in STATUSES:
-                actions.append(Odd(f"node {node.id}: unknown status {node.status!r}"))
-            elif not (
-                0 <= node.cell < self._cells and 0 < node.port < 65536 and 0 <= node.id < 2**32
-            ):
-                actions.append(
-                    Odd(f"node {node.id}: cell {node.cell}, port {node.port} out of range")
-                )
-            else:
-                good.append(node)
-        if len(nodes) > self._most:
-            actions.append(Odd(f"{len(nodes)} nodes told; the bound is {self._most}"))
-        return good
+    # --- nodes ----------------------------------------------------------------------------
 
-    def _list(
-        self, kind: routing.EndpointListKind, nodes: Iterable[NodeLine], now: float
-    ) -> routing.EndpointListUpdate:
-        nodes = list(nodes)
+    def _valid_nodes(self, nodes: tuple[NodeLine, ...], actions: list[Action]) -> list[NodeLine]:
+        """Return the nodes that can be used; log the others."""
+        valid = []
+        for node in nodes[: self._max_nodes]:
+            problem = self._problem_of(node)
+            if problem is None:
+                valid.append(node)
+            else:
+                actions.append(LogProblem(f"node {node.id}: {problem}"))
+        if len(nodes) > self._max_nodes:
+            actions.append(LogProblem(f"{len(nodes)} nodes told; the bound is {self._max_nodes}"))
+        return valid
+
+    def _problem_of(self, node: NodeLine) -> str | None:
+        if node.status not in STATUSES:
+            return f"unknown status {node.status!r}"
+        has_valid_cell = 0 <= node.cell < self._cells
+        if has_valid_cell and 0 < node.port <= MAX_PORT and 0 <= node.id <= MAX_ENDPOINT_ID:
+            return None
+        return f"cell {node.cell}, port {node.port} out of range"
+
+    def _update(
+        self, kind: EndpointListKind, nodes: list[NodeLine], now: float
+    ) -> EndpointListUpdate:
+        """Return the update for these nodes, and for others whose start is known better now."""
         starts = self._starts.listed({node.id: node.started for node in nodes}, now)
-        told = {node.id for node in nodes}
-        known_better = [self.nodes[id] for id in starts if id not in told and id in self.nodes]
-        listed = [self._listed(node, starts[node.id]) for node in (*known_better, *nodes)]
-        return routing.EndpointListUpdate(kind, tuple(listed))
+        listed = {node.id for node in nodes}
+        redated = [self.nodes[id] for id in starts if id not in listed and id in self.nodes]
+        entries = [self._to_entry(node, starts[node.id]) for node in (*redated, *nodes)]
+        return EndpointListUpdate(kind, tuple(entries))
 
-    def _listed(self, node: NodeLine, start: Start) -> routing.EndpointEntry:
+    def _to_entry(self, node: NodeLine, start: Start) -> EndpointEntry:
         zone = self._zones.index(node.zone) if node.zone in self._zones else len(self._zones)
-        status = STATUSES[node.status]
-        return routing.EndpointEntry(
-            node.id, node.cell, zone, status, start.at, reported_incarnation=start.incarnation
+        return EndpointEntry(
+            node.id,
+            node.cell,
+            zone,
+            STATUSES[node.status],
+            start.at,
+            reported_incarnation=start.incarnation,
         )
--- a/tests/test_endpoint_view.py
+++ b/tests/test_endpoint_view.py
@@ -1,7 +1,7 @@
 """What the router believes of a roster: late, cut, repeated, reordered, reborn, false."""
 
 from tansycrank import routing
-from tansycrank.discovery import endpoint_view
+from tansycrank.discovery import view_messages
 from tansycrank.discovery.endpoint_view import EndpointView, FeedLine, NodeLine
 
 
@@ -12,29 +12,29 @@
 class Feed:
     def __init__(self):
         self.view, self.now = EndpointView(("a", "b"), 4, 4000.0, 100), 0.0
-        self.play(endpoint_view.Asked())
-        self.play(endpoint_view.Connected())
+        self.play(view_messages.WatchRequested())
+        self.play(view_messages.ConnectionEstablished())
 
     def play(self, event, after=0.0):
         self.now += after
         return self.view.step(self.now, [event])
 
     def handle(self, kind, version, *nodes, epoch=1):
-        return self.play(endpoint_view.Heard(FeedLine(kind, version, epoch, nodes)))
+        return self.play(view_messages.LineReceived(FeedLine(kind, version, epoch, nodes)))
 
 
 def told(actions):
-    return [a.event for a in actions if isinstance(a, endpoint_view.Tell)]
+    return [a.update for a in actions if isinstance(a, view_messages.PublishUpdate)]
 
 
 def says(actions):
-    return [a.op for a in actions if isinstance(a, endpoint_view.Say)]
+    return [a.operation for a in actions if isinstance(a, view_messages.SendRequest)]
 
 
 def test_a_whole_list_places_nodes_and_tells_the_module():
     feed = Feed()
     actions = feed.handle("full", 1, node(1), node(2))
-    assert [a.id for a in actions if isinstance(a, endpoint_view.Place)] == [1, 2]
+    assert [a.endpoint for a in actions if isinstance(a, view_messages.SetAddress)] == [1, 2]
     assert (
         told(actions)[0].kind is routing.EndpointListKind.SNAPSHOT
         and len(told(actions)[0].entries) == 2
@@ -86,18 +86,22 @@
 def test_silence_is_asked_about_and_then_taken_for_a_failure():
     feed = Feed()
     feed.handle("full", 1, node(1))
-    assert says(feed.play(endpoint_view.Tick(), after=2100.0)) == ["list"]
-    actions = feed.play(endpoint_view.Tick(), after=2100.0)
+    assert says(feed.play(view_messages.TimerExpired(), after=2100.0)) == ["list"]
+    actions = feed.play(view_messages.TimerExpired(), after=2100.0)
     assert told(actions)[0].kind is routing.EndpointListKind.FAILED
-    assert any(isinstance(a, endpoint_view.Drop) for a in actions)
+    assert any(isinstance(a, view_messages.Disconnect) for a in actions)
     assert feed.view.nodes  # the last list stays
-    assert any(isinstance(a, endpoint_view.Connect) for a in feed.play(endpoint_view.Asked()))
+    assert any(
+        isinstance(a, view_messages.Connect) for a in feed.play(view_messages.WatchRequested())
+    )
 
 
 def test_a_lost_feed_is_told_once():
     feed = Feed()
-    assert told(feed.play(endpoint_view.Lost()))[0].kind is routing.EndpointListKind.FAILED
-    assert not told(feed.play(endpoint_view.Lost()))
+    assert (
+        told(feed.play(view_messages.ConnectionLost()))[0].kind is routing.EndpointListKind.FAILED
+    )
+    assert not told(feed.play(view_messages.ConnectionLost()))
 
 
 def test_nodes_that_cant_be_are_left_out_and_named():
@@ -105,7 +109,7 @@
     bad = [node(1, cell=9), node(2, "asleep"), node(3, port=70000), node(4)]
     actions = feed.handle("full", 1, *bad)
     assert set(feed.view.nodes) == {4}
-    assert sum(isinstance(a, endpoint_view.Odd) for a in actions) == 3
+    assert sum(isinstance(a, view_messages.LogProblem) for a in actions) == 3
 
 
 def test_a_start_before_the_last_start_is_a_restart_that_has_just_happened():
@@ -113,7 +117,7 @@
     feed = Feed()
     [before] = told(feed.handle("full", 1, node(1, started=7_200_000.0)))[0].entries
     feed.now += 60_000.0
-    feed.play(endpoint_view.Heard(FeedLine("beat", 1, 1)))
+    feed.play(view_messages.LineReceived(FeedLine("beat", 1, 1)))
     [after] = told(feed.handle("changes", 2, node(1, started=3_600_000.0)))[0].entries
     assert after.incarnation > before.incarnation
     assert after.started_at == feed.now
@@ -122,7 +126,7 @@
 def test_an_unreadable_line_asks_for_the_whole_list():
     feed = Feed()
     feed.handle("full", 1, node(1))
-    assert says(feed.play(endpoint_view.Heard(None))) == ["list"]
+    assert says(feed.play(view_messages.LineReceived(None))) == ["list"]
 
 
 def test_the_number_of_nodes_is_bounded():
