--- a/tansycrank/clock.py
+++ b/tansycrank/clock.py
@@ -1,4 +1,4 @@
-"""The clocks of a process.
+"""The clocks of a process: the one module that reads them.
 
 Every span of time (deadlines, time-outs, windows, back-offs, ages) is measured on the system's
 monotonic clock. Twisted's stock reactor counts on the wall clock, which administrators and time
@@ -16,27 +16,25 @@
 from tansycrank.listening import Port
 
 INSTALLED = "twisted.internet.reactor"  # where Twisted keeps the process's reactor
-STOOD_STILL = 0.05  # s by which a poll that ends late shows that this process stood still
-POLLS_AFTER = (
-    3  # that bring what came meanwhile: an interrupted one, one that accepts, one that reads
-)
-STEP_TOLERANCE = 0.2  # s: a smaller change against the monotonic clock is slewing, not a step
+STALL_SECONDS = 0.05  # a poll that ends later than due by this shows that the process stalled
+POLLS_AFTER_STALL = 3  # with data that arrived during it: an interrupted one, an accept, a read
+STEP_TOLERANCE_SECONDS = 0.2  # a smaller change against the monotonic clock is slewing
 
 
 class MonotonicReactor(epollreactor.EPollReactor):
     """The epoll reactor, with its own time and all its delayed calls on the monotonic clock."""
 
     seconds = staticmethod(time.monotonic)
-    _due = float("inf")  # s: when the poll that goes on was to end at the latest
-    _stood_since = float("inf")  # s: the same of one that ended long after that
-    _polls_after = 0  # polls that may still bring what came while the process stood still
+    _due = float("inf")  # seconds: when the current poll has to end
+    _stalled_since = float("inf")  # seconds: when the poll had to end that ended late
+    _polls_after = 0  # polls that may still bring data from before the last stall ended
 
     def doPoll(self, timeout: float | None) -> None:  # noqa: N802
-        """Poll all sockets, for `timeout` seconds at most, and handle what came."""
+        """Poll all sockets, for `timeout` seconds at most, and handle their events."""
         now = self.seconds()
-        if now - self._due > STOOD_STILL:
-            # A poll that a signal interrupts brings nothing; what one accepts is read in the next.
-            self._stood_since, self._polls_after = self._due, POLLS_AFTER
+        if now - self._due > STALL_SECONDS:
+            # An interrupted poll has no events; data of an accepted connection is read one later.
+            self._stalled_since, self._polls_after = self._due, POLLS_AFTER_STALL
         elif self._polls_after:
             self._polls_after -= 1
         self._due = float("inf") if timeout is None else now + timeout
@@ -45,27 +43,27 @@
     doIteration = doPoll  # noqa: N815
 
     def overslept(self) -> float:
-        """Seconds for which what is read now may have lain unread: this process stood still, or was
-        busy.
+        """Return the seconds for which data read now may have waited while this process stalled.
 
-        It may be more, by the time that was left to the first timer when the process began to stand
-        still.
+        The result may be too large, by the time that was left to the first timer at that moment.
         """
-        since = min(self._due, self._stood_since) if self._polls_after else self._due
+        since = min(self._due, self._stalled_since) if self._polls_after else self._due
         return max(self.seconds() - since, 0.0)
 
     def listenTCP(self, port, factory, backlog=50, interface="") -> Port:
-        """Listen, on a port that loses nobody while descriptors are missing. Raises
-        CannotListenError.
+        """Listen on a `Port`, which loses no connection while descriptors are missing.
+
+        Raise CannotListenError where the address is taken.
         """
-        made = Port(port, factory, backlog, interface, self)
-        made.startListening()
-        return made
+        created = Port(port, factory, backlog, interface, self)
+        created.startListening()
+        return created
 
 
 def install_reactor() -> MonotonicReactor:
-    """Install the process's reactor, once, and return it. Raises RuntimeError if another stands
-    already.
+    """Install the process's reactor, once, and return it.
+
+    Raise RuntimeError if another kind of reactor is installed already.
     """
     if INSTALLED not in sys.modules:
         installReactor(MonotonicReactor())
@@ -78,28 +76,26 @@
 
 
 def monotonic_ms() -> float:
-    """Milliseconds of the monotonic clock, which all processes of one machine share."""
+    """Return milliseconds of the monotonic clock, which all processes of one machine share."""
     return time.monotonic() * 1000
 
 
 def unix_ms() -> float:
-    """Milliseconds since 1970 by the wall clock. For what is shown or told; no span is measured by
-    it.
-    """
+    """Return ms since 1970 by the wall clock, to be shown or sent; no span is measured by it."""
     return time.time() * 1000
 
 
 class WallClockMonitor:
-    """Notices that the wall clock was stepped, for the log. Nothing is decided by it."""
+    """Detects steps of the wall clock, for the log only."""
 
     def __init__(self) -> None:
         self._difference = self._measure()
 
     def step(self) -> float:
-        """Seconds by which the wall clock was stepped since the last call; 0 if it was not."""
+        """Return the seconds of a step since the last call; 0 for none."""
         before, self._difference = self._difference, self._measure()
-        moved = self._difference - before
-        return moved if abs(moved) >= STEP_TOLERANCE else 0.0
+        change = self._difference - before
+        return change if abs(change) >= STEP_TOLERANCE_SECONDS else 0.0
 
     @staticmethod
     def _measure() -> float:
--- a/tansycrank/http_router/connection_pool.py
+++ b/tansycrank/http_router/connection_pool.py
@@ -20,7 +20,7 @@
 
 
 class ConnectionPool:
-    """At most `max_links` connections, `streams` shard requests on each.
+    """At most `max_connections` connections, `max_calls_per_connection` shard requests on each.
 
     A frame carries `call_batch_size` shard requests at most.
     """
@@ -28,21 +28,23 @@
     def __init__(
         self,
         reactor,
-        streams: int,
+        max_calls_per_connection: int,
         call_batch_size: int,
-        connect_timeout: float,
-        idle: float,
-        max_links: int,
+        connect_timeout_ms: float,
+        idle_ms: float,
+        max_connections: int,
         log: Callable[..., None],
-        drain_grace: float = float("inf"),
+        drain_grace_ms: float = float("inf"),
     ) -> None:
-        """Spans are ms; `idle` is the time after which nodes close unused connections."""
+        """`idle_ms` is the time after which nodes close unused connections."""
         self.reactor, self.log = reactor, log
-        self.streams, self.call_batch_size, self.max_links = streams, call_batch_size, max_links
+        self.max_calls_per_connection = max_calls_per_connection
+        self.call_batch_size = call_batch_size
+        self.max_connections = max_connections
         self._limits = ConnectionLimits(
-            connect_timeout=connect_timeout / 1000,
-            revoked_frame=min(REVOKED_FRAME_LIMIT_SECONDS, drain_grace / 2000),
-            idle=IDLE_SHARE * (idle / 1000),
+            connect_timeout=connect_timeout_ms / 1000,
+            revoked_frame=min(REVOKED_FRAME_LIMIT_SECONDS, drain_grace_ms / 2000),
+            idle=IDLE_SHARE * (idle_ms / 1000),
         )
         self.nodes: dict[int, EndpointConnections] = {}
         self.links: set[NodeConnection] = set()  # those of removed endpoints included
@@ -161,18 +163,18 @@
 
         Calls that share a connection are lost together when it breaks.
         """
-        connection = target.least_loaded(calls, self.streams)
+        connection = target.least_loaded(calls, self.max_calls_per_connection)
         if connection is None or (connection.load and self._has_quota(target)):
             return self._open(target) or connection
         return connection
 
     def _has_quota(self, target: EndpointConnections) -> bool:
-        return len(target.connections) < max(self.max_links // len(self.nodes), 1)
+        return len(target.connections) < max(self.max_connections // len(self.nodes), 1)
 
     # --- connections ------------------------------------------------------------------
 
     def _open(self, target: EndpointConnections) -> NodeConnection | None:
-        if self.count >= self.max_links and not self._close_least_recently_used():
+        if self.count >= self.max_connections and not self._close_least_recently_used():
             return None
         connection = NodeConnection(self.reactor, target.endpoint, self._limits, target, self.log)
         target.connections.add(connection)
--- a/tansycrank/http_router/frames.py
+++ b/tansycrank/http_router/frames.py
@@ -46,10 +46,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unusable:
-    """The node rejected the last frame and closes the connection; `words` is its reason."""
+class FrameRejected:
+    """The node rejected the last frame and closes the connection; `reason` is its text."""
 
-    words: str
+    reason: str
 
 
 def call(shard_calls: Iterable[ShardCall]) -> bytes:
@@ -69,11 +69,11 @@
         self._buffer = bytearray()
 
     @property
-    def partial(self) -> bool:
+    def has_partial_frame(self) -> bool:
         """Whether bytes of an unfinished frame are held."""
         return bool(self._buffer)
 
-    def feed(self, data: bytes) -> Iterator[Answer | Unusable]:
+    def feed(self, data: bytes) -> Iterator[Answer | FrameRejected]:
         """Yield each complete frame; raise FrameError at the first malformed one."""
         self._buffer += data
         while len(self._buffer) >= HEADER_BYTES:
@@ -89,7 +89,7 @@
             if frame_type == b"A":
                 yield _decode_answer(body)
             else:
-                yield Unusable(body[:200].decode("utf-8", "replace"))
+                yield FrameRejected(body[:200].decode("utf-8", "replace"))
 
     @staticmethod
     def _check_header(size: int, frame_type: bytes) -> None:
--- a/tansycrank/http_router/node_connection.py
+++ b/tansycrank/http_router/node_connection.py
@@ -102,7 +102,10 @@
 
     def has_stalled_frame(self, now: float) -> bool:
         """Whether the node began a frame and does not go on with it."""
-        return self._reader.partial and now - self._partial_since >= PARTIAL_FRAME_LIMIT_SECONDS
+        return (
+            self._reader.has_partial_frame
+            and now - self._partial_since >= PARTIAL_FRAME_LIMIT_SECONDS
+        )
 
     def is_transmitting(self, call: OutgoingCall) -> bool:
         """Whether the system may not have taken the last byte of the call's frame yet."""
@@ -219,15 +222,15 @@
     def dataReceived(self, data: bytes) -> None:
         """Read answers; a malformed stream closes the connection."""
         self._last_received = self._reactor.seconds()
-        was_partial, last = self._reader.partial, None
+        was_partial, last = self._reader.has_partial_frame, None
         try:
             for record in self._reader.feed(data):
                 was_partial = False
                 if last is not None:
                     self._end_answered(last)
                     last = None
-                if isinstance(record, frames.Unusable):
-                    self._log("frame_rejected_by_node", node=self.endpoint, words=record.words)
+                if isinstance(record, frames.FrameRejected):
+                    self._log("frame_rejected_by_node", node=self.endpoint, words=record.reason)
                     return self.close()
                 last = self._checked(record)
             if last is not None:
@@ -245,7 +248,7 @@
         return answer
 
     def _after_answers(self, was_partial: bool) -> None:
-        if self._reader.partial:
+        if self._reader.has_partial_frame:
             if not was_partial:
                 self._partial_since = self._last_received
             if not self.sent_calls:  # the next answer would be lost in these bytes
--- a/tansycrank/listening.py
+++ b/tansycrank/listening.py
@@ -1,8 +1,8 @@
-"""Listening sockets that lose nobody when a descriptor, or the memory for one, is missing.
+"""Listening sockets that lose no connection when file descriptors or memory run out.
 
-Where `accept` fails with EMFILE, Twisted accepts all waiting connections with a descriptor kept for
-that and closes them: a request that one of them has already brought is lost. Here they stay in the
-system's queue, and the port rests for a moment instead of being told of them again at once.
+Where `accept` fails with EMFILE, Twisted accepts all waiting connections with a reserve descriptor
+and closes them; requests that they carry are lost. Here they stay in the system's queue, and
+the port stops accepting for a moment.
 """
 
 from __future__ import annotations
@@ -13,48 +13,51 @@
 
 from twisted.internet import tcp
 
-REST = 0.02  # s until a port whose `accept` failed is looked at again
-NO_MORE = (errno.EAGAIN, errno.EWOULDBLOCK)  # nobody waits: no failure
+ACCEPT_RETRY_SECONDS = 0.02
+NO_CONNECTION_WAITING = (errno.EAGAIN, errno.EWOULDBLOCK)
 
 
 class ListeningSocket(socket.socket):
     """A listening socket that remembers whether its last `accept` failed."""
 
-    failed = False  # whether the last `accept` did, other than for want of anybody
+    failed = False  # whether the last `accept` failed though a connection may wait
 
     def accept(self) -> tuple[socket.socket, object]:
-        """As of any socket; raises OSError, EMFILE under the name of its neighbour ENFILE."""
+        """Accept a connection; raise OSError, with ENFILE in place of EMFILE.
+
+        Twisted closes all waiting connections at EMFILE and leaves them alone at ENFILE.
+        """
         self.failed = False
         try:
             return super().accept()
         except OSError as problem:
-            self.failed = problem.errno not in NO_MORE
+            self.failed = problem.errno not in NO_CONNECTION_WAITING
             if problem.errno == errno.EMFILE:
                 raise OSError(errno.ENFILE, os.strerror(errno.EMFILE)) from problem
             raise
 
 
 class Port(tcp.Port):
-    """A listening port of the reactor."""
+    """A listening port of the reactor that pauses after a failed `accept`."""
 
     @property
     def starved(self) -> bool:
-        """Whether somebody may wait whom the system would not let this process accept."""
+        """Whether a connection may wait that the system did not let this process accept."""
         return self.socket.failed
 
     def createInternetSocket(self) -> ListeningSocket:
-        """The socket, before it is bound."""
-        made = super().createInternetSocket()
+        """Return the socket, before it is bound."""
+        created = super().createInternetSocket()
         # Its kind is told, not asked of the system: not every layer below a process can say it.
-        return ListeningSocket(made.family, made.type, made.proto, fileno=made.detach())
+        return ListeningSocket(created.family, created.type, created.proto, fileno=created.detach())
 
     def doRead(self) -> None:
-        """Accept who waits."""
+        """Accept the waiting connections; pause if the system refuses one."""
         super().doRead()
         if self.connected and self.starved:
             self.stopReading()
-            self.reactor.callLater(REST, self._look_again)
+            self.reactor.callLater(ACCEPT_RETRY_SECONDS, self._resume_accepting)
 
-    def _look_again(self) -> None:
+    def _resume_accepting(self) -> None:
         if self.connected:
             self.startReading()
--- a/tansycrank/single_connection.py
+++ b/tansycrank/single_connection.py
@@ -1,4 +1,4 @@
-"""The one factory of connections that both routers make; it knows no protocol."""
+"""A Twisted client factory for a single connection, used by both routers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class OneConnection(ClientFactory):
-    """Connects one protocol, once; `failed` hears the reason if its connection never came up."""
+    """Connects one protocol, once; `failed` is called if the connection cannot be made."""
 
     noisy = False
 
@@ -17,7 +17,9 @@
         self.protocol, self.failed = protocol, failed
 
     def buildProtocol(self, addr) -> Protocol:
+        """Return the protocol of the connection."""
         return self.protocol
 
     def clientConnectionFailed(self, connector, reason: Failure) -> None:
+        """Report that the connection could not be made."""
         self.failed(reason)
