--- a/tansycrank/http_router/daemon.py
+++ b/tansycrank/http_router/daemon.py
@@ -67,14 +67,7 @@
             log,
             settings.module.drain_grace,
         )
-        self.discovery = DiscoveryClient(
-            reactor,
-            *settings.discovery,
-            lambda: self.names.version,
-            self.heard,
-            lambda: self.names.unchanged(self.coordinator.loop.now),
-            self.failed,
-        )
+        self.discovery = DiscoveryClient(reactor, *settings.discovery, self)
         self.coordinator = Coordinator(
             reactor,
             settings.module,
@@ -154,7 +147,16 @@
 
     # --- discovery --------------------------------------------------------------------
 
-    def heard(self, listing: Listing) -> None:
+    @property
+    def known_version(self) -> int:
+        """The version of the endpoint list held."""
+        return self.names.version
+
+    def on_unchanged(self) -> None:
+        """Note that discovery reported no change."""
+        self.names.unchanged(self.coordinator.loop.now)
+
+    def on_listing(self, listing: Listing) -> None:
         """A line of discovery. One older than what is held tells nothing new.
 
         A whole list of nobody while nodes stood is asked for once more: a fault of it would end all
@@ -176,7 +178,7 @@
                 )
         self._ready()
 
-    def failed(self) -> None:
+    def on_discovery_failure(self) -> None:
         """A call to discovery, or its watch, has ended."""
         self.discovery_failures += 1
         self.coordinator.loop.handle(routing.EndpointListUpdate(routing.EndpointListKind.FAILED))
--- a/tansycrank/http_router/discovery_client.py
+++ b/tansycrank/http_router/discovery_client.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from typing import Protocol
 
 from tansycrank.http_router.discovery_exchange import (
     EXCHANGE_TIMEOUT_SECONDS,
@@ -16,29 +16,32 @@
 WATCH_PATH = "/api/targets?watch=1&after="
 
 
+class DiscoveryListener(Protocol):
+    """Who uses the client and is notified of its results."""
+
+    @property
+    def known_version(self) -> int:
+        """The version of the endpoint list held, from which a watch starts."""
+
+    def on_listing(self, listing: Listing) -> None:
+        """A list or change arrived."""
+
+    def on_unchanged(self) -> None:
+        """The watch reported that nothing changed."""
+
+    def on_discovery_failure(self) -> None:
+        """A poll or the watch has ended without being asked to."""
+
+
 class DiscoveryClient:
-    """Watches and polls when the routing policy asks for it.
-
-    `heard` gets each listing, `unchanged` is called at each heartbeat of the watch, `failed` when a
-    poll or the watch has ended without being asked to. `version` returns the version known.
-    """
-
-    def __init__(
-        self,
-        reactor,
-        host: str,
-        port: int,
-        version: Callable[[], int],
-        heard: Callable[[Listing], None],
-        unchanged: Callable[[], None],
-        failed: Callable[[], None],
-    ) -> None:
+    """Watches and polls when the routing policy asks for it."""
+
+    def __init__(self, reactor, host: str, port: int, listener: DiscoveryListener) -> None:
         self.host, self.port = host, port
         self.poll: DiscoveryExchange | None = None
         self.watch: DiscoveryExchange | None = None
         self._watch_wanted = False  # whether or not a watch is open now
-        self._reactor, self._version = reactor, version
-        self._heard, self._unchanged, self._failed = heard, unchanged, failed
+        self._reactor, self._listener = reactor, listener
 
     def set_watch(self, on: bool) -> None:
         """Open a watch from the version known, or close it. An open watch is kept."""
@@ -84,12 +87,12 @@
             return
         if exchange is self.poll:
             self.poll = None
-        self._heard(listing)
+        self._listener.on_listing(listing)
 
     def on_heartbeat(self, exchange: DiscoveryExchange) -> None:
         """Pass on that nothing changed."""
         if exchange is self.watch:
-            self._unchanged()
+            self._listener.on_unchanged()
 
     def on_end(self, exchange: DiscoveryExchange, succeeded: bool) -> None:
         """Report the end of a current exchange as a failure, unless it succeeded."""
@@ -99,7 +102,7 @@
         if exchange is self.watch:
             self.watch = None
         if was_current and not succeeded:
-            self._failed()
+            self._listener.on_discovery_failure()
 
     # --- exchanges ------------------------------------------------------------------------
 
@@ -123,7 +126,7 @@
 
     def _request(self, kind: ExchangeKind) -> bytes:
         is_watch = kind is ExchangeKind.WATCH
-        path = f"{WATCH_PATH}{self._version()}" if is_watch else POLL_PATH
+        path = f"{WATCH_PATH}{self._listener.known_version}" if is_watch else POLL_PATH
         request = f"GET {path} HTTP/1.1\r\nHost: {self.host}:{self.port}\r\n"
         request += "\r\n" if is_watch else "Connection: close\r\n\r\n"
         return request.encode()
