--- a/tests/http_router/test_discovery.py
+++ b/tests/http_router/test_discovery.py
@@ -10,7 +10,7 @@
 
 from tansycrank import routing
 from tansycrank.http_router import settings as configuration
-from tansycrank.http_router.endpoint_directory import FORGET, EndpointDirectory
+from tansycrank.http_router.endpoint_directory import REMOVED_RETENTION_MS, EndpointDirectory
 from tansycrank.http_router.settings import Entry, Listing
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -109,7 +109,7 @@
         2: routing.EndpointStatus.IN_SERVICE,
         4: routing.EndpointStatus.IN_SERVICE,
     }
-    assert len(live.discovery) == 2 and not live.daemon.discovery.calls
+    assert len(live.discovery) == 2 and live.daemon.discovery.poll is None
 
 
 def test_beats_keep_a_watch(live):
@@ -150,10 +150,10 @@
     assert event.entries[0].endpoint == 1 and places == {1: "127.0.0.1:7070"}
     heard(30, entry(1, "terminated"))
     for n in range(3, 2000):
-        heard(30 + FORGET * n, entry(n))
-        heard(40 + FORGET * n, entry(n, "terminated"))
+        heard(30 + REMOVED_RETENTION_MS * n, entry(n))
+        heard(40 + REMOVED_RETENTION_MS * n, entry(n, "terminated"))
     assert len(names) <= 3
-    event, _ = heard(FORGET * 3000, entry(1))
+    event, _ = heard(REMOVED_RETENTION_MS * 3000, entry(1))
     assert event.entries[0].endpoint > 1
 
 
@@ -393,7 +393,7 @@
     call.say(b'HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{"version":9,"full":true,"servers":[]}')
     call.transport.end()
     live.run(0)
-    assert len(states(live)) == 3 and not live.daemon.discovery.calls
+    assert len(states(live)) == 3 and live.daemon.discovery.poll is None
 
 
 @pytest.mark.parametrize("apart", [0.0, 3_600_000.0, -3_600_000.0])
