--- a/tansycrank/lifecycle.py
+++ b/tansycrank/lifecycle.py
@@ -23,7 +23,7 @@
     Outcome,
     Settings,
 )
-from tansycrank.routing.state import SlidingSum
+from tansycrank.routing.sliding_sum import SlidingSum
 
 LATE = (
     500.0  # ms after its deadline up to which an answer is merely worth nothing; later it is lost
--- /dev/null
+++ b/tansycrank/routing/completion.py
@@ -0,0 +1,142 @@
+"""When a query is answered, completely or in part, and when it is given up."""
+
+from __future__ import annotations
+
+from enum import Enum
+from typing import NamedTuple
+
+from tansycrank.routing.actions import FailureReason
+from tansycrank.routing.latency import ASSUMED_LATENCY_SHARE, LatencyTracker
+from tansycrank.routing.probing import Probing
+from tansycrank.routing.query import Query, ShardRequest
+from tansycrank.routing.settings import Settings
+
+FOLLOW_UP_P90S = 1.5  # kept for a second step when the first is answered in part
+RECHECK_INTERVAL_MS = 100.0  # for a query past its objective
+WEIGHT_TOLERANCE = 1e-5
+
+
+class AnswerKind(Enum):
+    """How a query is answered."""
+
+    COMPLETE = "complete"
+    PARTIAL = "partial"
+
+
+class Evaluation(NamedTuple):
+    """What to do with a query: end it, or evaluate it again at these times (ms)."""
+
+    decision: AnswerKind | FailureReason | None = None  # None: go on
+    check_again_at: tuple[float, ...] = ()
+
+
+CONTINUE = Evaluation()
+
+
+class Completion:
+    """Evaluates a query whenever one of its shard requests or timers has changed something."""
+
+    def __init__(self, settings: Settings, latency: LatencyTracker, probing: Probing) -> None:
+        self._latency = latency
+        self._probing = probing
+        self._tick_ms = settings.tick
+
+    def check_times(self, query: Query, now: float) -> tuple[float, ...]:
+        """The times at which a query that has just arrived is evaluated whatever happens."""
+        times = (
+            query.start_by,
+            self._partial_answer_at(query, now),
+            query.objective_at - 2 * self._tick_ms,
+            query.deadline_at,
+        )
+        return tuple(min(time, query.deadline_at) for time in times)
+
+    def evaluate(self, query: Query, others_wait: bool, now: float) -> Evaluation:
+        """Answer a query if it is time, or give it up if nothing more can be gained.
+
+        `others_wait`: whether any shard request waits for an endpoint.
+        """
+        is_between_steps = not query.shard_requests and now < query.deadline_at
+        if query.has_ended or is_between_steps:
+            return CONTINUE
+        query_class = query.query_class
+        required = query_class.complete_coverage if query.step == 1 else 1.0
+        answered = sum(one.weight for one in query.shard_requests if one.is_answered)
+        if answered >= required - WEIGHT_TOLERANCE and (
+            required < 1 or all(one.is_answered for one in query.shard_requests)
+        ):
+            return Evaluation(AnswerKind.COMPLETE)
+        minimum = required
+        if query_class.minimum_coverage < query_class.complete_coverage:
+            minimum = query_class.minimum_coverage
+        allows_partial = minimum < required
+        if allows_partial and now >= query.start_by:
+            _discard_unsent_optional(query)
+        pending = [p for p in query.shard_requests if not p.is_answered and not p.is_discarded]
+        reachable = answered + sum(one.weight for one in pending)
+        if (
+            allows_partial
+            and answered >= minimum
+            and (not pending or now >= self._partial_answer_at(query, now))
+        ):
+            return Evaluation(AnswerKind.PARTIAL)
+        is_unreachable = reachable < minimum - WEIGHT_TOLERANCE
+        return self._evaluate_pending(
+            query, pending, is_unreachable, allows_partial, others_wait, now
+        )
+
+    def _evaluate_pending(
+        self,
+        query: Query,
+        pending: list[ShardRequest],
+        is_unreachable: bool,
+        allows_partial: bool,
+        others_wait: bool,
+        now: float,
+    ) -> Evaluation:
+        """Whether a query that cannot be answered yet is given up."""
+        unsent = sum(not one.attempts for one in pending)
+        is_harmful = query.may_be_harmful and len(query.lost_endpoints) > 1
+        if is_harmful and not any(one.attempts_in_flight for one in pending):
+            return Evaluation(FailureReason.HARMFUL)
+        is_held = unsent and not (query.has_started and query.admitted_by_probe)
+        start_by = self._start_by(query, allows_partial, now)
+        if is_unreachable:
+            return Evaluation(FailureReason.TOO_FEW_SHARDS)
+        if now >= query.deadline_at:
+            return Evaluation(FailureReason.DEADLINE_PASSED)
+        if is_held and now >= start_by:
+            is_late = query.has_started
+            return Evaluation(FailureReason.PROBE_LATE if is_late else FailureReason.NO_START)
+        check_again_at: tuple[float, ...] = ()
+        if is_held and query.has_started and not query.awaits_late_probe:
+            query.awaits_late_probe = True
+            check_again_at = (start_by,)
+        if now >= query.objective_at - 2 * self._tick_ms:
+            if query.query_class.late_weight <= 0 or unsent or others_wait:
+                return Evaluation(FailureReason.TARGET_PASSED, check_again_at)
+            check_again_at += (min(now + RECHECK_INTERVAL_MS, query.deadline_at),)
+        return Evaluation(None, check_again_at) if check_again_at else CONTINUE
+
+    def _start_by(self, query: Query, allows_partial: bool, now: float) -> float:
+        """Until when a query may wait with shard requests that were not sent."""
+        if query.has_started and allows_partial:  # what is answered by then is of use
+            return self._partial_answer_at(query, now)
+        if query.has_started and not query.admitted_by_probe:
+            return self._probing.give_up_at(query, now)
+        return query.start_by
+
+    def _partial_answer_at(self, query: Query, now: float) -> float:
+        """When a partial answer is due: at the objective, less the time for a second step."""
+        query_class = query.query_class
+        assumed_ms = ASSUMED_LATENCY_SHARE * query_class.latency_objective
+        follow_up_ms = max(FOLLOW_UP_P90S * self._latency.overall.p90_ms(now), assumed_ms)
+        has_follow_up = query.step == 1 and query_class.follow_up
+        return query.objective_at - 3 * self._tick_ms - (follow_up_ms if has_follow_up else 0.0)
+
+
+def _discard_unsent_optional(query: Query) -> None:
+    """Under load, optional shard requests cost as much as the needed ones."""
+    for shard_request in query.shard_requests:
+        if shard_request.is_optional and not shard_request.attempts:
+            shard_request.is_discarded = True
--- /dev/null
+++ b/tansycrank/routing/concurrency.py
@@ -0,0 +1,62 @@
+"""The window of shard requests in flight at each endpoint: additive increase, multiplicative
+decrease.
+
+Queues in endpoints cannot be revoked, this router's queue can: the windows bound what a silent,
+slow or overloaded endpoint can hold up.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from tansycrank.routing.latency import SLOW_OBJECTIVE_SHARE
+
+if TYPE_CHECKING:
+    from tansycrank.routing.endpoint import Endpoint
+
+FLEET_WINDOW = 18.0  # shard requests in flight at an endpoint at first, from all routers together
+MIN_INITIAL_WINDOW = 3.0  # from each router
+DECREASE_FACTOR = 0.8
+REFILL_SIZE = 2  # further shard requests of room before a busy endpoint gets another call
+OPTIONAL_SHARE = (
+    0.5  # of a window, for hedges and optional shard requests: first attempts come first
+)
+
+
+def initial_window(routers: int) -> float:
+    """One router's share of an endpoint of which nothing is known."""
+    return max(FLEET_WINDOW / routers, MIN_INITIAL_WINDOW)
+
+
+class ConcurrencyLimiter:
+    """Adjusts the windows and tells whether an endpoint has room."""
+
+    def __init__(self, shortest_objective_ms: float, calls_cost_work: bool) -> None:
+        self._decrease_interval_ms = SLOW_OBJECTIVE_SHARE * shortest_objective_ms
+        self._calls_cost_work = calls_cost_work
+
+    def has_room(self, endpoint: Endpoint, is_secondary: bool, is_new_call: bool = False) -> bool:
+        """Whether another shard request may be in flight at the endpoint.
+
+        `is_secondary`: a hedge or an optional shard request. `is_new_call`: it shares no call with
+        others of this step; where calls cost work, a busy endpoint is then refilled several shard
+        requests at a time.
+        """
+        if endpoint.ejection_ms:  # a single readmission attempt at a time
+            window = 1
+        else:
+            window = int(endpoint.window * (OPTIONAL_SHARE if is_secondary else 1.0))
+        if is_new_call and self._calls_cost_work and endpoint.in_flight:
+            window -= min(REFILL_SIZE, window // 2)
+        return endpoint.in_flight < window
+
+    def on_timely_response(self, endpoint: Endpoint) -> None:
+        """Widen a full window by one for each window of timely responses."""
+        if endpoint.in_flight + 1 >= int(endpoint.window):
+            endpoint.window += 1.0 / endpoint.window
+
+    def on_overload(self, endpoint: Endpoint, now: float) -> None:
+        """Narrow the window after a slow or rejected attempt, at most once in an interval."""
+        if now - endpoint.window_cut_at >= self._decrease_interval_ms:
+            endpoint.window = max(endpoint.window * DECREASE_FACTOR, 1.0)
+            endpoint.window_cut_at = now
--- /dev/null
+++ b/tansycrank/routing/discovery.py
@@ -0,0 +1,35 @@
+"""When to call service discovery again after a failure."""
+
+from __future__ import annotations
+
+import random
+
+from tansycrank.routing.settings import Settings
+
+INITIAL_BACKOFF_MS = 200.0
+MAX_BACKOFF_MS = 3_000.0
+MAX_PUSH_BACKOFF_SHARE = (
+    0.25  # of the drain grace, where lists are pushed: a drain must be seen in time
+)
+MIN_JITTER = 0.5  # of a backoff: the calls of a whole fleet that failed together are spread
+
+
+class DiscoveryBackoff:
+    """Exponential backoff with jitter between calls to discovery, since discovery has little
+    capacity."""
+
+    def __init__(self, settings: Settings, rng: random.Random) -> None:
+        self._rng = rng
+        pushed_max_ms = MAX_PUSH_BACKOFF_SHARE * settings.drain_grace
+        self._max_delay_ms = MAX_BACKOFF_MS if settings.polls_discovery else pushed_max_ms
+        self._backoff_ms = INITIAL_BACKOFF_MS
+
+    def next_delay_ms(self) -> float:
+        """The time to wait after a failed call; the next one is up to twice as long."""
+        delay_ms = min(self._backoff_ms, self._max_delay_ms) * self._rng.uniform(MIN_JITTER, 1.0)
+        self._backoff_ms = min(2 * self._backoff_ms, MAX_BACKOFF_MS)
+        return delay_ms
+
+    def reset(self) -> None:
+        """Start over after a call that succeeded."""
+        self._backoff_ms = INITIAL_BACKOFF_MS
--- a/tansycrank/routing/settings.py
+++ b/tansycrank/routing/settings.py
@@ -42,7 +42,8 @@
         )
         if self.latency_objective > self.deadline:
             raise ValueError(
-                f"latency_objective: {self.latency_objective} is longer than deadline {self.deadline}"
+                f"latency_objective: {self.latency_objective} is longer than "
+                f"deadline {self.deadline}"
             )
         if self.minimum_coverage > self.complete_coverage or self.complete_coverage > 1:
             raise ValueError(
--- a/tests/http_router/test_belief.py
+++ b/tests/http_router/test_belief.py
@@ -11,7 +11,9 @@
 def out(live):
     """Parts out by node: as the module believes, and as the links have them."""
     believed = {
-        s.id: s.out for s in live.daemon.coordinator.loop.policy.endpoints.values() if s.out
+        s.id: s.in_flight
+        for s in live.daemon.coordinator.loop.policy.endpoints.values()
+        if s.in_flight
     }
     pools = live.daemon.pool
     held = {n.server: sum(link.load for link in n.links) for n in pools.nodes.values()}
@@ -53,7 +55,9 @@
     live.run(0)
     assert (
         25.0
-        <= live.daemon.coordinator.loop.policy.all.read(live.daemon.coordinator.loop.now)[0]
+        <= live.daemon.coordinator.loop.policy.latency.overall.read(
+            live.daemon.coordinator.loop.now
+        )[0]
         <= 40.0
     )
 
@@ -81,9 +85,12 @@
     assert coordinator.counts["taken"] == 1500
     assert not coordinator.queries and not coordinator._parts and not coordinator._by_number
     assert (
-        not router.queries and not router.numbers and not router.shard_requests and not router.out
+        not router.queries.by_id
+        and not router.queries.by_number
+        and not router.queries.shard_requests
+        and not router.queries.attempts_in_flight
     )
     assert not live.daemon.server.connections and not live.daemon.server.unused
     assert len(router.endpoints) <= 6 and len(live.daemon.names) < 100
     assert len(live.daemon.pool.nodes) == 3 and live.daemon.pool.count <= 6
-    assert len(router.agenda) < 100 and len(router.taken._entries) < 100
+    assert len(router.timers) < 100 and len(router._budget._accepted._entries) < 100
--- a/tests/http_router/test_endings.py
+++ b/tests/http_router/test_endings.py
@@ -353,7 +353,11 @@
         assert not coordinator.lifecycle.violated and not coordinator.lifecycle._open
         if not daemon.stopped:
             assert sum(coordinator.outcomes.values()) == coordinator.counts["sends"]
-            assert not router.queries and not router.shard_requests and not router.out
+            assert (
+                not router.queries.by_id
+                and not router.queries.shard_requests
+                and not router.queries.attempts_in_flight
+            )
             assert not any(
                 link.out or link.going or link.words for link in daemon.pool.links if link.up
             )
--- a/tests/http_router/test_node_connections.py
+++ b/tests/http_router/test_node_connections.py
@@ -334,7 +334,7 @@
     coordinator = live.daemon.coordinator
     assert sum(coordinator.outcomes.values()) == coordinator.counts["sends"]
     assert not coordinator.queries and not coordinator._parts and coordinator.held == 0
-    assert not coordinator.loop.policy.out
+    assert not coordinator.loop.policy.queries.attempts_in_flight
 
 
 def test_a_part_is_taken_back_from_a_connection_that_does_not_come_up_in_its_time():
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -6,7 +6,8 @@
 from tansycrank import routing
 from tansycrank.routing import Outcome
 from tansycrank.routing.policy import RoutingPolicy
-from tansycrank.routing.state import LatencyWindow, SlidingSum
+from tansycrank.routing.latency import LatencyWindow
+from tansycrank.routing.sliding_sum import SlidingSum
 
 
 def finals(actions):
@@ -95,7 +96,11 @@
     acted = bench.end(shard_request, 1)
     assert routing.Answer(query, True) in acted and routing.Cancel(shard_request, 0) in acted
     assert not of(routing.Answer, bench.end(shard_request, 0))  # a late twin changes nothing
-    assert not bench.router.out and not bench.router.shard_requests and not bench.router.queries
+    assert (
+        not bench.router.queries.attempts_in_flight
+        and not bench.router.queries.shard_requests
+        and not bench.router.queries.by_id
+    )
 
 
 def test_a_slow_servers_own_percentile_does_not_delay_its_hedge():
@@ -103,7 +108,9 @@
     for _ in range(60):
         _, (shard_request,), _ = bench.query()
         bench.end(shard_request, after=900 if bench.attempts[shard_request][0][1] == 1 else 50)
-    timer = bench.router._timer(bench.router.cfg.classes[0], bench.router.endpoints[1])
+    timer = bench.router.latency.hedge_delay_ms(
+        bench.router.settings.classes[0], bench.router.endpoints[1], bench.now
+    )
     assert timer <= 1000 / 3 + 1
 
 
@@ -182,7 +189,7 @@
             routing.EndpointListKind.DELTA, (listed(1, started_at=bench.now),)
         )
     )
-    assert bench.router.endpoints[1].sketch.count(bench.now) == 0
+    assert bench.router.endpoints[1].latencies.count(bench.now) == 0
 
 
 def test_a_query_past_its_aim_is_given_up_at_once_when_nothing_can_be_earned():
@@ -210,14 +217,14 @@
     bench.run(5000)
     router = bench.router
     assert not (
-        router.queries
-        or router.numbers
-        or router.shard_requests
-        or router.out
-        or router.waiting
-        or router.hungry
+        router.queries.by_id
+        or router.queries.by_number
+        or router.queries.shard_requests
+        or router.queries.attempts_in_flight
+        or router.queue
+        or router.hedging.awaiting_token
     )
-    assert not router.agenda
+    assert not router.timers
 
 
 def test_same_events_and_seed_give_the_same_actions():
@@ -295,9 +302,9 @@
 def test_a_long_queue_does_not_raise_the_bar_for_slow():
     bench = Bench(settings(), endpoints=(1,))
     bench.teach(latency=60.0, answers=40)
-    bar = bench.router.target
+    bar = bench.router.latency.slow_from_ms
     bench.teach(latency=900.0, answers=60)
-    assert bench.router.target == bar
+    assert bench.router.latency.slow_from_ms == bar
 
 
 def test_a_late_part_at_a_server_that_goes_on_answering_is_no_silence():
@@ -310,7 +317,7 @@
     bench.run(300)
     bench.step(routing.QueryCancelled(late - 1))
     bench.end(late, 0, Outcome.CANCELLED)
-    assert not bench.router.endpoints[busy].backoff
+    assert not bench.router.endpoints[busy].ejection_ms
 
 
 def test_where_all_are_late_a_dead_server_is_still_left_out():
@@ -403,7 +410,7 @@
     )
     bench.query(shard_requests=40, shards=range(40))
     bench.run(60_000)
-    assert bench.router.tokens == 4.0
+    assert bench.router.hedging.tokens == 4.0
 
 
 def test_a_told_budgets_fixed_part_counts_for_the_bucket():
@@ -420,7 +427,7 @@
             _, (shard_request,), _ = bench.query()
             bench.end(shard_request, after=20.0)
         bench.run(5000)
-        tokens.append(bench.router.tokens)
+        tokens.append(bench.router.hedging.tokens)
     assert tokens[0] < tokens[1]
 
 
@@ -438,7 +445,7 @@
     down = bench.router.endpoints[bench.attempts[shard_request][0][1]]
     bench.end(shard_request, 0, Outcome.CONNECTION_LOST)
     met = 60 * 35_000.0 / 11
-    assert down.flag_until - bench.now > met
+    assert down.ejected_until - bench.now > met
 
 
 def test_windows_start_at_one_routers_share_of_a_server():
@@ -491,13 +498,13 @@
     bench = Bench(settings(), endpoints=(1,))
     bench.teach()
     endpoint = bench.router.endpoints[1]
-    window, count = endpoint.window, endpoint.sketch.count(bench.now)
+    window, count = endpoint.window, endpoint.latencies.count(bench.now)
     _, (shard_request,), _ = bench.query()
     bench.step(routing.ResponseStarted(shard_request, 0, 1, 100.0), after=100.0)
-    assert endpoint.out == 0 and endpoint.sketch.count(bench.now) == count + 1
+    assert endpoint.in_flight == 0 and endpoint.latencies.count(bench.now) == count + 1
     bench.run(30_000)
     bench.end(shard_request, 0)
-    assert endpoint.out == 0 and endpoint.overdue == 0 and endpoint.window >= window
+    assert endpoint.in_flight == 0 and endpoint.overdue == 0 and endpoint.window >= window
 
 
 def test_a_stream_that_breaks_off_sets_its_server_aside_and_is_not_sent_again():
@@ -508,7 +515,7 @@
     bench.step(routing.ResponseStarted(shard_request, 0, endpoint, 50.0), after=50.0)
     bench.end(shard_request, 0, Outcome.CONNECTION_LOST, after=500.0)
     bench.run(900)
-    assert len(bench.attempts[shard_request]) == 1 and bench.router.endpoints[endpoint].flagged(
+    assert len(bench.attempts[shard_request]) == 1 and bench.router.endpoints[endpoint].is_ejected(
         bench.now
     )
 
@@ -540,7 +547,7 @@
     bench.end(shard_request, after=20.0)
     bench.step(gone)
     assert endpoint in bench.router.endpoints  # its cold window still counts that part
-    bench.step(gone, after=bench.router.cfg.slow_start_window + 2 * bench.tick)
+    bench.step(gone, after=bench.router.settings.slow_start_window + 2 * bench.tick)
     assert endpoint not in bench.router.endpoints
     for fresh in range(10, 200):
         bench.step(routing.EndpointListUpdate(routing.EndpointListKind.DELTA, (listed(fresh),)))
@@ -651,7 +658,7 @@
     for endpoints in ([listed(1)], [listed(1), *cold]):
         bench = Bench(settings(routers=1000, slow_start_window=3000.0), endpoints=endpoints)
         for endpoint in bench.router.endpoints.values():
-            endpoint.lot_until = bench.now + 60_000.0  # the cold ones have no lot
+            endpoint.slow_start_draw_until = bench.now + 60_000.0  # the cold ones have no lot
         bench.teach(latency=60.0)
         _, [shard_request], _ = bench.query()
         bench.end(shard_request, outcome=Outcome.REJECTED, after=1.0)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -4,7 +4,7 @@
 
 from tansycrank import routing
 from tansycrank.routing import Outcome
-from tansycrank.routing.policy import TRIAL_FIRST
+from tansycrank.routing.outlier_ejection import FIRST_EJECTION_SHARE
 
 NO_LATE_WORTH = routing.QueryClass(latency_objective=1000.0, deadline=4000.0, priority_weight=1.0)
 IN_PART = routing.QueryClass(
@@ -60,7 +60,7 @@
     _, (shard_request,), _ = bench.query(shards=[0])
     endpoint = bench.router.endpoints[bench.attempts[shard_request][0][1]]
     bench.end(shard_request, outcome=Outcome.TIMED_OUT, after=50.0)
-    assert not endpoint.backoff
+    assert not endpoint.ejection_ms
 
 
 def test_small_queries_send_a_pilot_where_most_answers_are_late():
@@ -137,7 +137,7 @@
     _, (shard_request,), _ = bench.query(shards=[0])
     endpoint = bench.attempts[shard_request][0][1]
     bench.end(shard_request, outcome=Outcome.CONNECTION_LOST, after=5.0)
-    assert not bench.router.endpoints[endpoint].backoff
+    assert not bench.router.endpoints[endpoint].ejection_ms
     bench.run(3000)
     acted = bench.query(shards=[2])[2]
     send = of(routing.Send, acted)[0]
@@ -152,7 +152,7 @@
     _, (shard_request,), _ = bench.query(shards=[0])
     endpoint = bench.attempts[shard_request][0][1]
     bench.end(shard_request, outcome=Outcome.CONNECTION_LOST, after=200.0)
-    assert bench.router.endpoints[endpoint].backoff
+    assert bench.router.endpoints[endpoint].ejection_ms
 
 
 def test_a_small_query_waits_for_its_pilot_while_the_rest_can_be_in_time():
@@ -190,7 +190,7 @@
 def test_tokens_are_kept_for_queries_that_they_can_make_whole():
     """Danger: copies for a query that misses many parts, and none for the one that misses its last."""
     bench = spread(16)
-    bench.router.tokens, bench.router.bucket = 1.0, 5.0
+    bench.router.hedging.tokens, bench.router.hedging.largest_query_tokens = 1.0, 5.0
     _, many, _ = bench.query(shard_requests=6, shards=range(0, 12, 2))
     bench.run(300)
     assert all(len(bench.attempts[shard_request]) == 1 for shard_request in many)
@@ -206,11 +206,11 @@
     _, (shard_request,), _ = bench.query(shards=[0])
     endpoint, lateness = (
         bench.router.endpoints[bench.attempts[shard_request][0][1]],
-        bench.router.lateness,
+        bench.router.latency.late_share,
     )
     window = endpoint.window
     bench.end(shard_request, after=900.0)  # no wake-up came meanwhile
-    assert (endpoint.window, bench.router.lateness) == (window, lateness)
+    assert (endpoint.window, bench.router.latency.late_share) == (window, lateness)
 
 
 def test_a_keyed_part_past_its_window_is_settled_at_once():
@@ -277,4 +277,4 @@
         _, (shard_request,), _ = bench.query(shards=[0])
         endpoint = bench.router.endpoints[bench.attempts[shard_request][0][1]]
         bench.end(shard_request, outcome=Outcome.CONNECT_FAILED, after=20.0)
-        assert endpoint.flag_until - bench.now == TRIAL_FIRST * aim
+        assert endpoint.ejected_until - bench.now == FIRST_EJECTION_SHARE * aim
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -143,11 +143,11 @@
     bench = Bench(settings(), endpoints=(1,))
     query, (shard_request,), _ = bench.query()
     router = bench.router
-    endpoint, held = router.endpoints[1], router.shard_requests[shard_request]
+    endpoint, held = router.endpoints[1], router.queries.shard_requests[shard_request]
     held.attempts.clear()
-    assert router._may_send(held, endpoint, hedge=False)
+    assert router.send_rules.may_send(held, endpoint, False, bench.now)
     endpoint.status = routing.EndpointStatus.DRAINING
-    assert not router._may_send(held, endpoint, hedge=False)
+    assert not router.send_rules.may_send(held, endpoint, False, bench.now)
 
 
 def test_rule_4_all_routers_together_keep_a_cold_sole_replica_within_what_it_bears():
@@ -182,7 +182,7 @@
             routing.EndpointListKind.SNAPSHOT, (listed(1, started_at=bench.now),)
         )
     )
-    bench.router.endpoints[1].lot_until = bench.now + 60_000.0
+    bench.router.endpoints[1].slow_start_draw_until = bench.now + 60_000.0
     _, (shard_request,), _ = bench.query()
     assert shard_request not in bench.attempts
 
@@ -269,9 +269,11 @@
     bench.end(shard_request, outcome=Outcome.CONNECTION_LOST)  # it is set aside
     cold = tuple(listed(endpoint, started_at=bench.now) for endpoint in (2, 3, 4))
     bench.step(routing.EndpointListUpdate(routing.EndpointListKind.DELTA, cold))
-    assert bench.now < bench.router.endpoints[1].flag_until
+    assert bench.now < bench.router.endpoints[1].ejected_until
     for endpoint in (2, 3, 4):
-        bench.router.endpoints[endpoint].lot_until = bench.now + 3000.0  # lots drawn, and lost
+        bench.router.endpoints[endpoint].slow_start_draw_until = (
+            bench.now + 3000.0
+        )  # lots drawn, and lost
     _, (shard_request,), _ = bench.query()
     assert [endpoint for _, endpoint in bench.attempts.get(shard_request, [])] == [1]
 
