--- a/tansycrank/routing/actions.py
+++ b/tansycrank/routing/actions.py
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Answer the query from the parts that are in."""
+    """Answer the query from the responses received so far."""
 
     query: int
     complete: bool
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Refuse the query: trying again does no harm. `reason` is no part of a comparison."""
+    """Reject the query: a retry does no harm. `reason` is not compared."""
 
     query: int
     retry_after: float = 0.0
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Give the query up and promise nothing. `reason` is no part of a comparison."""
+    """Fail the query: it may have been executed. `reason` is not compared."""
 
     query: int
     reason: FailureReason = field(default=FailureReason.FAULT, compare=False)
@@ -98,14 +98,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckHealth:
-    """Ask a server how it is."""
+    """Check the health of an endpoint."""
 
     endpoint: int
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdleConnections:
-    """Close idle connections to a server."""
+    """Close idle connections to an endpoint."""
 
     endpoint: int
 
--- a/tansycrank/routing/completion.py
+++ b/tansycrank/routing/completion.py
@@ -43,21 +43,21 @@
 
     def check_times(self, query: Query, now: float) -> tuple[float, ...]:
         """The times at which a query that has just arrived is evaluated whatever happens."""
-        times = (
-            query.start_by,
-            self._partial_answer_at(query, now),
-            query.objective_at - 2 * self._tick_ms,
-            query.deadline_at,
+        deadline_at = query.deadline_at
+        return (
+            min(query.start_by, deadline_at),
+            min(self._partial_answer_at(query, now), deadline_at),
+            min(query.objective_at - 2 * self._tick_ms, deadline_at),
+            deadline_at,
         )
-        return tuple(min(time, query.deadline_at) for time in times)
 
     def evaluate(self, query: Query, others_wait: bool, now: float) -> Evaluation:
-        """Answer a query if it is time, or give it up if nothing more can be gained.
+        """Answer an open query if it is time, or give it up if nothing more can be gained.
 
         `others_wait`: whether any shard request waits for an endpoint.
         """
         is_between_steps = not query.shard_requests and now < query.deadline_at
-        if query.has_ended or is_between_steps:
+        if is_between_steps:
             return CONTINUE
         query_class = query.query_class
         required = query_class.complete_coverage if query.step == 1 else 1.0
--- a/tansycrank/routing/events.py
+++ b/tansycrank/routing/events.py
@@ -20,12 +20,12 @@
 
     @property
     def never_executed(self) -> bool:
-        """Whether this outcome proves that the part was not run."""
+        """Whether this outcome proves that the attempt was not executed."""
         return self in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 class EndpointStatus(Enum):
-    """What discovery says of a server."""
+    """The state of an endpoint in service discovery."""
 
     IN_SERVICE = "in service"
     DRAINING = "draining"
@@ -33,7 +33,7 @@
 
 
 class EndpointListKind(Enum):
-    """What a list event holds."""
+    """The kind of an endpoint list update."""
 
     SNAPSHOT = "snapshot"
     CACHED = "cached"
@@ -43,9 +43,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """One server as discovery names it; `came_up` is 0 for long ago.
+    """One endpoint of an endpoint list; `started_at` is 0 for long ago.
 
-    `incarnation` grows with each restart of the server; where none is given, `came_up` stands for
+    `incarnation` grows with each restart of the endpoint; if none is reported, `started_at` is used
     it.
     """
 
@@ -59,13 +59,13 @@
 
     @property
     def incarnation(self) -> float:
-        """Which of the server's lives this is."""
+        """Grows with each restart of the endpoint."""
         return self.started_at if self.reported_incarnation is None else self.reported_incarnation
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """Discovery speaks: a list, changes to it, or that a call failed."""
+    """An endpoint list, changes to it, or that a call to discovery failed."""
 
     kind: EndpointListKind
     entries: tuple[EndpointEntry, ...] = ()
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryArrived:
-    """A query was taken. Its parts follow in the same step with its number."""
+    """A query was accepted. Its shard requests follow in the same step with its number."""
 
     query: int
     number: int
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShardRequestArrived:
-    """A part of the query of that number, of its first step or its second."""
+    """A shard request of the query of that number, of its first step or its second."""
 
     shard_request: int
     number: int
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """Exactly one for each send. `load` holds figures as the server reported them."""
+    """Exactly one for each `Send`. `load` holds figures as the endpoint reported them."""
 
     shard_request: int
     attempt: int
@@ -110,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """A streamed answer began; the attempt belongs to the client from now on."""
+    """A streamed response began; its rows go to the client from now on."""
 
     shard_request: int
     attempt: int
@@ -120,21 +120,21 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryCancelled:
-    """The client has left, and the query with its parts is over."""
+    """The client has left: the query, or the shard request of that id, is over."""
 
     query: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
-    """A wake-up asked for has come."""
+    """A timer set by `SetTimer` has expired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckEnded:
-    """What a probe brought."""
+    """The result of a health check."""
 
     endpoint: int
     outcome: Outcome
--- a/tansycrank/routing/hedging.py
+++ b/tansycrank/routing/hedging.py
@@ -65,6 +65,8 @@
 
     def by_priority(self) -> list[Attempt]:
         """The waiting attempts; those of queries that are nearest to complete come first."""
+        if not self.awaiting_token:
+            return []
         self.awaiting_token = [attempt for attempt in self.awaiting_token if attempt.is_wanted]
         unanswered: dict[Query, int] = {}
         for attempt in self.awaiting_token:
--- a/tansycrank/routing/policy.py
+++ b/tansycrank/routing/policy.py
@@ -12,7 +12,7 @@
 from tansycrank import routing
 from tansycrank.routing import EndpointListKind, FailureReason, Idempotency, Outcome
 from tansycrank.routing.admission import Admission, AdmissionQueue
-from tansycrank.routing.completion import AnswerKind, Completion
+from tansycrank.routing.completion import CONTINUE, AnswerKind, Completion
 from tansycrank.routing.concurrency import ConcurrencyLimiter
 from tansycrank.routing.discovery import DiscoveryBackoff
 from tansycrank.routing.endpoint import Endpoint, EndpointTable
@@ -150,7 +150,11 @@
             self._reevaluate(shard_request.query, now)
 
     def _reevaluate(self, query: Query, now: float) -> None:
+        if query.has_ended:  # its timers outlive it
+            return
         evaluation = self._completion.evaluate(query, len(self.queue) > 0, now)
+        if evaluation is CONTINUE:
+            return
         for time in evaluation.check_again_at:
             self.timers.schedule(time, self._reevaluate, query)
         decision = evaluation.decision
