--- a/tansycrank/admission/concurrency_limit.py
+++ b/tansycrank/admission/concurrency_limit.py
@@ -13,6 +13,8 @@
 import math
 from collections import OrderedDict
 
+from tansycrank.admission.events import QueryOutcome
+
 SPAN = 200.0  # ms of a span at least
 RUNS = 4.0  # and so many times what a query runs: a shorter one sees only the short
 LONG = 1000.0  # ms of a span at most
@@ -27,6 +29,7 @@
 FEW = 40  # answers of a class in a span that count as much as all before
 KNOWN = 512  # statements whose pace is remembered
 RATE = 0.3  # weight of the newest span in the rate of draining
+MIN_WORK_SHARE = 0.1  # of the time in flight
 
 
 class Pace:
@@ -56,6 +59,16 @@
         self._stalled = 0.0
         self._begin(0.0)
 
+    def drain_rate(self, mean_service_time: float) -> float:
+        """Cost per ms that is completed at the limit; infinite before anything is known."""
+        if self.rate > 0:
+            return self.rate
+        return self.parts / mean_service_time if mean_service_time > 0 else math.inf
+
+    def work_time(self, took: float) -> float:
+        """The part of a query's ms in flight that its data nodes worked for it."""
+        return max(took - self.wait, MIN_WORK_SHARE * took)
+
     def _begin(self, now: float) -> None:
         self._from = now
         self._answers = self._refusals = self._ends = self._full = self._done_parts = 0
@@ -69,13 +82,13 @@
         """A query has ended; `full` tells whether others wait for its room."""
         self._ends += 1
         self._full += full
-        if kind == "answered":
+        if kind == QueryOutcome.ANSWERED:
             self._answers += 1
             self._done_parts += parts
             self._charge += charge
             self._times.setdefault(statement, []).append(took)
             self._mean += (took - self._mean) / FEW if self._mean > 0 else took
-        elif kind == "refused":
+        elif kind == QueryOutcome.REJECTED:
             self._refusals += 1
 
     def lag(self, late: float) -> None:
--- a/tansycrank/admission/controller.py
+++ b/tansycrank/admission/controller.py
@@ -12,19 +12,17 @@
 from dataclasses import dataclass
 from typing import Any
 
-from tansycrank.admission.identity import Asker
-from tansycrank.admission.policy import (
-    Admit,
-    Arrived,
-    Changed,
-    Ended,
-    Left,
-    Limits,
-    Policy,
-    Refuse,
-    Tick,
-    Wake,
+from tansycrank.admission.actions import Admit, Reject, SetTimer
+from tansycrank.admission.events import (
+    LimitsChanged,
+    PeriodicTick,
+    QueryArrived,
+    QueryCancelled,
+    QueryEnded,
 )
+from tansycrank.admission.identity import Asker
+from tansycrank.admission.policy import Policy
+from tansycrank.admission.settings import Limits
 from tansycrank.postgres.errors import (
     FAILED,
     QUERY_CANCELED,
@@ -116,7 +114,7 @@
             self._admit(entry, now)
             return entry
         self._play(
-            Arrived(
+            QueryArrived(
                 entry.id, asker.tenant, asker.client, query_class, parts, remaining, statement, mark, size,
                 repeat, asker.limits, session,
             )
@@ -126,7 +124,7 @@
 
     def pressed(self, tenant: str) -> bool:
         """Whether a tenant may have to wait."""
-        return self.policy is not None and self.policy.pressed(tenant)
+        return self.policy is not None and self.policy.may_reject(tenant)
 
     def glance(
         self,
@@ -141,10 +139,10 @@
         be.
         """
         number, who = self._ids + 1, (asker.tenant, asker.client)
-        event = Arrived(
+        event = QueryArrived(
             number, *who, query_class, 1, remaining, 0, mark, 0, repeat, asker.limits, session
         )
-        if not self.policy.hopeless(self.now, event):
+        if not self.policy.would_reject(self.now, event):
             return None
         self._ids += 1
         told: list[PgError] = []
@@ -153,7 +151,7 @@
         self._play(event)
         self._keep_beat()
         if not told:  # it could have waited after all: it is to be looked at
-            self._play(Left(entry.id))
+            self._play(QueryCancelled(entry.id))
             entry.ended = True
             self.entries.pop(entry.id, None)
         return told[0] if told else None
@@ -169,13 +167,13 @@
         if entry.inside:
             cancel(entry.running)
             return
-        self._play(Left(entry.id))
+        self._play(QueryCancelled(entry.id))
         self._finish(entry, cancelled())
 
     def change(self, tenant: str, limits: Limits) -> None:
         """An operator gives a tenant other limits."""
         if self.policy is not None:
-            self._play(Changed(tenant, limits))
+            self._play(LimitsChanged(tenant, limits))
         if self.log:
             self.log.info("tenant_limits_changed", tenant=tenant, weight=limits.weight, min_share=limits.min_share,
                           max_share=limits.max_share, burst_ms=limits.burst)  # fmt: skip
@@ -199,9 +197,9 @@
                 case Admit(number):
                     if number in self.entries:
                         self._admit(self.entries[number], now)
-                case Refuse(number, wait, reason, corrected):
+                case Reject(number, wait, reason, corrected):
                     self._refuse(number, wait, reason, corrected)
-                case Wake(at):
+                case SetTimer(at):
                     self._wake_at(at)
 
     def _admit(self, entry: Entry, now: float) -> None:
@@ -230,7 +228,7 @@
             )
             if kind == "refused":
                 hold_off = retry_after(outcome.detail)
-        self._play(Ended(entry.id, kind, self.now - entry.began, hold_off))
+        self._play(QueryEnded(entry.id, kind, self.now - entry.began, hold_off))
         self._finish(entry, outcome)  # where it was refused it has been answered by now
 
     def _finish(self, entry: Entry, outcome: Any) -> None:
@@ -250,7 +248,7 @@
 
     def _woken(self) -> None:
         self._wake = None
-        self._play(Tick())
+        self._play(PeriodicTick())
 
     def _keep_beat(self) -> None:
         if self._beat is None:
@@ -259,7 +257,7 @@
 
     def _on_beat(self) -> None:
         self._beat = None
-        self._play(Tick(max(self.now - self._beat_due, 0.0)))
+        self._play(PeriodicTick(max(self.now - self._beat_due, 0.0)))
         self._log_told()
         if self.entries or self.told:
             self._keep_beat()
--- /dev/null
+++ b/tansycrank/admission/fair_shares.py
@@ -0,0 +1,111 @@
+"""Weighted max-min fair shares of the drain rate: the rate that each tenant can rely on.
+
+Rates are in cost per ms. The fill level is the rate per weight of tenants that want more than they get.
+"""
+
+from __future__ import annotations
+
+import math
+from bisect import bisect_left
+from collections.abc import Iterable
+from itertools import accumulate
+
+from tansycrank.admission.settings import Limits
+from tansycrank.admission.tenants import DEMAND_MEMORY_MS, Tenant
+
+FORGET_DEMAND_MS = 5 * DEMAND_MEMORY_MS
+ROUNDS = 4  # of the fixed point between the fill level and the rates of limited tenants
+MIN_FREE_SHARE = 0.05  # of the drain rate that is left to tenants without limits
+
+
+class FairShares:
+    """Computes `Tenant.rate` from demands, weights and limits."""
+
+    def __init__(self) -> None:
+        self._fill_level = math.inf
+
+    def initial_rate(self, limits: Limits, drain: float) -> float:
+        """The rate of a tenant that is new, until the next `update`."""
+        if drain == math.inf:
+            return math.inf
+        level = self._fill_level if self._fill_level < math.inf else drain
+        return min(max(limits.weight * level, limits.min_share * drain), limits.max_share * drain)
+
+    def update(self, now: float, tenants: Iterable[Tenant], drain: float) -> None:
+        """Compute the rates of all tenants with recent demand."""
+        if drain == math.inf:
+            return
+        plain: list[tuple[float, float, Tenant]] = []  # demand by weight, weight, tenant
+        limited: list[tuple[float, Tenant]] = []  # demand, tenant
+        for tenant in tenants:
+            is_backlogged = bool(tenant.line) or tenant.account.owed > 0
+            if not is_backlogged and now - tenant.seen > FORGET_DEMAND_MS:
+                continue
+            demand = math.inf if is_backlogged else tenant.asked.rate(now)
+            if tenant.limits.min_share > 0 or tenant.limits.max_share < 1:
+                limited.append((demand, tenant))
+            else:
+                plain.append((demand / tenant.limits.weight, tenant.limits.weight, tenant))
+        plain.sort(key=lambda item: item[0])
+        self._fill_level = self._converge(plain, limited, drain)
+        self._assign(plain, limited, drain)
+
+    def _converge(self, plain: list, limited: list, drain: float) -> float:
+        """The fill level that is left by limited tenants, whose rates depend on it in turn."""
+        demands = [item[0] for item in plain]
+        weights = [0.0, *accumulate(item[1] for item in plain)]
+        wanted = [0.0, *accumulate(0.0 if d == math.inf else d * w for d, w, _ in plain)]
+        level, taken = drain, 0.0
+        for _ in range(ROUNDS):
+            free = max(drain - taken, MIN_FREE_SHARE * drain)
+            level = fill_level(demands, weights, wanted, free)
+            taken = 0.0
+            for demand, tenant in limited:
+                taken += min(demand, _limited_rate(tenant.limits, level, drain))
+        return level
+
+    def _assign(self, plain: list, limited: list, drain: float) -> None:
+        level = self._fill_level
+        for _, tenant in limited:
+            tenant.rate = _limited_rate(tenant.limits, level, drain)
+            weight = tenant.limits.weight
+            has_level = level < math.inf
+            tenant.line.weight = max(weight, tenant.rate / level) if has_level else weight
+        for _, weight, tenant in plain:
+            tenant.rate = min(weight * level, drain)
+        for *_, tenant in (*limited, *plain):
+            tenant.line.burst = tenant.limits.burst * tenant.rate / tenant.line.weight
+
+
+def _limited_rate(limits: Limits, level: float, drain: float) -> float:
+    least, most = limits.min_share * drain, limits.max_share * drain
+    return min(max(limits.weight * level, least), most) if level < math.inf else most
+
+
+def fill_level(
+    demands: list[float], weights: list[float], wanted: list[float], capacity: float
+) -> float:
+    """The level at which demands, capped at weight x level, use up the capacity; infinite if they can't.
+
+    `demands` are by weight and sorted; `weights` and `wanted` are prefix sums of weights and demands.
+    """
+    total_weight = weights[-1]
+
+    def used_at(index: int) -> float:
+        """What all tenants use at the level of this demand."""
+        return wanted[index + 1] + demands[index] * (total_weight - weights[index + 1])
+
+    if not demands:
+        return capacity
+    finite = bisect_left(demands, math.inf)
+    if finite == len(demands) and wanted[-1] <= capacity:
+        return math.inf
+    low, high = 0, finite
+    while low < high:
+        middle = (low + high) // 2
+        if used_at(middle) >= capacity:
+            high = middle
+        else:
+            low = middle + 1
+    unmet_weight = total_weight - weights[low]
+    return (capacity - wanted[low]) / unmet_weight if unmet_weight > 0 else math.inf
--- a/tansycrank/admission/identity.py
+++ b/tansycrank/admission/identity.py
@@ -13,7 +13,7 @@
 
 from netaddr import AddrFormatError, IPAddress, IPNetwork
 
-from tansycrank.admission.policy import Limits
+from tansycrank.admission.settings import Limits
 
 NAME_LIMIT = 80  # characters of a tenant's name
 PLACES = ("user", "database", "setting", "network")
--- a/tansycrank/admission/views.py
+++ b/tansycrank/admission/views.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from tansycrank.admission.controller import AdmissionController
-from tansycrank.admission.policy import MOST_PROMISED, Limits
+from tansycrank.admission.settings import MAX_RESERVED_SHARE, Limits
 from tansycrank.postgres.errors import INVALID_PARAMETER, PgError
 
 SHOWN = 200  # tenants in one view, those with most in line and refused first
@@ -19,7 +19,7 @@
 KEYS = {"weight": "weight", "min_share": "min_share", "max_share": "max_share", "burst_ms": "burst"}
 BOUNDS = {
     "weight": (1e-3, 1000),
-    "min_share": (0, MOST_PROMISED),
+    "min_share": (0, MAX_RESERVED_SHARE),
     "max_share": (1e-3, 1),
     "burst_ms": (0, 1e6),
 }
@@ -54,10 +54,10 @@
     figures = {
         "enabled": "on",
         "limit_parts": f"{policy.limit.parts:.1f}",
-        "inside_parts": policy.parts,
-        "inside_queries": len(policy.inside),
-        "queued": len(policy.waiting),
-        "queued_bytes": policy.bytes,
+        "inside_parts": policy.in_flight.parts,
+        "inside_queries": len(policy.in_flight.queries),
+        "queued": len(policy.queue.queries),
+        "queued_bytes": policy.queue.bytes,
         "drain_parts_a_second": "" if drain == float("inf") else f"{drain * 1000:.1f}",
         "mean_part_ms": f"{policy.costs.mean:.2f}",
         "tenants": len(policy.tenants),
@@ -99,7 +99,9 @@
     if gate.policy is None:
         raise PgError(INVALID_PARAMETER, "tansycrank.limits: the door is off")
     known = gate.policy.tenants.get(tenant)
-    old = gate.policy.changed.get(tenant) or (known.limits if known is not None else Limits())
+    old = gate.policy.tenants.limit_overrides.get(tenant) or (
+        known.limits if known is not None else Limits()
+    )
     new = replace(old, **changes)
     if new.min_share > new.max_share:
         raise PgError(
@@ -108,9 +110,9 @@
     total = new.min_share + sum(
         t.limits.min_share for t in gate.policy.tenants.values() if t.key != tenant
     )
-    if total > MOST_PROMISED:
+    if total > MAX_RESERVED_SHARE:
         raise PgError(
             INVALID_PARAMETER,
-            f"tansycrank.limits: least shares would be {total:g} in all, at most {MOST_PROMISED:g}",
+            f"tansycrank.limits: least shares would be {total:g} in all, at most {MAX_RESERVED_SHARE:g}",
         )
     gate.change(tenant, new)
--- a/tansycrank/config.py
+++ b/tansycrank/config.py
@@ -19,8 +19,9 @@
 
 from tansycrank import routing
 from tansycrank.admission.identity import PLACES, Identity, Rule, read_network
-from tansycrank.admission.policy import MOST_PROMISED, Limits, Policy
-from tansycrank.admission.policy import Settings as DoorSettings
+from tansycrank.admission.policy import Policy
+from tansycrank.admission.settings import MAX_RESERVED_SHARE, Limits
+from tansycrank.admission.settings import Settings as DoorSettings
 from tansycrank.postgres import types
 
 Whole = Annotated[int, Meta(ge=0)]
@@ -522,11 +523,11 @@
     for key in ("allow", "deny", "operators"):
         _networks(path, "door", key, getattr(door, key))
     promised = sum(rule.limits.min_share for rule in rules)
-    if promised > MOST_PROMISED:
+    if promised > MAX_RESERVED_SHARE:
         last = rules[-1]
         raise ConfigError(
             path, f"tenant {last.name}", "min_share", str(last.limits.min_share),
-            f"all least shares together at most {MOST_PROMISED:g}, these are {promised:g}",
+            f"all least shares together at most {MAX_RESERVED_SHARE:g}, these are {promised:g}",
         )  # fmt: skip
 
 
--- a/tansycrank/testbed/admission_emulator.py
+++ b/tansycrank/testbed/admission_emulator.py
@@ -15,7 +15,8 @@
 
 from tansycrank import routing
 from tansycrank.admission.identity import Asker
-from tansycrank.admission.policy import Limits, Policy, Settings
+from tansycrank.admission.policy import Policy
+from tansycrank.admission.settings import Limits, Settings
 from tansycrank.postgres.errors import REFUSED, PgError, retry_after
 from tansycrank.testbed.simulated import SimClock, SimNode, SimRouter
 
--- a/tansycrank/testbed/measure_admission.py
+++ b/tansycrank/testbed/measure_admission.py
@@ -19,7 +19,10 @@
 
 import msgspec
 
-from tansycrank.admission.policy import Admit, Arrived, Ended, Limits, Policy, Settings, Tick
+from tansycrank.admission.actions import Admit
+from tansycrank.admission.events import PeriodicTick, QueryArrived, QueryEnded
+from tansycrank.admission.policy import Policy
+from tansycrank.admission.settings import Limits, Settings
 from tansycrank.testbed.admission_emulator import Load, Play, Scene, jain
 from tansycrank.testbed.engine import DISTRICTS
 from tansycrank.testbed.local_cluster import TENANT_RULES, Layout, LocalCluster
@@ -148,11 +151,13 @@
     for number in range(queries):
         clock[0] += 0.05
         name = f"tenant-{number % tenants}"
-        event = Arrived(number, name, f"{name}/x", 0, 1, 1000.0, 1, number + 1, 200)
+        event = QueryArrived(number, name, f"{name}/x", 0, 1, 1000.0, 1, number + 1, 200)
         actions = policy.step(clock[0], [event])
         if number % 20 == 0 and inside:
             done, began = inside.popleft()
-            actions += policy.step(clock[0], [Ended(done, "answered", clock[0] - began), Tick()])
+            actions += policy.step(
+                clock[0], [QueryEnded(done, "answered", clock[0] - began), PeriodicTick()]
+            )
         inside.extend((action.id, clock[0]) for action in actions if isinstance(action, Admit))
         if number % every == 0:
             sample(number)
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -4,7 +4,8 @@
 
 from tansycrank.admission.controller import AdmissionController, refusal
 from tansycrank.admission.identity import Asker
-from tansycrank.admission.policy import Limits, Policy, Settings
+from tansycrank.admission.policy import Policy
+from tansycrank.admission.settings import Limits, Settings
 from tansycrank.postgres.errors import REFUSED, PgError
 
 ASKER = Asker("a", "a/x", Limits())
@@ -55,12 +56,14 @@
         site.clock.advance(0.5)
         site.end(next(iter(site.running)))
     before = len(site.running)
-    site.gate.policy.parts -= 2  # room that nobody was told of
+    site.gate.policy.in_flight.parts -= 2  # room that nobody was told of
     problem = site.gate.glance(Asker("b", "b/x", Limits()), 0, 1.0, 7, False)
     problem = problem or site.gate.glance(ASKER, 0, 1.0, 9, False)
-    site.gate.policy.parts += 2
+    site.gate.policy.in_flight.parts += 2
     assert problem is None or problem.state == REFUSED
-    assert len(site.gate.entries) == len(site.gate.policy.waiting) + len(site.gate.policy.inside)
+    assert len(site.gate.entries) == len(site.gate.policy.queue.queries) + len(
+        site.gate.policy.in_flight.queries
+    )
     assert len(site.running) >= before
 
 
@@ -77,7 +80,9 @@
         and "retry_after_ms=" in problem.detail
     )
     assert site.gate.glance(ASKER, 0, 1e9, 11, False) is None
-    assert len(site.gate.entries) == len(site.gate.policy.waiting) + len(site.gate.policy.inside)
+    assert len(site.gate.entries) == len(site.gate.policy.queue.queries) + len(
+        site.gate.policy.in_flight.queries
+    )
 
 
 def test_the_modules_refusal_leaves_with_the_doors_wait():
@@ -95,7 +100,7 @@
     site.gate.leave(entry, lambda running: None)
     site.gate.leave(entry, lambda running: None)
     assert [a.state for a in site.heard["leaver"]] == ["57014"]
-    assert entry.id not in site.gate.policy.waiting
+    assert entry.id not in site.gate.policy.queue.queries
 
 
 def test_the_end_of_the_router_is_told_to_all_who_wait():
--- a/tests/admission/test_identity.py
+++ b/tests/admission/test_identity.py
@@ -9,7 +9,7 @@
 
 from tansycrank import config
 from tansycrank.admission.identity import Caller, Identity, Networks, Rule, read_address
-from tansycrank.admission.policy import Limits
+from tansycrank.admission.settings import Limits
 
 
 def rule(name, tenant=None, **keys):
--- a/tests/admission/test_machine.py
+++ b/tests/admission/test_machine.py
@@ -4,19 +4,16 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from tansycrank.admission.policy import (
-    Admit,
-    Arrived,
-    Changed,
-    Ended,
-    Left,
-    Limits,
-    Policy,
-    Refuse,
-    Settings,
-    Tick,
-    Wake,
+from tansycrank.admission.actions import Admit, Reject, SetTimer
+from tansycrank.admission.events import (
+    LimitsChanged,
+    PeriodicTick,
+    QueryArrived,
+    QueryCancelled,
+    QueryEnded,
 )
+from tansycrank.admission.policy import Policy
+from tansycrank.admission.settings import Limits, Settings
 
 BOUNDS = Settings(
     classes=(1.0, 3.0), useful=(500.0, 900.0), queries=12, bytes=4000, tenants=4, places=10
@@ -38,13 +35,13 @@
                 case Admit(number):
                     assert number in self.open and number not in self.inside
                     self.inside.add(number)
-                case Refuse(number, wait):
+                case Reject(number, wait):
                     assert number in self.open and wait >= 0
                     assert number not in self.inside
                     del self.open[number]
                     self.fate[number] = "refused"
-                case Wake(at):
-                    assert at >= self.now or self.policy.waiting
+                case SetTimer(at):
+                    assert at >= self.now or self.policy.queue.queries
 
     @rule(
         tenant=st.sampled_from("abcdefgh"),
@@ -61,7 +58,7 @@
         self.ids += 1
         self.open[self.ids] = tenant
         self.play(
-            Arrived(
+            QueryArrived(
                 self.ids, tenant, client, query_class, parts, left, mark % 5, mark, size, repeat,
                 Limits(min_share=share),
             )
@@ -78,38 +75,40 @@
         if kind != "refused":
             del self.open[number]
             self.fate[number] = kind
-        self.play(Ended(number, kind, data.draw(st.floats(0, 5000)), 50.0))
+        self.play(QueryEnded(number, kind, data.draw(st.floats(0, 5000)), 50.0))
         assert number in self.fate
 
-    @precondition(lambda self: self.policy.waiting)
+    @precondition(lambda self: self.policy.queue.queries)
     @rule(data=st.data())
     def leaves(self, data):
-        number = data.draw(st.sampled_from(sorted(self.policy.waiting)))
+        number = data.draw(st.sampled_from(sorted(self.policy.queue.queries)))
         del self.open[number]
         self.fate[number] = "left"
-        self.play(Left(number))
+        self.play(QueryCancelled(number))
 
     @rule(after=st.floats(0, 4000), late=st.sampled_from([0.0, 0.0, 5.0, 2000.0]))
     def time_goes_by(self, after, late):
         self.now += after
-        self.play(Tick(late))
+        self.play(PeriodicTick(late))
 
     @rule(tenant=st.sampled_from("abcd"), weight=st.floats(0.01, 100), most=st.floats(0.05, 1))
     def limits_change(self, tenant, weight, most):
-        self.play(Changed(tenant, Limits(weight, 0.0, most, 100.0)))
+        self.play(LimitsChanged(tenant, Limits(weight, 0.0, most, 100.0)))
 
     @invariant()
     def every_query_is_somewhere_once(self):
-        waiting = set(self.policy.waiting)
+        waiting = set(self.policy.queue.queries)
         assert waiting | self.inside == set(self.open) and not waiting & self.inside
-        assert set(self.policy.inside) == self.inside
+        assert set(self.policy.in_flight.queries) == self.inside
 
     @invariant()
     def bounds_hold(self):
         policy = self.policy
-        assert policy.root.size == len(policy.waiting) <= BOUNDS.queries
-        assert policy.bytes == sum(t.size for t in policy.waiting.values()) <= BOUNDS.bytes
-        assert policy.parts == sum(t.parts for t in policy.inside.values())
+        assert policy.queue.scheduler.size == len(policy.queue.queries) <= BOUNDS.queries
+        assert (
+            policy.queue.bytes == sum(t.size for t in policy.queue.queries.values()) <= BOUNDS.bytes
+        )
+        assert policy.in_flight.parts == sum(t.parts for t in policy.in_flight.queries.values())
         assert 0 <= policy.book.kept <= BOUNDS.places
         assert policy.book.kept == sum(t.account.count for t in policy.tenants.values())
         for tenant in policy.tenants.values():
@@ -118,21 +117,21 @@
     @invariant()
     def lines_add_up(self):
         for tenant in self.policy.tenants.values():
-            mine = [t for t in self.policy.waiting.values() if t.tenant == tenant.key]
+            mine = [t for t in self.policy.queue.queries.values() if t.tenant == tenant.key]
             assert tenant.line.size == len(mine)
             assert tenant.inside == sum(
-                t.parts for t in self.policy.inside.values() if t.tenant == tenant.key
+                t.parts for t in self.policy.in_flight.queries.values() if t.tenant == tenant.key
             )
 
     @invariant()
     def nobody_waits_beside_room(self):
         policy = self.policy
         able = [t for t in policy.tenants.values() if t.line and not t.parked]
-        assert not able or policy.parts >= policy.limit.parts
+        assert not able or policy.in_flight.parts >= policy.limit.parts
 
     @invariant()
     def nobody_waits_past_his_time(self):
-        assert all(t.leave_by > self.now for t in self.policy.waiting.values())
+        assert all(t.leave_by > self.now for t in self.policy.queue.queries.values())
 
     def teardown(self):
         """Whatever came before: once all inside has ended and time has passed, everyone has an
@@ -143,16 +142,16 @@
             self.inside.discard(number)
             del self.open[number]
             self.fate[number] = "answered"
-            self.play(Ended(number, "answered", 10.0))
+            self.play(QueryEnded(number, "answered", 10.0))
         self.now += 10_000
-        self.play(Tick())
+        self.play(PeriodicTick())
         while self.inside:
             number = min(self.inside)
             self.inside.discard(number)
             del self.open[number]
             self.fate[number] = "answered"
-            self.play(Ended(number, "answered", 10.0))
-        assert not self.open and not self.policy.waiting and len(self.fate) == self.ids
+            self.play(QueryEnded(number, "answered", 10.0))
+        assert not self.open and not self.policy.queue.queries and len(self.fate) == self.ids
 
 
 TestDoor = Door.TestCase
--- a/tests/admission/test_policy.py
+++ b/tests/admission/test_policy.py
@@ -4,18 +4,16 @@
 
 import pytest
 
-from tansycrank.admission.policy import (
-    Admit,
-    Arrived,
-    Changed,
-    Ended,
-    Left,
-    Limits,
-    Policy,
-    Refuse,
-    Settings,
-    Tick,
+from tansycrank.admission.actions import Admit, Reject
+from tansycrank.admission.events import (
+    LimitsChanged,
+    PeriodicTick,
+    QueryArrived,
+    QueryCancelled,
+    QueryEnded,
 )
+from tansycrank.admission.policy import Policy
+from tansycrank.admission.settings import Limits, Settings
 
 
 class World:
@@ -36,7 +34,7 @@
                     self.admitted.append(number)
                     self.kinds[number] = self.now
                     self.line.append(number)
-                case Refuse(number):
+                case Reject(number):
                     assert number not in self.refused
                     self.refused[number] = action
         self._start()
@@ -50,7 +48,7 @@
         self.ids += 1
         number = self.ids
         self.parts[number], self.tenant_of[number] = parts, tenant
-        self.play(Arrived(number, tenant, client, 0, parts, remaining, mark=mark, **more))
+        self.play(QueryArrived(number, tenant, client, 0, parts, remaining, mark=mark, **more))
         return number
 
     def run(self, until, step=5.0):
@@ -58,8 +56,8 @@
             self.now += step
             for number in [n for n, end in self.running.items() if end <= self.now]:
                 del self.running[number]
-                self.play(Ended(number, "answered", self.now - self.kinds[number]))
-            self.play(Tick())
+                self.play(QueryEnded(number, "answered", self.now - self.kinds[number]))
+            self.play(PeriodicTick())
         return self
 
     def load(self, seconds, rates, seed=1, **more):
@@ -110,7 +108,7 @@
     world = World().load(3, {"a": 600, "b": 600})
     assert world.got("a") / world.got("b") == pytest.approx(1.0, rel=0.2)
     before = world.got("a"), world.got("b")
-    world.play(Changed("a", Limits(weight=4.0)))
+    world.play(LimitsChanged("a", Limits(weight=4.0)))
     world.load(5, {"a": 600, "b": 600})
     gained = world.got("a") - before[0], world.got("b") - before[1]
     assert gained[0] / gained[1] == pytest.approx(4.0, rel=0.35)
@@ -119,7 +117,9 @@
 def test_a_least_share_holds_against_many_and_a_greatest_share_caps():
     rates = {f"t{i}": 100 for i in range(12)}
     world = World().load(1, rates)
-    world.play(Changed("gold", Limits(min_share=0.4)), Changed("iron", Limits(max_share=0.1)))
+    world.play(
+        LimitsChanged("gold", Limits(min_share=0.4)), LimitsChanged("iron", Limits(max_share=0.1))
+    )
     world.load(6, rates | {"gold": 400, "iron": 400})
     total = sum(world.got(t) for t in (*rates, "gold", "iron"))
     assert world.got("gold") / total > 0.28
@@ -196,7 +196,7 @@
     tenant = world.policy.tenants["a"]
     arrived, owed = tenant.arrived, tenant.account.owed
     for _ in range(20):
-        world.play(Tick())
+        world.play(PeriodicTick())
         again = world.ask("a", mark=mark)
         assert world.refused[again].reason == "early"
         assert world.now + world.refused[again].wait == pytest.approx(due)
@@ -246,10 +246,10 @@
         if i % 10 == 0:
             world.run(world.now + 5)
     policy = world.policy
-    assert len(policy.tenants) <= 512 + 64 and policy.root.size <= 200
+    assert len(policy.tenants) <= 512 + 64 and policy.queue.scheduler.size <= 200
     assert policy.book.kept <= 1000 and len(policy.book._expiry) <= 2 * 1000 + 1024 + 1
-    assert len(policy._expiry) <= 2 * 200 + 1024 + 1
-    assert len(policy.root.children) <= 3 * 200 + 64
+    assert len(policy.queue._deadlines) <= 2 * 200 + 1024 + 1
+    assert len(policy.queue.scheduler.children) <= 3 * 200 + 64
 
 
 def test_a_new_name_for_each_query_leaves_old_tenants_their_part():
@@ -267,19 +267,19 @@
 
 def test_a_tenant_forgotten_and_back_does_not_gain():
     policy = Policy(Settings(tenants=64))
-    tenant = policy._tenant(0.0, "x", Limits())
+    tenant = policy._tenant("x", Limits())
     tenant.line.finish = 500.0
     for i in range(200):
-        policy._tenant(0.0, f"y{i}", Limits())
+        policy._tenant(f"y{i}", Limits())
     assert "x" not in policy.tenants
-    assert policy._tenant(0.0, "x", Limits()).line.finish >= 500.0
+    assert policy._tenant("x", Limits()).line.finish >= 500.0
 
 
 def test_the_full_line_pushes_out_who_holds_most_of_it():
     world = World(slots=1, work=1000.0, queries=10)
     for _ in range(30):
         world.ask("big", remaining=1e9)
-    assert world.policy.root.size == 10
+    assert world.policy.queue.scheduler.size == 10
     number = world.ask("small", remaining=1e9)
     assert number not in world.refused
     assert any(r.reason == "pushed" for r in world.refused.values())
@@ -289,7 +289,7 @@
     world = World(slots=1, work=1000.0, bytes=1000)
     for _ in range(40):
         world.ask("a", remaining=1e9, size=300)
-    assert world.policy.bytes <= 1000
+    assert world.policy.queue.bytes <= 1000
     assert any(r.reason == "full" for r in world.refused.values())
 
 
@@ -297,21 +297,25 @@
     world = World(slots=1, work=5000.0)
     for _ in range(12):
         world.ask("a", remaining=300.0)
-    waiting = set(world.policy.waiting)
+    waiting = set(world.policy.queue.queries)
     assert waiting
     world.now = 300.0
     world.play()
-    assert waiting <= set(world.refused) and not world.policy.waiting
+    assert waiting <= set(world.refused) and not world.policy.queue.queries
     assert all(world.refused[n].reason == "late" for n in waiting)
 
 
 def test_a_client_that_leaves_the_line_is_forgotten():
     world = World(slots=1, work=1000.0)
     numbers = [world.ask("a", remaining=1e9) for _ in range(20)]
-    waiting = [n for n in numbers if n in world.policy.waiting]
+    waiting = [n for n in numbers if n in world.policy.queue.queries]
     for number in waiting:
-        world.play(Left(number))
-    assert not world.policy.waiting and world.policy.root.size == 0 and world.policy.bytes == 0
+        world.play(QueryCancelled(number))
+    assert (
+        not world.policy.queue.queries
+        and world.policy.queue.scheduler.size == 0
+        and world.policy.queue.bytes == 0
+    )
     assert not set(waiting) & set(world.refused)
 
 
@@ -345,7 +349,7 @@
     number = world.ask("a", mark=5)
     world.line.clear()
     world.running.clear()
-    world.play(Ended(number, "refused", 3.0, hold_off=700.0))
+    world.play(QueryEnded(number, "refused", 3.0, hold_off=700.0))
     assert world.refused[number].reason == "module" and world.refused[number].wait >= 700.0
     assert world.policy.tenants["a"].account.count == 1
 
@@ -354,7 +358,7 @@
     world = World(slots=20).load(5, {"a": 1500})
     before = world.policy.limit.parts
     world.now += 2000
-    world.play(Tick(late=2000.0))
+    world.play(PeriodicTick(late=2000.0))
     world.load(0.5, {"a": 1500})
     assert world.policy.limit.parts > before / 2
 
@@ -366,7 +370,7 @@
         if number in world.admitted:
             world.line = [n for n in world.line if n != number]
             world.running.pop(number, None)
-            world.play(Ended(number, "refused", 1.0, hold_off=100.0))
+            world.play(QueryEnded(number, "refused", 1.0, hold_off=100.0))
         world.load(0.01, {"a": 500})
     asked = sum(t == "a" for t in world.tenant_of.values())
     assert world.got("a") > 0.9 * asked
@@ -377,11 +381,11 @@
     by.
     """
     policy, number = Policy(Settings()), 0
-    while not policy.waiting:  # until nothing more is let in
+    while not policy.queue.queries:  # until nothing more is let in
         number += 1
-        policy.step(0.0, [Arrived(number, "b", "c", 0, 9, 900.0, mark=100 + number)])
+        policy.step(0.0, [QueryArrived(number, "b", "c", 0, 9, 900.0, mark=100 + number)])
     account = policy.tenants["b"].account
     policy.book.keep(account, "b", 100 + number, 0, 0.0, 400.0, 9.0)  # its first was told 400 ms
-    refused = [one for one in policy.step(900.0, [Tick()]) if isinstance(one, Refuse)]
+    refused = [one for one in policy.step(900.0, [PeriodicTick()]) if isinstance(one, Reject)]
     assert [one.id for one in refused] == [number] and refused[0].wait >= 0.0
     assert policy.book.kept == account.count == sum(map(len, account.places.values()))
--- a/tests/admission/test_simulated.py
+++ b/tests/admission/test_simulated.py
@@ -1,6 +1,6 @@
 """Door, coordinator and module together in simulated time: the same run every time."""
 
-from tansycrank.admission.policy import Limits
+from tansycrank.admission.settings import Limits
 from tansycrank.testbed.admission_emulator import Load, Play, Scene, jain
 from tansycrank.testbed.simulated import SimClock
 
@@ -38,7 +38,7 @@
     # the module tries the nodes that came back after half an aim; the door follows it up
     assert drains[9.3] > 1.2 * drains[5.4] and limits[9.3] > limits[6.5]
     gate = play.routers[0].gate
-    assert len(gate.entries) == len(gate.policy.waiting) + len(gate.policy.inside)
+    assert len(gate.entries) == len(gate.policy.queue.queries) + len(gate.policy.in_flight.queries)
 
 
 def test_the_same_scene_plays_the_same_twice():
