--- a/tansycrank/admission/actions.py
+++ b/tansycrank/admission/actions.py
@@ -28,7 +28,8 @@
 class Reject:
     """Answer the query now with Retry-After `wait`.
 
-    `corrected` tells that the client came back as told and the earlier Retry-After could not be honoured.
+    `corrected` tells that the client came back as told and the earlier Retry-After could not be
+    honoured.
     """
 
     id: int
--- a/tansycrank/admission/admission_queue.py
+++ b/tansycrank/admission/admission_queue.py
@@ -60,7 +60,9 @@
         self.charge = max(self.charge - ticket.charge, 0.0) if self.queries else 0.0
 
     def park(self, tenant: Tenant) -> None:
-        """Take the tenant that is scheduled first out of the schedule, since it holds its maximum share."""
+        """Take the tenant that is scheduled first out of the schedule, since it holds its maximum
+        share.
+        """
         tenant.parked = True
         self.scheduler.park()
 
--- a/tansycrank/admission/events.py
+++ b/tansycrank/admission/events.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from enum import StrEnum
 
 from tansycrank.admission.settings import Limits
@@ -21,8 +21,8 @@
 class QueryArrived:
     """A query asks for admission.
 
-    `mark` is a hash that identifies the query among those of its client, `size` the bytes it holds while it
-    is queued, `repeat` whether the client declares it a retry.
+    `mark` is a hash that identifies the query among those of its client, `size` the bytes it holds
+    while it is queued, `repeat` whether the client declares it a retry.
     """
 
     id: int
@@ -35,7 +35,7 @@
     mark: int = 0
     size: int = 0
     repeat: bool = False
-    limits: Limits = Limits()
+    limits: Limits = field(default_factory=Limits)
     session: int = 0
 
 
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryEnded:
-    """An admitted query ended after `took` ms; `hold_off` is the Retry-After of the routing policy."""
+    """An admitted query ended after `took` ms; `hold_off`: Retry-After of the routing policy."""
 
     id: int
     kind: str
--- a/tansycrank/admission/fair_shares.py
+++ b/tansycrank/admission/fair_shares.py
@@ -1,6 +1,7 @@
 """Weighted max-min fair shares of the drain rate: the rate that each tenant can rely on.
 
-Rates are in cost per ms. The fill level is the rate per weight of tenants that want more than they get.
+Rates are in cost per ms. The fill level is the rate per weight of tenants that want more than they
+get.
 """
 
 from __future__ import annotations
@@ -87,7 +88,8 @@
 ) -> float:
     """The level at which demands, capped at weight x level, use up the capacity; infinite if they can't.
 
-    `demands` are by weight and sorted; `weights` and `wanted` are prefix sums of weights and demands.
+    `demands` are by weight and sorted; `weights` and `wanted` are prefix sums of weights and
+    demands.
     """
     total_weight = weights[-1]
 
--- a/tansycrank/admission/in_flight.py
+++ b/tansycrank/admission/in_flight.py
@@ -55,7 +55,8 @@
     def is_light(self, charge: float, queue: AdmissionQueue, limit: Limit) -> bool:
         """Whether a query is cheap enough beside the others to be admitted past the queue.
 
-        Expensive queries hold the limit for long; without this each cheap query waits for one to end.
+        Expensive queries hold the limit for long; without this each cheap query waits for one to
+        end.
         """
         count = len(self.queries) + len(queue.queries)
         if not count or self.light_parts >= max(LIGHT_SHARE * limit.parts, 1.0):
--- a/tansycrank/admission/policy.py
+++ b/tansycrank/admission/policy.py
@@ -1,8 +1,9 @@
 """The admission policy of one router: which queries are admitted, queued or rejected.
 
-`step(now, events) -> actions`, without I/O or a clock; times are ms. The policy hands each event to the
-rules: `in_flight` (admission without queueing), `admission_queue` and `fair_queue` (order and bounds),
-`concurrency_limit`, `fair_shares` (rates of tenants), `retry_after` and `reservations` (rejections).
+`step(now, events) -> actions`, without I/O or a clock; times are ms. The policy hands each event to
+the rules: `in_flight` (admission without queueing), `admission_queue` and `fair_queue` (order and
+bounds), `concurrency_limit`, `fair_shares` (rates of tenants), `retry_after` and `reservations`
+(rejections).
 """
 
 from __future__ import annotations
@@ -198,8 +199,8 @@
         needs = self.costs.needs(event.query_class, event.statement) + self.limit.wait
         leave_by = now + self._useful_time(event) - needs
         return Ticket(
-            event.id, tenant.key, event.client, event.query_class, event.statement, event.parts, charge,
-            event.size, leave_by, event.mark, event.session,
+            event.id, tenant.key, event.client, event.query_class, event.statement, event.parts,
+            charge, event.size, leave_by, event.mark, event.session,
         )  # fmt: skip
 
     def _useful_time(self, event: QueryArrived) -> float:
--- a/tansycrank/admission/retry_after.py
+++ b/tansycrank/admission/retry_after.py
@@ -19,8 +19,8 @@
 ) -> float:
     """When the query would be served if it were queued now.
 
-    New queries get the rate that returning ones leave over. Only those that did return count: counting all
-    reservations would shut out a tenant whose clients never return.
+    New queries get the rate that returning ones leave over. Only those that did return count:
+    counting all reservations would shut out a tenant whose clients never return.
     """
     rate = max(tenant.rate, MIN_RATE)
     if rate == math.inf:
@@ -38,7 +38,9 @@
 def return_time(
     now: float, tenant: Tenant, ticket: Ticket, queue: AdmissionQueue, drain: float, horizon: float
 ) -> float:
-    """When a rejected query should return: after the queue and all earlier reservations of its tenant."""
+    """When a rejected query should return: after the queue and all earlier reservations of its
+    tenant.
+    """
     expected = expected_service_time(now, tenant, ticket, queue, drain)
     if ticket.returning or tenant.rate == math.inf:
         return expected
--- a/tansycrank/admission/settings.py
+++ b/tansycrank/admission/settings.py
@@ -9,7 +9,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Limits of a tenant: weight, minimum and maximum share of the router, burst in ms of its share."""
+    """Limits of a tenant: weight, minimum and maximum share of the router, burst in ms of its
+    share.
+    """
 
     weight: float = 1.0
     min_share: float = 0.0
@@ -21,8 +23,9 @@
 class Settings:
     """Bounds of admission control; `horizon` is how far ahead reservations reach, in ms.
 
-    `classes` are the weights of the query classes within a client. `useful` is the time in ms after which
-    an answer of the class is worthless; an empty tuple leaves only the deadline of each query.
+    `classes` are the weights of the query classes within a client. `useful` is the time in ms after
+    which an answer of the class is worthless; an empty tuple leaves only the deadline of each
+    query.
     """
 
     classes: tuple[float, ...] = (1.0,)
--- a/tansycrank/admission/tenants.py
+++ b/tansycrank/admission/tenants.py
@@ -67,8 +67,9 @@
     """State and counters of one tenant. `rate` is the cost per ms that it can rely on."""
 
     __slots__ = (
-        "account", "admitted", "answered", "arrived", "asked", "charged", "corrected", "early", "inside",
-        "key", "left", "limits", "line", "parked", "rate", "refused", "returns", "seen", "wait",
+        "account", "admitted", "answered", "arrived", "asked", "charged", "corrected", "early",
+        "inside", "key", "left", "limits", "line", "parked", "rate", "refused", "returns", "seen",
+        "wait",
     )  # fmt: skip
 
     def __init__(self, key: str, limits: Limits, class_weights: tuple[float, ...]) -> None:
@@ -102,7 +103,9 @@
         return self.line.charge / self.limits.weight
 
     def is_below_max_share(self, parts: int, limit_parts: float) -> bool:
-        """Whether so many more shard requests stay within its maximum share of the concurrency limit."""
+        """Whether so many more shard requests stay within its maximum share of the concurrency
+        limit.
+        """
         most = self.limits.max_share * limit_parts
         return self.limits.max_share >= 1 or self.inside == 0 or self.inside + parts <= most
 
@@ -166,7 +169,8 @@
     def _evict_one(self) -> bool:
         """Evict, of the least recently seen idle tenants, the one that was served least.
 
-        By age alone, keys made up for single queries would evict tenants that send queries steadily.
+        By age alone, keys made up for single queries would evict tenants that send queries
+        steadily.
         """
         victim: Tenant | None = None
         for _ in range(min(EVICTION_CANDIDATES, len(self._tenants))):
--- a/tansycrank/admission/views.py
+++ b/tansycrank/admission/views.py
@@ -38,8 +38,8 @@
         rate = "" if t.rate in (0.0, float("inf")) else f"{t.rate * 1000:.1f}"
         values = (
             t.key, t.line.size, t.inside, rate, f"{limits.weight:g}", f"{limits.min_share:g}",
-            f"{limits.max_share:g}", f"{limits.burst:g}", t.arrived, t.admitted, t.answered, t.refused,
-            t.corrected, t.early, t.left, t.account.count, f"{t.account.show:.2f}", f"{t.wait:.0f}",
+            f"{limits.max_share:g}", f"{limits.burst:g}", t.arrived, t.admitted, t.answered,
+            t.refused, t.corrected, t.early, t.left, t.account.count, f"{t.account.show:.2f}", f"{t.wait:.0f}",
         )  # fmt: skip
         rows.append(tuple(str(value) for value in values))
     return rows
@@ -113,6 +113,7 @@
     if total > MAX_RESERVED_SHARE:
         raise PgError(
             INVALID_PARAMETER,
-            f"tansycrank.limits: least shares would be {total:g} in all, at most {MAX_RESERVED_SHARE:g}",
+            f"tansycrank.limits: least shares would be {total:g} in all,"
+            f" at most {MAX_RESERVED_SHARE:g}",
         )
     gate.change(tenant, new)
--- /dev/null
+++ b/tansycrank/config/tables.py
@@ -0,0 +1,112 @@
+"""Checks of the sections that describe query classes, distributions and tables."""
+
+from __future__ import annotations
+
+import re
+
+from tansycrank.config.errors import ConfigError
+from tansycrank.config.model import Distribution, QueryClassConfig, Table
+from tansycrank.config.sections import ClassSection, DistributionSection, TableSection
+from tansycrank.postgres import types
+
+
+def check_class(path: str, name: str, section: ClassSection) -> QueryClassConfig:
+    """A class of queries with its compiled pattern."""
+    where = f"class {name}"
+    if section.aim_ms > section.give_up_ms:
+        raise ConfigError(
+            path, where, "aim_ms", str(section.aim_ms), f"at most give_up_ms ({section.give_up_ms})"
+        )
+    try:
+        pattern = re.compile(section.pattern, re.I | re.S) if section.pattern else None
+    except re.error as error:
+        raise ConfigError(
+            path, where, "pattern", section.pattern, f"a regular expression ({error})"
+        ) from None
+    return QueryClassConfig(name, section, pattern)
+
+
+def check_distribution(
+    path: str, name: str, section: DistributionSection, shards: int
+) -> Distribution:
+    """A checked distribution."""
+    where = f"distribution {name}"
+    oid = types.NAMES.get(section.type)
+    if oid not in (types.INT2, types.INT4, types.INT8, types.TEXT, types.VARCHAR, types.UUID):
+        raise ConfigError(
+            path, where, "type", section.type, "one of int2, int4, int8, text, varchar, uuid"
+        )
+    lists = _shard_lists(path, where, section.values, shards)
+    if (section.method == "list") != bool(lists):
+        raise ConfigError(
+            path, where, "values", section.values or None, "needed for list, not allowed for hash"
+        )
+    return Distribution(name, section.method, oid, lists)
+
+
+def _shard_lists(path: str, where: str, text: str, shards: int) -> dict[str, int]:
+    """The shard of each value in `SHARD: VALUE, ...; ...`."""
+    lists: dict[str, int] = {}
+    for group in filter(str.strip, text.replace("\n", " ").split(";")):
+        number, colon, members = group.partition(":")
+        if not colon or not number.strip().isdigit() or int(number) >= shards:
+            raise ConfigError(
+                path, where, "values", group.strip(), f"SHARD: VALUE, ...; shards 0 to {shards - 1}"
+            )
+        for member in filter(None, map(str.strip, members.split(","))):
+            if member in lists:
+                raise ConfigError(path, where, "values", member, "each value once")
+            lists[member] = int(number)
+    return lists
+
+
+def check_table(
+    path: str, name: str, section: TableSection, distributions: dict[str, Distribution]
+) -> Table:
+    """A checked table, whose distribution must exist."""
+    where = f"table {name}"
+    columns = _columns(path, where, section.columns)
+    if section.kind == "reference":
+        if section.distribution or section.column:
+            raise ConfigError(
+                path, where, "column", section.column, "a reference table has no distribution"
+            )
+        return Table(name, columns, "", "")
+    if section.distribution not in distributions:
+        known = ", ".join(distributions) or "none is defined"
+        raise ConfigError(
+            path, where, "distribution", section.distribution or None, f"one of: {known}"
+        )
+    if columns.get(section.column) is None:
+        raise ConfigError(
+            path, where, "column", section.column or None, f"one of: {', '.join(columns)}"
+        )
+    ours, theirs = columns[section.column], distributions[section.distribution].oid
+    if (
+        ours != theirs
+        and {ours, theirs} - {types.TEXT, types.VARCHAR}
+        and {ours, theirs} - types.INTEGERS
+    ):
+        raise ConfigError(
+            path, where, "column", section.column, f"of the type {types.type_name(theirs)}"
+        )
+    return Table(name, columns, section.distribution, section.column)
+
+
+def _columns(path: str, where: str, text: str) -> dict[str, int]:
+    """Type OIDs by column name."""
+    columns: dict[str, int] = {}
+    for item in filter(None, map(str.strip, text.replace("\n", " ").split(","))):
+        column, _, kind = item.partition(" ")
+        kind = kind.strip().lower()
+        oid = (
+            types.ARRAY_OF.get(types.NAMES.get(kind[:-2], -1))
+            if kind.endswith("[]")
+            else types.NAMES.get(kind)
+        )
+        if oid is None or column in columns:
+            raise ConfigError(
+                path, where, "columns", item, "NAME TYPE, each name once, of a supported type"
+            )
+        columns[column] = oid
+    return columns
--- a/tansycrank/daemon.py
+++ b/tansycrank/daemon.py
@@ -13,7 +13,7 @@
 from twisted.internet.error import CannotListenError
 
 from tansycrank import clock
-from tansycrank.config import Config
+from tansycrank.config import Config, routing_settings
 from tansycrank.discovery.feed_client import EndpointFile, FeedClient
 from tansycrank.lifecycle import Violation
 from tansycrank.merge.blocks import Keeper
@@ -77,7 +77,7 @@
         )
         self.coordinator = Coordinator(
             reactor,
-            config.module_settings(),
+            routing_settings(config),
             config.router.seed,
             self.pools,
             keeper,
--- a/tansycrank/sql_router/service.py
+++ b/tansycrank/sql_router/service.py
@@ -16,7 +16,7 @@
 from tansycrank.admission import views
 from tansycrank.admission.controller import AdmissionController, Entry
 from tansycrank.admission.identity import Asker, Caller, Identity
-from tansycrank.config import Config, split
+from tansycrank.config import Config, admission_policy, caller_identity, split_list
 from tansycrank.merge import pipeline
 from tansycrank.merge.blocks import frames_of
 from tansycrank.merge.rows import PartRows, Result, merge, part_formats
@@ -35,7 +35,7 @@
 )  # one, for the store
 NOBODY = Caller("", "", "")  # who asks where no session does
 AT_ONCE = 192 * 1024  # bytes of parts that are merged in one go; more is merged in slices
-SAFE, KEYED, UNSAFE = 0, 1, 2  # the order of `Config.module_settings`
+SAFE, KEYED, UNSAFE = 0, 1, 2  # the order of `config.conversion.IDEMPOTENCY_ORDER`
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,9 +76,11 @@
     def open_door(self, reactor) -> None:
         """The door as the settings have it."""
         config = self.config
-        self.identity = config.identity()
-        self._operators = Identity(allow=split(config.door.operators) or ["255.255.255.255/32"])
-        self.gate = AdmissionController(reactor, config.door_policy(), self.log)
+        self.identity = caller_identity(config)
+        self._operators = Identity(
+            allow=split_list(config.door.operators) or ["255.255.255.255/32"]
+        )
+        self.gate = AdmissionController(reactor, admission_policy(config), self.log)
 
     def prepare(self, sql: str, oids: tuple[int, ...] = ()) -> tuple[Prepared, ...]:
         """Understand a text of statements, or raise PgError."""
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -61,7 +61,7 @@
     found = config.parse(
         TEXT + "\n[class report]\naim_ms = 5\ngive_up_ms = 9\ndedup_window_ms = 7\n"
     )
-    settings = found.module_settings()
+    settings = config.routing_settings(found)
     assert [c.idempotency for c in settings.classes] == [
         Idempotency.IDEMPOTENT,
         Idempotency.WITH_KEY,
