--- a/tansycrank/daemon.py
+++ b/tansycrank/daemon.py
@@ -13,7 +13,7 @@
 from twisted.internet.error import CannotListenError
 
 from tansycrank import clock
-from tansycrank.config import Config
+from tansycrank.config import Config, routing_settings
 from tansycrank.discovery.endpoint_file import EndpointFile
 from tansycrank.discovery.feed_client import FeedClient
 from tansycrank.lifecycle import Violation
@@ -78,7 +78,7 @@
         )
         self.coordinator = Coordinator(
             reactor,
-            config.module_settings(),
+            routing_settings(config),
             config.router.seed,
             self.pools,
             keeper,
