--- a/tansycrank/daemon.py
+++ b/tansycrank/daemon.py
@@ -155,7 +155,7 @@
         self._wait(self.reactor.seconds() + self.config.router.stop_within_ms / 1000)
 
     def _wait(self, until: float) -> None:
-        busy = self.coordinator.jobs or any(s.state == "ready" for s in self.front.sessions)
+        busy = self.coordinator.jobs or any(s.is_logged_in for s in self.front.sessions)
         if busy and self.reactor.seconds() < until:
             self.front.stop_taking()
             self.reactor.callLater(0.02, self._wait, until)
--- a/tansycrank/postgres/server/__init__.py
+++ b/tansycrank/postgres/server/__init__.py
@@ -1,5 +1,5 @@
 """PostgreSQL server side: client sessions, from the startup packet to the last row."""
 
-from tansycrank.postgres.server.session import PostgresServerFactory
+from tansycrank.postgres.server.factory import PostgresServerFactory
 
 __all__ = ["PostgresServerFactory"]
--- /dev/null
+++ b/tansycrank/postgres/server/context.py
@@ -0,0 +1,70 @@
+"""What the message handlers of one session share."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Protocol
+
+from tansycrank.admission.identity import Caller
+from tansycrank.config import ListenSection
+from tansycrank.postgres.errors import TOO_LARGE, PgError
+from tansycrank.postgres.server.cursors import CursorTable
+from tansycrank.postgres.server.prepared import PortalTable, StatementTable
+from tansycrank.postgres.server.session_settings import SessionSettings
+from tansycrank.postgres.server.transaction import TransactionBlock
+from tansycrank.sql.plan import Prepared
+from tansycrank.sql.planner import split_comment
+from tansycrank.sql_router.service import NOBODY, Request, Service
+
+
+class SessionConnection(Protocol):
+    """What message handlers need of the connection of their session."""
+
+    @property
+    def is_ready(self) -> bool:
+        """Whether the session is logged in and not about to end."""
+
+    @property
+    def may_write_rows(self) -> bool:
+        """Whether the client is connected and reads its answers."""
+
+    def write(self, data: bytes) -> None:
+        """Send messages."""
+
+    def process_messages(self) -> None:
+        """Go on with queued messages, now that an answer is complete."""
+
+
+@dataclass(slots=True)
+class SessionContext:
+    """Identity, settings, transaction and named objects of a session."""
+
+    service: Service
+    limits: ListenSection
+    connection: SessionConnection
+    settings: SessionSettings
+    transaction: TransactionBlock
+    statements: StatementTable
+    portals: PortalTable
+    cursors: CursorTable
+    caller: Caller = NOBODY
+
+    def release_portals_and_cursors(self) -> None:
+        """Remove what ends with a transaction."""
+        self.portals.release_all()
+        self.cursors.release_all()
+
+    def split_statement(self, sql: str) -> tuple[str, str]:
+        """(leading comment, statements) of a text. Raises PgError 54000 where it is too long."""
+        if len(sql) > self.limits.max_statement:
+            raise PgError(
+                TOO_LARGE,
+                f"the statement has {len(sql)} characters; allowed {self.limits.max_statement}",
+            )
+        return split_comment(sql)
+
+    def request(self, prepared: Prepared, comment: str) -> Request:
+        """A request without parameters, in text format."""
+        return Request(
+            prepared, comment=comment, settings=self.settings.snapshot(), caller=self.caller
+        )
--- /dev/null
+++ b/tansycrank/postgres/server/sqlstates.py
@@ -0,0 +1,7 @@
+"""SQLSTATEs that only sessions report, by the condition names of the PostgreSQL manual."""
+
+ACTIVE_TRANSACTION = "25001"
+NO_ACTIVE_TRANSACTION = "25P01"
+INVALID_SAVEPOINT = "3B001"
+UNDEFINED_PARAMETER = "42P02"
+IDLE_SESSION_TIMEOUT = "57P05"
--- a/tests/test_session_fuzz.py
+++ b/tests/test_session_fuzz.py
@@ -1,4 +1,4 @@
-"""Strange messages at every state of a session: an error and a closed session, or one that goes on."""
+"""Malformed messages in every state: the session ends with an error, or it goes on."""
 
 from harness import Front, error_of
 from hypothesis import given, settings
@@ -7,6 +7,7 @@
 from test_session import INSERT, ONE, bind, close, execute, named_parse
 
 from tansycrank.postgres import messages as pg
+from tansycrank.postgres.server.session import SessionState
 
 STARTUP = pg.startup({"user": "x"})
 GOOD = [
@@ -72,7 +73,7 @@
         problem = error_of(reversed(heard))
         assert problem is None or problem.fatal or heard[-1][0] != "E"
         return
-    if front.session.state == "startup" or front.session._frames.held:
+    if front.session.state is SessionState.STARTUP or front.session._frames.held:
         return  # it waits for the rest of a message
     assert front.kinds(pg.SYNC_FRAME)[-1:] == "Z"
     assert front.kinds(pg.query("ROLLBACK"), pg.query("SELECT 1"))[-4:] == "TDCZ"
@@ -112,7 +113,7 @@
     front.session.dataReceived(data)
     if not front.transport.disconnecting:
         front.clock.advance(11)
-        assert front.transport.disconnecting or front.session.state == "ready"
+        assert front.transport.disconnecting or front.session.state is SessionState.READY
 
 
 @settings(max_examples=500, deadline=None)
