--- a/tansycrank/clock.py
+++ b/tansycrank/clock.py
@@ -29,7 +29,7 @@
     _stalled_since = float("inf")  # seconds: when the poll had to end that ended late
     _polls_after = 0  # polls that may still bring data from before the last stall ended
 
-    def doPoll(self, timeout: float | None) -> None:  # noqa: N802
+    def doPoll(self, timeout: float | None) -> None:
         """Poll all sockets, for `timeout` seconds at most, and handle their events."""
         now = self.seconds()
         if now - self._due > STALL_SECONDS:
@@ -40,7 +40,7 @@
         self._due = float("inf") if timeout is None else now + timeout
         super().doPoll(timeout)
 
-    doIteration = doPoll  # noqa: N815
+    doIteration = doPoll
 
     def overslept(self) -> float:
         """Return the seconds for which data read now may have waited while this process stalled.
--- a/tansycrank/testbed/bulk_cluster.py
+++ b/tansycrank/testbed/bulk_cluster.py
@@ -134,7 +134,7 @@
 
     def start_router(self) -> None:
         """Start the router, or start it again."""
-        log = open(self.folder / "router.log", "ab")  # noqa: SIM115
+        log = open(self.folder / "router.log", "ab")
         self.router = self._python(
             "tansycrank",
             "serve",
--- a/tansycrank/testbed/local_cluster.py
+++ b/tansycrank/testbed/local_cluster.py
@@ -317,7 +317,7 @@
         path.write_text(
             settings_text(self.layout, f"127.0.0.1:{self.roster_port}", me, self.ports[me])
         )
-        log = open(self.folder / f"router-{me}.log", "ab")  # noqa: SIM115
+        log = open(self.folder / f"router-{me}.log", "ab")
         process = self._python(*self.serve, "--config", str(path), "--announce", stderr=log)
         log.close()
         line = process.stdout.readline()
--- a/tansycrank/testbed/node.py
+++ b/tansycrank/testbed/node.py
@@ -64,7 +64,7 @@
         self.keys: dict[str, tuple[float, str]] = {}  # request key: when applied, tag
         self.writes: list[dict] = []
         self.kept: dict[str, tuple[bytes, int, str]] = {}
-        self.journal = open(spec.journal, "ab", buffering=0) if spec.journal else None  # noqa: SIM115
+        self.journal = open(spec.journal, "ab", buffering=0) if spec.journal else None
         self.written = 0
         self.counts = {"statements": 0, "answered": 0, "cancelled": 0, "writes": 0}
 
--- a/tansycrank/testbed/simulated.py
+++ b/tansycrank/testbed/simulated.py
@@ -41,7 +41,7 @@
         """Don't call."""
         self.what = None
 
-    def getTime(self) -> float:  # noqa: N802
+    def getTime(self) -> float:
         """Seconds at which it is due."""
         return self.at
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,8 +5,8 @@
 
 sys.path[:0] = [str(Path(__file__).parent), str(Path(__file__).parent.parent)]
 
-import known_red  # noqa: E402
-from hypothesis import settings  # noqa: E402
+import known_red
+from hypothesis import settings
 
 settings.register_profile("same-every-time", derandomize=True, database=None, deadline=None)
 settings.load_profile("same-every-time")
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -90,10 +90,10 @@
 
     aborted = False
 
-    def setTcpNoDelay(self, on):  # noqa: N802
+    def setTcpNoDelay(self, on):
         pass
 
-    def abortConnection(self):  # noqa: N802
+    def abortConnection(self):
         self.aborted = True
         self.loseConnection()
 
--- a/tests/http_router/live.py
+++ b/tests/http_router/live.py
@@ -115,10 +115,10 @@
 
     stuck = False  # whether the system takes no more bytes
 
-    def setTcpNoDelay(self, enabled):  # noqa: N802
+    def setTcpNoDelay(self, enabled):
         pass
 
-    def registerProducer(self, producer, streaming):  # noqa: N802
+    def registerProducer(self, producer, streaming):
         super().registerProducer(producer, streaming)
         if not streaming:
             producer.resumeProducing()
@@ -128,13 +128,13 @@
         if self.producer is not None and not self.streaming and not self.stuck:
             self.producer.resumeProducing()
 
-    def loseWriteConnection(self):  # noqa: N802
+    def loseWriteConnection(self):
         self.half_closed = True
 
-    def loseConnection(self):  # noqa: N802
+    def loseConnection(self):
         self.end()
 
-    def abortConnection(self):  # noqa: N802
+    def abortConnection(self):
         self.end()
 
     def end(self):
@@ -226,7 +226,7 @@
     def startReading(self):
         self.reading = True
 
-    def stopListening(self):  # noqa: N802
+    def stopListening(self):
         self.reading = False
 
     def doRead(self):
--- a/tests/recorded_streams.py
+++ b/tests/recorded_streams.py
@@ -25,8 +25,8 @@
 
 sys.path[:0] = [str(Path(__file__).parent), str(Path(__file__).parent.parent)]
 
-from tansycrank import routing  # noqa: E402
-from tansycrank.routing.policy import RoutingPolicy  # noqa: E402
+from tansycrank import routing
+from tansycrank.routing.policy import RoutingPolicy
 
 FOLDER = Path(__file__).parent / "streams"
 SUFFIX = ".stream"
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -97,7 +97,7 @@
 
 
 def test_one_shard_is_passed_on_in_its_own_words(planner):
-    sql = "SELECT  /* ố */ 'Hồ' AS x, t.* , sum(fare) OVER () FROM public.trips t, zones WHERE t.district='a'"  # noqa: E501
+    sql = "SELECT  /* ố */ 'Hồ' AS x, t.* , sum(fare) OVER () FROM public.trips t, zones WHERE t.district='a'"
     (shard_request,) = shard_requests(planner, sql).shard_requests
     assert shard_request.sql == sql.replace("public.trips", "s0000.trips").replace(
         ", zones", ", s0000.zones"
