--- a/tests/http_router/test_endings.py
+++ b/tests/http_router/test_endings.py
@@ -349,7 +349,7 @@
         daemon = self.live.daemon
         coordinator, router = daemon.coordinator, daemon.coordinator.loop.policy
         assert not coordinator.queries and not coordinator._parts and not coordinator._by_number
-        assert coordinator.held == 0 and not daemon.server.settling
+        assert coordinator.held == 0 and not daemon.server.delayed_admission
         assert not coordinator.lifecycle.violated and not coordinator.lifecycle._open
         if not daemon.stopped:
             assert sum(coordinator.outcomes.values()) == coordinator.counts["sends"]
