--- a/tests/http_router/test_discovery.py
+++ b/tests/http_router/test_discovery.py
@@ -228,7 +228,7 @@
     ids=lambda path: ".".join(map(str, path)),
 )
 def test_an_absurd_value_anywhere_in_the_settings_is_named_with_its_place(path):
-    """Danger: a number that is a word comes up in the middle of the day, or its fault says nothing."""
+    """Otherwise the fault shows later, or without its place."""
     named = (
         path[:-1] if isinstance(path[-1], int) else path
     )  # of a list that is too short its end is told
@@ -265,9 +265,7 @@
 @pytest.mark.parametrize("length", [1, 7, 10_000])
 @pytest.mark.parametrize("framing", ["chunked", "until the end"])
 def test_objects_over_several_lines_are_read_on_a_watch(live, framing, length):
-    """Danger: the first line of an indented list taken for noise, and the watch opened anew for
-    ever.
-    """
+    """The first line of an indented list is no malformed object."""
     body = indented(5, entry(1, "terminating")) + b"\n" + indented(6, entry(2), entry(4), full=True)
     pieces = [body[at : at + length] for at in range(0, len(body), length)]
     live.watch.say(HEAD if framing == "chunked" else b"HTTP/1.1 200 OK\r\n\r\n")
@@ -307,9 +305,7 @@
 
 
 def test_a_trickle_that_ends_no_line_is_silence(live):
-    """Danger: bytes that never become a line kept the watch, and its changes counted as told 6 s
-    later.
-    """
+    """Bytes without an end of line do not count as a heartbeat."""
     live.watch.say(HEAD)
     for _ in range(14):
         live.run(0.25)
@@ -322,7 +318,7 @@
 
 
 def test_a_whole_list_of_nobody_that_was_asked_for_is_asked_for_again(live):
-    """Danger: the call that brought it counted as open still, and nobody was asked."""
+    """The poll that brought the list no longer counts as open."""
     live.daemon.discovery.fetch()
     live.run(0)
     nobody = b'{"version":9,"full":true,"servers":[]}'
@@ -336,9 +332,7 @@
 
 
 def test_a_new_address_is_asked_at_once_while_the_old_one_is_waited_for(tmp_path):
-    """Danger: SIGHUP during the wait after a failure: up to 3 s, and lists count as told 4 s after
-    it.
-    """
+    """The backoff of the old address does not delay the first request to the new one."""
     path = tmp_path / "config.json"
     live = Live(environ={"NODE_CONFIG": str(path)})
     for at in range(5):
--- a/tests/http_router/test_node_connections.py
+++ b/tests/http_router/test_node_connections.py
@@ -167,9 +167,7 @@
 
 @pytest.mark.parametrize("waited, over", [(0.3, True), (0.1, False)])
 def test_a_link_silent_for_a_connect_time_is_left_when_its_part_is_cancelled(waited, over):
-    """Danger: it ends by a twin's answer, never by time, and each trial of the node goes the same
-    way.
-    """
+    """Without this, a dead connection takes each readmission attempt of its node."""
     node = Node()
     [sending] = node.send("a.1")
     peer = node.peers[0].accept()
@@ -338,7 +336,7 @@
 
 
 def test_a_part_is_taken_back_from_a_connection_that_does_not_come_up_in_its_time():
-    """Danger: machines that are cut off; half of an aim went by until the connection failed."""
+    """Calls to an unreachable machine do not wait for the connect timeout."""
     node = Node()
     node.send("a.1", "a.2", connect_within=60.0)
     node.reactor.advance(0.05)
@@ -361,7 +359,7 @@
 
 
 def test_a_call_prefers_a_link_that_is_up_to_one_that_is_still_coming():
-    """Danger: a node that fell silent keeps a connection in the making, its parts taken back."""
+    """A silent node keeps a pending connection whose calls were revoked."""
     node = Node()
     first = node.up("a.1")
     node.send("b.1", connect_within=60.0)
@@ -383,7 +381,7 @@
 
 
 def test_a_node_that_drains_gets_nothing_that_waits_for_its_connection():
-    """Danger: told to go, and the connection comes up 250 ms later with the part."""
+    """A connection may come up long after its node began to drain."""
     node = Node()
     node.send("a.1")
     node.pool.revoke_unsent(1)
@@ -412,7 +410,7 @@
 
 @pytest.mark.parametrize("end", ["withdraw", "cancel", "drain", "time out"])
 def test_a_frame_that_is_not_taken_closes_its_link_once_it_may_not_begin_any_more(end):
-    """Danger: a node that hangs reads on when it wakes, and starts what was given up long ago."""
+    """A hung node may read on later and start calls that were revoked."""
     node = Node()
     peer = stuck(node, "a.1", "a.2")
     sending = peer.protocol.sent_calls[b"a.1"]
@@ -460,7 +458,7 @@
 
 
 def test_an_id_used_again_takes_another_link_than_the_one_that_may_still_answer_it():
-    """Danger: the late answer to a request that was given up, served for another of the same id."""
+    """A late answer must not be taken for that of another call of the same id."""
     node = Node()
     peer = node.up("a.1", "b.1")
     node.pool.cancel(peer.protocol.sent_calls[b"a.1"])
@@ -473,9 +471,7 @@
 
 @pytest.mark.parametrize("waits", ["for its connection", "behind another frame", "half written"])
 def test_a_part_that_may_leave_for_a_while_only_never_leaves_after_it(waits):
-    """Danger: a keyed repeat, chosen within its window, written when its connection came up after
-    it.
-    """
+    """A retry with an idempotency key must not leave after the deduplication window."""
     node = Node(max_links=1)
     if waits == "for its connection":
         node.send("a.1", leave_within=90.0)
@@ -508,7 +504,7 @@
 
 
 def test_a_part_behind_a_frame_that_is_not_taken_is_taken_back_by_its_hedge_timer():
-    """Danger: a node that hangs with a full socket held what waited for it until its time was up."""
+    """A hung node with a full socket must not hold queued calls until their timeout."""
     node = Node(max_links=1)
     peer = stuck(node, "a.1")
     node.send("b.1", connect_within=60.0)
