--- a/tests/http_router/test_node_connections.py
+++ b/tests/http_router/test_node_connections.py
@@ -74,14 +74,14 @@
     return {id: [outcome for outcome, *_ in ends] for id, ends in node.ends.items()}
 
 
-def test_the_parts_of_a_step_share_a_call_up_to_its_size():
+def test_calls_of_a_step_share_frames_up_to_the_batch_size():
     node = Node()
     node.send(*(f"q.{n}" for n in range(6)))
     peers = [peer.accept() for peer in node.peers]
     assert [len(peer.calls()) for peer in peers] == [4, 2]
 
 
-def test_a_call_takes_an_unused_link_before_a_new_one():
+def test_a_call_takes_an_idle_connection_before_a_new_one():
     node = Node()
     first = node.up("a.1")
     first.say(answer("a.1"))
@@ -91,7 +91,7 @@
     assert len(node.peers) == 2
 
 
-def test_links_stay_within_their_bound_and_parts_within_the_streams():
+def test_connections_and_calls_on_each_stay_within_their_limits():
     node = Node(streams=2, max_links=2)
     for n in range(6):
         node.send(f"q.{n}")
@@ -102,7 +102,7 @@
     assert sorted(outcomes(node)) == ["q.4", "q.5"] and node.ends["q.4"][0][0] is Outcome.NOT_SENT
 
 
-def test_waiting_is_told_from_the_time_left_when_the_connection_is_up():
+def test_the_remaining_time_is_that_of_the_moment_of_writing():
     node = Node()
     node.send("a.1", time_out=500.0)
     node.reactor.advance(0.2)
@@ -138,7 +138,7 @@
     assert node.pool.count == 0
 
 
-def test_nothing_in_time_is_a_time_out_and_its_late_answer_is_nobodys():
+def test_a_call_times_out_and_its_late_answer_is_ignored():
     node = Node()
     peer = node.up("a.1")
     peer.say(answer("a.1", "busy")[:4])
@@ -156,7 +156,7 @@
     assert outcomes(node)["a.1"] == [Outcome.TIMED_OUT] and not peer.transport.over
 
 
-def test_a_silent_link_takes_nothing_more():
+def test_a_silent_connection_accepts_no_more_calls():
     node = Node()
     peer = node.up("a.1")
     node.reactor.advance(1.0)
@@ -166,7 +166,9 @@
 
 
 @pytest.mark.parametrize("waited, over", [(0.3, True), (0.1, False)])
-def test_a_link_silent_for_a_connect_time_is_left_when_its_part_is_cancelled(waited, over):
+def test_a_connection_silent_for_a_connect_timeout_is_closed_when_its_call_is_cancelled(
+    waited, over
+):
     """Without this, a dead connection takes each readmission attempt of its node."""
     node = Node()
     [sending] = node.send("a.1")
@@ -178,7 +180,7 @@
     assert len(node.peers) == 1 + over
 
 
-def test_a_link_that_spoke_meanwhile_is_kept():
+def test_a_connection_that_answered_meanwhile_is_kept():
     node = Node()
     first, second = node.send("a.1", "a.2")
     peer = node.peers[0].accept()
@@ -198,7 +200,7 @@
     assert outcomes(node) == {"a.1": [Outcome.NOT_SENT]}
 
 
-def test_a_cancel_of_what_is_out_tells_the_node():
+def test_cancelling_a_sent_call_notifies_the_node():
     node = Node()
     at = len(node.peers)
     [sending] = node.send("a.1")
@@ -223,7 +225,7 @@
 
 
 @pytest.mark.parametrize("name", SPOILT)
-def test_a_spoilt_answer_ends_the_link_and_all_on_it_may_have_run(name):
+def test_a_malformed_answer_closes_the_connection_and_its_calls_are_lost(name):
     node = Node()
     peer = node.up("a.1", "a.2")
     peer.say(SPOILT[name])
@@ -231,7 +233,7 @@
     assert peer.transport.over
 
 
-def test_a_frame_that_does_not_go_on_ends_the_link():
+def test_a_stalled_frame_closes_the_connection():
     node = Node()
     peer = node.up("a.1")
     peer.say(answer("a.1")[:-3])
@@ -241,7 +243,7 @@
 
 
 @pytest.mark.parametrize("behind", [b"\x91\x07\xfe\x44\x10\x22", b"\x09", b"zzzzzzzzz"])
-def test_noise_behind_a_good_answer_costs_the_link_and_not_the_answer(behind):
+def test_noise_after_a_valid_answer_closes_the_connection_and_keeps_the_answer(behind):
     node = Node()
     peer = node.up("a.1")
     peer.say(answer("a.1") + behind)
@@ -273,7 +275,7 @@
     assert outcomes(node) == {"a.1": [Outcome.CONNECTION_LOST]}
 
 
-def test_unused_links_close_before_the_node_closes_them():
+def test_idle_connections_close_before_the_node_closes_them():
     node = Node()
     peer = node.up("a.1")
     peer.say(answer("a.1"))
@@ -285,7 +287,7 @@
     assert peer.transport.over
 
 
-def test_a_node_that_is_gone_finishes_what_it_has_and_gets_nothing():
+def test_a_removed_endpoint_finishes_its_calls_and_gets_no_new_one():
     node = Node()
     peer = node.up("a.1")
     node.pool.forget(1)
@@ -296,7 +298,7 @@
     assert outcomes(node)["a.1"] == [Outcome.SUCCEEDED] and peer.transport.over
 
 
-def test_a_node_that_moved_is_called_at_its_new_place():
+def test_an_endpoint_with_a_new_address_is_called_there():
     node = Node()
     node.up("a.1")
     node.pool.place(1, "127.0.0.2", 7070)
@@ -335,7 +337,7 @@
     assert not coordinator.loop.policy.out
 
 
-def test_a_part_is_taken_back_from_a_connection_that_does_not_come_up_in_its_time():
+def test_a_call_is_revoked_from_a_connection_that_is_not_established_in_time():
     """Calls to an unreachable machine do not wait for the connect timeout."""
     node = Node()
     node.send("a.1", "a.2", connect_within=60.0)
@@ -351,14 +353,14 @@
     assert "b.1" not in node.ends  # what was written is waited for
 
 
-def test_a_part_without_a_time_for_its_connection_waits_as_long_as_that_is_tried():
+def test_a_call_without_a_connect_limit_waits_for_the_connect_timeout():
     node = Node()
     node.send("a.1")
     node.reactor.advance(0.2)
     assert not node.ends
 
 
-def test_a_call_prefers_a_link_that_is_up_to_one_that_is_still_coming():
+def test_a_call_prefers_an_established_connection_to_a_pending_one():
     """A silent node keeps a pending connection whose calls were revoked."""
     node = Node()
     first = node.up("a.1")
@@ -380,7 +382,7 @@
     return peer
 
 
-def test_a_node_that_drains_gets_nothing_that_waits_for_its_connection():
+def test_a_draining_endpoint_gets_no_call_that_waits_for_its_connection():
     """A connection may come up long after its node began to drain."""
     node = Node()
     node.send("a.1")
@@ -389,14 +391,14 @@
     assert not node.peers[0].accept().calls()
 
 
-def test_a_node_that_is_gone_gets_nothing_that_waits_for_its_connection():
+def test_a_removed_endpoint_gets_no_call_that_waits_for_its_connection():
     node = Node()
     node.send("a.1")
     node.pool.forget(1)
     assert outcomes(node) == {"a.1": [Outcome.NOT_SENT]} and node.pool.count == 0
 
 
-def test_a_frame_waits_until_the_one_before_has_gone_and_can_be_taken_back():
+def test_a_frame_waits_for_the_one_before_and_can_be_revoked():
     node = Node(max_links=1)
     peer = stuck(node, "a.1")
     b, c = node.send("b.1")[0], node.send("c.1")[0]
@@ -409,7 +411,7 @@
 
 
 @pytest.mark.parametrize("end", ["withdraw", "cancel", "drain", "time out"])
-def test_a_frame_that_is_not_taken_closes_its_link_once_it_may_not_begin_any_more(end):
+def test_a_revoked_frame_that_does_not_leave_closes_its_connection(end):
     """A hung node may read on later and start calls that were revoked."""
     node = Node()
     peer = stuck(node, "a.1", "a.2")
@@ -430,7 +432,7 @@
     assert not node.reactor.getDelayedCalls()
 
 
-def test_a_frame_that_goes_after_all_keeps_its_link():
+def test_a_revoked_frame_that_leaves_in_time_keeps_its_connection():
     node = Node()
     peer = stuck(node, "a.1", "a.2")
     node.pool.revoke(peer.protocol.sent_calls[b"a.1"])
@@ -457,7 +459,7 @@
     }
 
 
-def test_an_id_used_again_takes_another_link_than_the_one_that_may_still_answer_it():
+def test_a_reused_id_avoids_the_connection_that_may_still_answer_it():
     """A late answer must not be taken for that of another call of the same id."""
     node = Node()
     peer = node.up("a.1", "b.1")
@@ -470,7 +472,7 @@
 
 
 @pytest.mark.parametrize("waits", ["for its connection", "behind another frame", "half written"])
-def test_a_part_that_may_leave_for_a_while_only_never_leaves_after_it(waits):
+def test_a_call_never_leaves_after_its_transmit_limit(waits):
     """A retry with an idempotency key must not leave after the deduplication window."""
     node = Node(max_links=1)
     if waits == "for its connection":
@@ -495,7 +497,7 @@
         assert not peer.calls()
 
 
-def test_a_part_that_has_left_in_its_while_is_waited_for_beyond_it():
+def test_a_call_that_left_in_time_is_waited_for_beyond_its_transmit_limit():
     node = Node()
     peer = node.up("a.1", leave_within=90.0)
     node.reactor.advance(0.2)
@@ -503,7 +505,7 @@
     assert outcomes(node) == {"a.1": [Outcome.SUCCEEDED]} and not node.reactor.getDelayedCalls()
 
 
-def test_a_part_behind_a_frame_that_is_not_taken_is_taken_back_by_its_hedge_timer():
+def test_a_call_queued_behind_a_stalled_frame_ends_at_its_connect_limit():
     """A hung node with a full socket must not hold queued calls until their timeout."""
     node = Node(max_links=1)
     peer = stuck(node, "a.1")
--- a/tests/test_endpoint_view.py
+++ b/tests/test_endpoint_view.py
@@ -31,7 +31,7 @@
     return [a.operation for a in actions if isinstance(a, view_messages.SendRequest)]
 
 
-def test_a_whole_list_places_nodes_and_tells_the_module():
+def test_a_snapshot_sets_addresses_and_publishes_an_update():
     feed = Feed()
     actions = feed.handle("full", 1, node(1), node(2))
     assert [a.endpoint for a in actions if isinstance(a, view_messages.SetAddress)] == [1, 2]
@@ -41,13 +41,13 @@
     )
 
 
-def test_an_old_whole_list_brings_no_dead_back():
+def test_an_older_snapshot_restores_no_removed_endpoint():
     feed = Feed()
     feed.handle("full", 5, node(1))
     assert not told(feed.handle("full", 4, node(1), node(2)))
 
 
-def test_repeated_and_reordered_changes_are_passed_over():
+def test_repeated_and_reordered_deltas_are_ignored():
     feed = Feed()
     feed.handle("full", 5, node(1), node(2))
     assert told(feed.handle("changes", 6, node(2, "draining")))
@@ -55,7 +55,7 @@
     assert not told(feed.handle("changes", 3, node(2, "ready")))
 
 
-def test_a_gap_asks_for_the_whole_list_once_and_still_hears_a_drain():
+def test_a_version_gap_requests_one_snapshot_and_still_publishes_a_drain():
     feed = Feed()
     feed.handle("full", 5, node(1), node(2))
     actions = feed.handle("changes", 9, node(2, "draining"))
@@ -67,14 +67,14 @@
     assert told(feed.handle("full", 11, node(1, "draining")))
 
 
-def test_a_beat_ahead_of_us_tells_of_a_lost_change():
+def test_a_heartbeat_of_a_newer_version_requests_a_snapshot():
     feed = Feed()
     feed.handle("full", 5, node(1))
     assert says(feed.handle("beat", 5)) == []
     assert says(feed.handle("beat", 6)) == ["list"]
 
 
-def test_a_reborn_roster_is_believed_from_its_whole_list_on():
+def test_a_new_epoch_counts_from_its_snapshot_on():
     feed = Feed()
     feed.handle("full", 50, node(1), node(2))
     assert says(feed.handle("changes", 2, node(1, "gone"), epoch=2)) == ["list"]
@@ -83,7 +83,7 @@
     assert set(feed.view.nodes) == {2}
 
 
-def test_silence_is_asked_about_and_then_taken_for_a_failure():
+def test_silence_causes_a_poll_and_then_a_failure():
     feed = Feed()
     feed.handle("full", 1, node(1))
     assert says(feed.play(view_messages.TimerExpired(), after=2100.0)) == ["list"]
@@ -96,7 +96,7 @@
     )
 
 
-def test_a_lost_feed_is_told_once():
+def test_a_lost_connection_is_published_once():
     feed = Feed()
     assert (
         told(feed.play(view_messages.ConnectionLost()))[0].kind is routing.EndpointListKind.FAILED
@@ -104,7 +104,7 @@
     assert not told(feed.play(view_messages.ConnectionLost()))
 
 
-def test_nodes_that_cant_be_are_left_out_and_named():
+def test_invalid_nodes_are_left_out_and_logged():
     feed = Feed()
     bad = [node(1, cell=9), node(2, "asleep"), node(3, port=70000), node(4)]
     actions = feed.handle("full", 1, *bad)
@@ -123,7 +123,7 @@
     assert after.started_at == feed.now
 
 
-def test_an_unreadable_line_asks_for_the_whole_list():
+def test_an_unreadable_line_requests_a_snapshot():
     feed = Feed()
     feed.handle("full", 1, node(1))
     assert says(feed.play(view_messages.LineReceived(None))) == ["list"]
