--- a/tansycrank/routing/actions.py
+++ b/tansycrank/routing/actions.py
@@ -12,13 +12,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """A further attempt for a part: first try, retry or hedge.
+    """Send an attempt of a shard request: the first one, a retry or a hedge.
 
-    `connect_within` is the time after which it is taken back, as `UNCONNECTED`, if nothing of it
-    was written, since its connection is not up. 0 leaves that to the host; hosts that cannot tell
-    ignore it. `leave_within` is the time after which its last byte may not leave any more (rule 2:
-    a part that may be repeated for a while only); the host takes it back then, as `UNCONNECTED`. 0
-    for no such time.
+    `time_out`: when the host ends it with `TIMED_OUT`. `connect_within`: when the host revokes it if
+    nothing was written since there is no connection; 0 leaves that to the host, and hosts that
+    cannot tell ignore it. `leave_within`: when the host revokes it if its last byte was not
+    written, since its deduplication window ends; 0 for never. The outcome of an attempt that was
+    revoked has `never_executed`.
     """
 
     shard_request: int
--- a/tansycrank/routing/events.py
+++ b/tansycrank/routing/events.py
@@ -45,8 +45,8 @@
 class EndpointEntry:
     """One endpoint of an endpoint list; `started_at` is 0 for long ago.
 
-    `incarnation` grows with each restart of the endpoint; if none is reported, `started_at` is used
-    it.
+    `incarnation` grows with each restart of the endpoint; `started_at` is used if none is
+    reported.
     """
 
     endpoint: int
--- a/tansycrank/routing/settings.py
+++ b/tansycrank/routing/settings.py
@@ -7,7 +7,7 @@
 
 
 class Idempotency(Enum):
-    """What repeating a part of a class does."""
+    """What another attempt of a shard request of a class does."""
 
     IDEMPOTENT = "idempotent"
     WITH_KEY = "with an idempotency key"
@@ -16,18 +16,18 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryClass:
-    """One class of query. Shares are fractions of the parts' weight."""
+    """One class of query. Coverages are fractions of the total weight of the shard requests."""
 
-    latency_objective: float
-    deadline: float
-    priority_weight: float
-    late_weight: float = 0.0
+    latency_objective: float  # ms from arrival
+    deadline: float  # ms from arrival, at which the client stops waiting
+    priority_weight: float  # of a query that is answered within its objective
+    late_weight: float = 0.0  # of a query that is answered later than that
     idempotency: Idempotency = Idempotency.IDEMPOTENT
-    dedup_window: float = 0.0
-    minimum_coverage: float = 1.0
-    complete_coverage: float = 1.0
-    partial_weight: float = 0.0
-    follow_up: int = 0
+    dedup_window: float = 0.0  # ms from the first attempt in which a key protects another one
+    minimum_coverage: float = 1.0  # of a partial answer
+    complete_coverage: float = 1.0  # from which on an answer is complete
+    partial_weight: float = 0.0  # of a query that is answered in part
+    follow_up: int = 0  # shard requests of a second step; 0 for none
 
     def __post_init__(self) -> None:
         _positive(self, "latency_objective", "deadline", "complete_coverage")
@@ -54,44 +54,46 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a router is told at its start. A budget of None means that none is set."""
-
-    classes: tuple[QueryClass, ...]
-    router_index: int = 0
-    routers: int = 1
-    zone: int = 0
-    zones: int = 1
-    tick: float = 1.0
-    shards: int = 1
-    cells: int = 1
-    replica_span: int = 1
-    call_batch_size: int = 1
-    call_work: float = 0.0
-    max_attempts: int = 3
-    allows_hedging: bool = True
-    can_cancel: bool = True
-    can_check_health: bool = False
-    can_gossip: bool = False
-    can_retry_after: bool = False
-    max_retry_after: float = 0.0
-    marks_retries: bool = False
-    max_in_flight: int = 1000
-    polls_discovery: bool = False
-    watches_discovery: bool = False  # lists come on an open watch alone, those that are pushed too
-    poll_interval: float = 10000.0
-    answer_grace: float = 0.0
-    drain_grace: float = 0.0
-    slow_start_overload_factor: float = 1.0
-    slow_start_window: float = 1000.0
-    slow_start_initial_share: float = 1.0
-    slow_start_duration: float = 0.0
-    budget_floor: float | None = None
-    budget_share: float | None = None
-    budget_window: float | None = None
-    price_crossing: float = 0.0
-    price_waste: float = 0.0
-    price_probe: float = 0.0
-    price_late_fail: float = 0.0
+    """The configuration of one router. A budget of None means that none is set."""
+
+    classes: tuple[QueryClass, ...]  # by the number in `QueryArrived.query_class`
+    router_index: int = 0  # of this router among `routers`
+    routers: int = 1  # number of routers in front of the same endpoints
+    zone: int = 0  # of this router
+    zones: int = 1  # number of zones
+    tick: float = 1.0  # ms: the interval between steps, the precision of every timer
+    shards: int = 1  # number of shards
+    cells: int = 1  # number of cells; a shard belongs to the cell `shard % cells`
+    replica_span: int = 1  # cells, from that of the shard on, whose endpoints hold its replicas
+    call_batch_size: int = 1  # most shard requests in one call to an endpoint
+    call_work: float = 0.0  # work of a call beside its shard requests; 0 if calls are free
+    max_attempts: int = 3  # of a shard request
+    allows_hedging: bool = True  # two attempts of a shard request may be in flight
+    can_cancel: bool = True  # the host can carry out `Cancel`
+    can_check_health: bool = False  # the host can carry out `CheckHealth`
+    can_gossip: bool = False  # the host can carry out `SendGossip`
+    can_retry_after: bool = False  # clients obey `Reject.retry_after`
+    max_retry_after: float = 0.0  # ms
+    marks_retries: bool = False  # clients mark retries, as `QueryArrived.repeat`
+    max_in_flight: int = 1000  # queries
+    polls_discovery: bool = False  # this router has to call discovery itself
+    watches_discovery: bool = False  # lists arrive on an open watch only
+    poll_interval: float = 10000.0  # ms between two calls to discovery
+    answer_grace: float = 0.0  # ms after the deadline in which the final action may still come
+    drain_grace: float = 0.0  # ms in which sends to a draining endpoint have to stop
+    slow_start_overload_factor: float = 1.0  # times its capacity that a cold endpoint may get
+    slow_start_window: float = 1000.0  # ms over which sends to a cold endpoint are counted
+    slow_start_initial_share: float = 1.0  # of its capacity that an endpoint has at its start
+    slow_start_duration: float = 0.0  # ms from its start until an endpoint has all its capacity
+    budget_floor: float | None = None  # retries and hedges in a window, whatever the traffic
+    budget_share: float | None = None  # of the accepted requests of a window, in addition
+    budget_window: float | None = None  # ms
+    price_crossing: float = (
+        0.0  # of an attempt in another zone; prices compare with priority weights
+    )
+    price_waste: float = 0.0  # of work whose response is not used
+    price_probe: float = 0.0  # of a health check
+    price_late_fail: float = 0.0  # of a query that fails late
 
     def __post_init__(self) -> None:
         if not self.classes:
@@ -137,11 +139,11 @@
                 f"slow_start_initial_share: {self.slow_start_initial_share} is more than 1"
             )
         budget = ("budget_floor", "budget_share", "budget_window")
-        told = [name for name in budget if getattr(self, name) is not None]
-        if told and len(told) < len(budget):
-            missing = next(name for name in budget if name not in told)
+        given = [name for name in budget if getattr(self, name) is not None]
+        if given and len(given) < len(budget):
+            missing = next(name for name in budget if name not in given)
             raise ValueError(f"{missing}: a budget needs all of {', '.join(budget)}")
-        if told:
+        if given:
             _not_negative(self, "budget_floor", "budget_share")
             _positive(self, "budget_window")
 
