--- a/tansycrank/routing/actions.py
+++ b/tansycrank/routing/actions.py
@@ -14,7 +14,7 @@
 class Send:
     """Send an attempt of a shard request: the first one, a retry or a hedge.
 
-    `time_out`: when the host ends it with `TIMED_OUT`. `connect_within`: when the host revokes it if
+    `time_out`: when the host ends it, as `TIMED_OUT`. `connect_within`: when the host revokes it if
     nothing was written since there is no connection; 0 leaves that to the host, and hosts that
     cannot tell ignore it. `leave_within`: when the host revokes it if its last byte was not
     written, since its deduplication window ends; 0 for never. The outcome of an attempt that was
--- a/tansycrank/routing/settings.py
+++ b/tansycrank/routing/settings.py
@@ -98,6 +98,20 @@
     def __post_init__(self) -> None:
         if not self.classes:
             raise ValueError("classes: at least one is needed")
+        self._check_signs()
+        if self.router_index >= self.routers:
+            raise ValueError(
+                f"router_index: {self.router_index} is not below routers {self.routers}"
+            )
+        if self.replica_span > self.cells:
+            raise ValueError(f"replica_span: {self.replica_span} is more than cells {self.cells}")
+        if self.slow_start_initial_share > 1:
+            raise ValueError(
+                f"slow_start_initial_share: {self.slow_start_initial_share} is more than 1"
+            )
+        self._check_budget()
+
+    def _check_signs(self) -> None:
         _positive(
             self,
             "routers",
@@ -128,16 +142,8 @@
             "price_probe",
             "price_late_fail",
         )
-        if self.router_index >= self.routers:
-            raise ValueError(
-                f"router_index: {self.router_index} is not below routers {self.routers}"
-            )
-        if self.replica_span > self.cells:
-            raise ValueError(f"replica_span: {self.replica_span} is more than cells {self.cells}")
-        if self.slow_start_initial_share > 1:
-            raise ValueError(
-                f"slow_start_initial_share: {self.slow_start_initial_share} is more than 1"
-            )
+
+    def _check_budget(self) -> None:
         budget = ("budget_floor", "budget_share", "budget_window")
         given = [name for name in budget if getattr(self, name) is not None]
         if given and len(given) < len(budget):
--- a/tansycrank/routing/start_times.py
+++ b/tansycrank/routing/start_times.py
@@ -1,17 +1,17 @@
-"""When each data node started, on this router's monotonic clock.
+"""When each endpoint started, on the monotonic clock of this router.
 
-Service discovery tells starts in Unix time. This router's own wall clock may be wrong from the
-start and may be stepped at any moment, so it is not read here at all. What is trusted instead:
+Service discovery reports starts in Unix time. The wall clock of this router may be wrong from the
+start and may be stepped at any moment, so it is not read here. Two facts are relied on instead:
 
-- The starts of different nodes are on one clock: a node is at least as old as its start lies before
-  a younger one, plus the time that has passed since that one was told. Two nodes have to agree on
-  that, so that one whose clock is wrong makes no other look old. Each younger start that is told
-  may make older ones known better; they are dated anew then.
-- What this router has seen itself: a start that was not there at discovery's last word is younger
-  than that word, whatever its number says. A restart is a changed start, be it larger or smaller.
+- The starts of different endpoints are on one clock: an endpoint is at least as old as its start
+  lies before a younger one, plus the time since that one was reported. Two endpoints have to agree,
+  so that one with a wrong clock makes no other look old. As younger starts are reported, older ones
+  may become known more exactly; they are dated again then.
+- A start that was not in the last report of discovery is younger than that report, whatever its
+  value. A restart is a changed start, be it larger or smaller.
 
-Both err towards a younger node: one that is cold never passes for warm, and one that is warm is
-taken for cold for at most one warm-up time after this router first heard of its start.
+Both err towards a younger endpoint: a cold one never passes for warm, and a warm one is taken for
+cold for at most one slow-start duration after this router has first heard of its start.
 """
 
 from __future__ import annotations
@@ -19,109 +19,106 @@
 from collections.abc import Hashable, Iterable, Mapping
 from dataclasses import dataclass
 
-LONG_AGO = 0.0  # as a start in Unix time, and as an instant of ours: the node is warm
-FIRST = 0  # the incarnation of a node when it is first heard of
-WITNESSES = 2  # nodes that have to agree on how far apart the two clocks are
-FINER = 100.0  # ms by which a start has to be known better before it is told anew
+LONG_AGO = 0.0  # as Unix time and as monotonic time: the endpoint is warm
+FIRST = 0  # the incarnation of an endpoint when it is first reported
+REQUIRED_AGREEMENT = 2  # endpoints that have to agree on the offset between the clocks
+MIN_IMPROVEMENT_MS = 100.0  # by which a start has to be older before it is dated again
 
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """A node's last start. `at` is ms of the monotonic clock; `incarnation` grows with each
-    restart.
-    """
+    """The last start of an endpoint."""
 
-    at: float
-    incarnation: int
+    at: float  # ms of the monotonic clock
+    incarnation: int  # grows with each restart
 
 
 @dataclass(frozen=True, slots=True)
-class _Known:
-    told: float  # ms of Unix time, as discovery names it
+class _Record:
+    reported: float  # ms of Unix time
     not_before: float  # ms of the monotonic clock
     start: Start
 
 
 class StartTimes:
-    """Holds one record for each node that was told and not forgotten."""
+    """Keeps one record for each endpoint that was reported and not forgotten."""
 
     def __init__(self) -> None:
-        self._known: dict[Hashable, _Known] = {}
-        self._witnesses: dict[
-            Hashable, float
-        ] = {}  # the two nodes with the largest offsets; see `_offset`
+        self._records: dict[Hashable, _Record] = {}
+        # Offsets in ms of the two endpoints for which they are largest; see `_offset`.
+        self._largest_offsets: dict[Hashable, float] = {}
         self._dated_by = float("-inf")  # the offset by which all starts were last dated
-        self._last_word: float | None = (
-            None  # ms: when discovery was last heard; None before its first list
-        )
+        self._last_report_at: float | None = None  # ms; None before the first list of discovery
 
     def heard(self, now: float) -> None:
-        """Discovery said, on an open watch, that nothing changes; `now` is ms of the monotonic
-        clock.
-        """
-        if self._last_word is not None:
-            self._last_word = now
+        """Discovery reported on an open watch that nothing has changed; `now` is monotonic (ms)."""
+        if self._last_report_at is not None:
+            self._last_report_at = now
 
     def listed(
         self, started: Mapping[Hashable, float], now: float, cached: bool = False
     ) -> dict[Hashable, Start]:
-        """The starts of the nodes of one list or change, told as ms of Unix time; 0 for long ago.
+        """The starts of the endpoints of a list or change; reported as Unix time (ms), 0: long ago.
 
-        Nodes that are not in it are in the result too where their start is known better by now. A
-        `cached` list comes from a file: it proves nothing of what was there at any time.
+        The result has other endpoints too if their start is known more exactly by now. A `cached`
+        list comes from a file: it proves nothing about which endpoints were there at any time.
         """
-        for node, told in started.items():
-            if told != LONG_AGO:
-                self._hear_witness(node, told - now)
-        for node, told in started.items():
-            self._update(node, told, now)
+        for endpoint, reported in started.items():
+            if reported != LONG_AGO:
+                self._record_offset(endpoint, reported - now)
+        for endpoint, reported in started.items():
+            self._update(endpoint, reported, now)
         if not cached:
-            self._last_word = now
-        found = self._date_anew() if self._offset > self._dated_by + FINER else {}
-        return found | {node: self._known[node].start for node in started}
+            self._last_report_at = now
+        found = self._date_again() if self._offset > self._dated_by + MIN_IMPROVEMENT_MS else {}
+        return found | {endpoint: self._records[endpoint].start for endpoint in started}
 
-    def forget(self, nodes: Iterable[Hashable]) -> None:
-        """Drop the records of nodes that are gone."""
-        for node in nodes:
-            self._known.pop(node, None)
+    def forget(self, endpoints: Iterable[Hashable]) -> None:
+        """Drop the records of endpoints that were removed."""
+        for endpoint in endpoints:
+            self._records.pop(endpoint, None)
 
     @property
     def _offset(self) -> float:
-        """ms: Unix time less monotonic time is at least that; two nodes agree on it."""
-        return min(self._witnesses.values()) if len(self._witnesses) == WITNESSES else float("-inf")
-
-    def _hear_witness(self, node: Hashable, offset: float) -> None:
-        """A start lies before the moment at which it is told."""
-        self._witnesses[node] = max(offset, self._witnesses.get(node, offset))
-        if len(self._witnesses) > WITNESSES:
-            del self._witnesses[min(self._witnesses, key=self._witnesses.get)]
-
-    def _update(self, node: Hashable, told: float, now: float) -> None:
-        known = self._known.get(node)
-        if known is not None and known.told == told:
+        """Unix time less monotonic time (ms) is at least that; two endpoints agree on it."""
+        return (
+            min(self._largest_offsets.values())
+            if len(self._largest_offsets) == REQUIRED_AGREEMENT
+            else float("-inf")
+        )
+
+    def _record_offset(self, endpoint: Hashable, offset: float) -> None:
+        """A start lies before the time of its report, which bounds the offset."""
+        self._largest_offsets[endpoint] = max(offset, self._largest_offsets.get(endpoint, offset))
+        if len(self._largest_offsets) > REQUIRED_AGREEMENT:
+            del self._largest_offsets[min(self._largest_offsets, key=self._largest_offsets.get)]
+
+    def _update(self, endpoint: Hashable, reported: float, now: float) -> None:
+        known = self._records.get(endpoint)
+        if known is not None and known.reported == reported:
             return
         incarnation = FIRST if known is None else known.start.incarnation
         if (
-            known is not None and told != LONG_AGO
-        ):  # a node whose start is no longer told is merely old
+            known is not None and reported != LONG_AGO
+        ):  # a start that is no longer reported is merely old
             incarnation += 1
-        not_before = float("-inf") if self._last_word is None else self._last_word
-        at = LONG_AGO if told == LONG_AGO else self._instant(told, not_before, now)
-        self._known[node] = _Known(told, not_before, Start(at, incarnation))
+        not_before = float("-inf") if self._last_report_at is None else self._last_report_at
+        at = LONG_AGO if reported == LONG_AGO else self._instant(reported, not_before, now)
+        self._records[endpoint] = _Record(reported, not_before, Start(at, incarnation))
 
-    def _instant(self, told: float, not_before: float, latest: float) -> float:
-        return max(min(told - self._offset, latest), not_before)
+    def _instant(self, reported: float, not_before: float, latest: float) -> float:
+        return max(min(reported - self._offset, latest), not_before)
 
-    def _date_anew(self) -> dict[Hashable, Start]:
-        """The starts that are known better than before."""
+    def _date_again(self) -> dict[Hashable, Start]:
+        """Date all starts by the present offset; the ones that became older."""
         self._dated_by = self._offset
         found = {}
-        for node, known in self._known.items():
-            if known.told == LONG_AGO:
+        for endpoint, known in self._records.items():
+            if known.reported == LONG_AGO:
                 continue
-            at = self._instant(known.told, known.not_before, known.start.at)
-            if at < known.start.at - FINER:
+            at = self._instant(known.reported, known.not_before, known.start.at)
+            if at < known.start.at - MIN_IMPROVEMENT_MS:
                 start = Start(at, known.start.incarnation)
-                self._known[node] = _Known(known.told, known.not_before, start)
-                found[node] = start
+                self._records[endpoint] = _Record(known.reported, known.not_before, start)
+                found[endpoint] = start
         return found
