--- a/tansycrank/routing/admission.py
+++ b/tansycrank/routing/admission.py
@@ -42,8 +42,7 @@
         )
 
     def set_queue_position(self, query: Query, shard_requests: int) -> None:
-        """Order by the time a query must start, later for a low priority weight per shard
-        request."""
+        """Order by start time, later for a low priority weight per shard request."""
         query_class = query.query_class
         density = query_class.priority_weight / (shard_requests + query_class.follow_up)
         self._greatest_density = max(self._greatest_density, density)
--- a/tansycrank/routing/concurrency.py
+++ b/tansycrank/routing/concurrency.py
@@ -1,5 +1,4 @@
-"""The window of shard requests in flight at each endpoint: additive increase, multiplicative
-decrease.
+"""Windows of shard requests in flight by endpoint: additive increase, multiplicative decrease.
 
 Queues in endpoints cannot be revoked, this router's queue can: the windows bound what a silent,
 slow or overloaded endpoint can hold up.
--- a/tansycrank/routing/discovery.py
+++ b/tansycrank/routing/discovery.py
@@ -15,8 +15,7 @@
 
 
 class DiscoveryBackoff:
-    """Exponential backoff with jitter between calls to discovery, since discovery has little
-    capacity."""
+    """Exponential backoff with jitter between calls, since discovery has little capacity."""
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         self._rng = rng
--- a/tansycrank/routing/endpoint.py
+++ b/tansycrank/routing/endpoint.py
@@ -102,8 +102,7 @@
         return endpoint
 
     def _forget_removed(self, now: float) -> None:
-        """Drop removed endpoints once nothing is in flight there and slow start needs no count of
-        their sends."""
+        """Drop removed endpoints once slow start needs no count of the sends to them."""
         for endpoint in list(self.by_id.values()):
             if endpoint.status is not EndpointStatus.REMOVED or endpoint.in_flight:
                 continue
--- a/tansycrank/routing/events.py
+++ b/tansycrank/routing/events.py
@@ -104,7 +104,7 @@
     endpoint: int
     outcome: Outcome
     latency: float
-    part_ended: bool = False
+    shard_request_ended: bool = False
     load: tuple[float, ...] = ()
 
 
--- a/tansycrank/routing/hedging.py
+++ b/tansycrank/routing/hedging.py
@@ -38,8 +38,7 @@
         self.tokens += growth
 
     def refill(self, shard_requests_per_second: float, now: float) -> None:
-        """Earn tokens for the time since the last refill, never beyond a configured retry
-        budget."""
+        """Earn tokens since the last refill, never beyond a configured retry budget."""
         settings = self._settings
         refill = shard_requests_per_second * HEDGE_SHARE
         if settings.budget_window is not None:
--- a/tansycrank/routing/idle_connections.py
+++ b/tansycrank/routing/idle_connections.py
@@ -20,8 +20,7 @@
     def closed_while_idle(
         self, attempt: Attempt, outcome: Outcome, latency: float, quickest_ms: float, now: float
     ) -> bool:
-        """Whether an attempt was lost since its idle connection had been closed; learns the
-        limit."""
+        """Whether an attempt was lost since its connection had been closed; learns the limit."""
         idle_ms = attempt.connection_idle_ms
         is_immediate = latency < min(IMMEDIATE_SHARE * quickest_ms, idle_ms)
         if not is_immediate or outcome is not Outcome.CONNECTION_LOST or idle_ms == float("inf"):
--- a/tansycrank/routing/latency.py
+++ b/tansycrank/routing/latency.py
@@ -1,5 +1,4 @@
-"""Response latencies by sliding window: quantiles, the hedge delay, and which response counts as
-slow.
+"""Response latencies: quantiles by sliding window, the hedge delay, the bound for a slow one.
 
 All times are milliseconds.
 """
--- a/tansycrank/routing/outlier_ejection.py
+++ b/tansycrank/routing/outlier_ejection.py
@@ -13,8 +13,7 @@
 
 
 class OutlierEjection:
-    """Ejects an endpoint after a failure; one readmission attempt at a time follows its
-    ejection."""
+    """Ejects endpoints that fail; then one readmission attempt at a time is sent."""
 
     def __init__(self, shortest_objective_ms: float) -> None:
         self._first_ms = FIRST_EJECTION_SHARE * shortest_objective_ms
@@ -38,8 +37,7 @@
         endpoint.ejected_until = now + endpoint.ejection_ms
 
     def on_response(self, endpoint: Endpoint) -> None:
-        """Readmit it; a long ejection is halved only, since failing endpoints respond now and
-        then."""
+        """Readmit it; a long ejection is only halved, as failing endpoints respond at times."""
         is_long = endpoint.ejection_ms > 2 * self._first_ms
         endpoint.ejection_ms = endpoint.ejection_ms / 2 if is_long else 0.0
         endpoint.ejected_until = NEVER
--- a/tansycrank/routing/policy.py
+++ b/tansycrank/routing/policy.py
@@ -181,8 +181,7 @@
         self._discard(*query.shard_requests)
 
     def _discard(self, *shard_requests: ShardRequest) -> None:
-        """Shard requests that are no longer needed leave the queue; their attempts are
-        cancelled."""
+        """Take shard requests that are not needed from the queue; cancel their attempts."""
         for shard_request in shard_requests:
             shard_request.is_discarded = True
             self.queries.shard_requests.pop(shard_request.id, None)
--- a/tansycrank/routing/probing.py
+++ b/tansycrank/routing/probing.py
@@ -1,5 +1,4 @@
-"""Probe requests: a few shard requests of a query go ahead and tell whether the rest can be in
-time.
+"""Probe requests: a few shard requests of a query go ahead and decide on the rest.
 
 A router with one query at a time fills queues that it cannot see; one harmful query takes down
 every endpoint it is sent to at once. Both are bounded by sending a few shard requests first.
--- a/tansycrank/routing/query.py
+++ b/tansycrank/routing/query.py
@@ -11,8 +11,7 @@
 
 @dataclass(slots=True, eq=False)
 class Query:
-    """A query that was accepted and has no final action yet. All times are ms of the policy's
-    clock."""
+    """An accepted query without a final action. All times are ms of the policy's clock."""
 
     id: int
     number: int
--- a/tansycrank/routing/replica_selection.py
+++ b/tansycrank/routing/replica_selection.py
@@ -91,8 +91,7 @@
     def _candidates(
         self, cell: int, excluded: set[Endpoint], now: float
     ) -> list[tuple[int, Endpoint]]:
-        """The replicas in order of preference, each with the round-robin position that follows
-        it."""
+        """The replicas by preference, each with the round-robin position after it."""
         replicas = self._replica_set(cell)
         has_allowance = self._slow_start.has_allowance
         # Drawn on every call, used on the first: the order of draws is part of a replayed decision.
--- a/tansycrank/routing/slow_start.py
+++ b/tansycrank/routing/slow_start.py
@@ -16,8 +16,7 @@
 
 
 class SlowStart:
-    """Divides the allowance of each endpoint that warms up among all routers, without
-    communication."""
+    """Divides the allowance of each endpoint in slow start among all routers."""
 
     def __init__(
         self,
--- a/tansycrank/routing/timer_queue.py
+++ b/tansycrank/routing/timer_queue.py
@@ -10,8 +10,7 @@
 
 
 class TimerQueue:
-    """Callbacks by due time; callbacks due at the same time run in the order they were scheduled
-    in."""
+    """Callbacks by due time, and in the order of scheduling if due at the same time."""
 
     def __init__(self) -> None:
         self._entries: list[tuple[float, int, Callback, Any]] = []
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -5,8 +5,8 @@
 
 from tansycrank import routing
 from tansycrank.routing import Outcome
-from tansycrank.routing.policy import RoutingPolicy
 from tansycrank.routing.latency import LatencyWindow
+from tansycrank.routing.policy import RoutingPolicy
 from tansycrank.routing.sliding_sum import SlidingSum
 
 
