--- a/tests/test_edge_forms.py
+++ b/tests/test_edge_forms.py
@@ -172,11 +172,8 @@
 
 def test_answers_to_http_clients_keep_their_bytes():
     assert request_codec.encode(request_codec.Response(503, b"{}", 150.0), closes=True) == (
-        b"HTTP/1.1 503 Service Unavailable
-Content-Type: application/json
-"
-        b"Content-Length: 2
-"
+        b"HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\n"
+        b"Content-Length: 2\r\n"
         b"Retry-After: 0.150\r\nConnection: close\r\n\r\n{}"
     )
     assert (
