--- a/tansycrank/admission/__init__.py
+++ b/tansycrank/admission/__init__.py
@@ -1,1 +1,1 @@
-"""The door: who is asking, whose turn it is, and when to come back. Decisions apart from `gate`."""
+"""Admission control: caller identity, fair queueing, the concurrency limit and Retry-After."""
--- a/tansycrank/admission/admission_queue.py
+++ b/tansycrank/admission/admission_queue.py
@@ -4,7 +4,7 @@
 
 import heapq
 
-from tansycrank.admission.fair_queue import Level, Ticket
+from tansycrank.admission.fair_queue import FairScheduler, QueuedQuery
 from tansycrank.admission.tenants import Tenant, TenantTable
 
 HEAP_SLACK = 1024  # stale heap entries that are kept before a heap is rebuilt
@@ -15,80 +15,80 @@
 
     def __init__(self, max_queries: int, max_bytes: int) -> None:
         self.max_queries, self.max_bytes = max_queries, max_bytes
-        self.scheduler = Level()
-        self.queries: dict[int, Ticket] = {}
+        self.scheduler = FairScheduler()
+        self.queries: dict[int, QueuedQuery] = {}
         self.bytes = 0
-        self.charge = 0.0  # cost of all queued queries
+        self.cost = 0.0  # cost of all queued queries
         self._deadlines: list[tuple[float, int]] = []  # heap of (latest useful start, query id)
         self._backlogs: list[
             tuple[float, str]
         ] = []  # heap of (-cost by weight, tenant), may be stale
 
-    def add(self, tenant: Tenant, ticket: Ticket, tenants: TenantTable) -> None:
+    def add(self, tenant: Tenant, query: QueuedQuery, tenants: TenantTable) -> None:
         """Queue a query of this tenant."""
-        self.queries[ticket.id] = ticket
-        tenant.line.add(ticket)
+        self.queries[query.id] = query
+        tenant.queue.add(query)
         self.scheduler.size += 1
-        self.bytes += ticket.size
-        self.charge += ticket.charge
+        self.bytes += query.size
+        self.cost += query.cost
         heapq.heappush(self._backlogs, (-tenant.queued_cost_by_weight, tenant.key))
         if len(self._backlogs) > 4 * self.scheduler.size + HEAP_SLACK:
-            backlogged = (one for one in tenants.values() if one.line)
+            backlogged = (one for one in tenants.values() if one.queue)
             self._backlogs = [(-one.queued_cost_by_weight, one.key) for one in backlogged]
             heapq.heapify(self._backlogs)
-        if not tenant.parked:
-            self.scheduler.enter(tenant.key, tenant.line)
-        heapq.heappush(self._deadlines, (ticket.leave_by, ticket.id))
+        if not tenant.is_parked:
+            self.scheduler.schedule(tenant.key, tenant.queue)
+        heapq.heappush(self._deadlines, (query.latest_start, query.id))
 
-    def remove(self, tenant: Tenant, ticket: Ticket) -> None:
+    def remove(self, tenant: Tenant, query: QueuedQuery) -> None:
         """Take a query out, not in the order of the schedule."""
-        tenant.line.remove(ticket)
-        self._removed(ticket)
-        self.scheduler.tidy()
+        tenant.queue.remove(query)
+        self._removed(query)
+        self.scheduler.compact()
 
-    def take_next(self, tenant: Tenant) -> Ticket:
+    def take_next(self, tenant: Tenant) -> QueuedQuery:
         """Take the next query of the tenant that is scheduled first."""
-        ticket = tenant.line.take()
-        self.scheduler.serve(ticket.charge)
-        self._removed(ticket)
-        return ticket
+        query = tenant.queue.take()
+        self.scheduler.serve(query.cost)
+        self._removed(query)
+        return query
 
-    def _removed(self, ticket: Ticket) -> None:
-        del self.queries[ticket.id]
+    def _removed(self, query: QueuedQuery) -> None:
+        del self.queries[query.id]
         self.scheduler.size -= 1
-        self.bytes -= ticket.size
-        self.charge = max(self.charge - ticket.charge, 0.0) if self.queries else 0.0
+        self.bytes -= query.size
+        self.cost = max(self.cost - query.cost, 0.0) if self.queries else 0.0
 
     def park(self, tenant: Tenant) -> None:
         """Take the tenant that is scheduled first out of the schedule, since it holds its maximum
         share.
         """
-        tenant.parked = True
+        tenant.is_parked = True
         self.scheduler.park()
 
     def unpark(self, tenant: Tenant) -> None:
         """Schedule a tenant again."""
-        if tenant.parked:
-            tenant.parked = False
-            if tenant.line:
-                self.scheduler.enter(tenant.key, tenant.line)
+        if tenant.is_parked:
+            tenant.is_parked = False
+            if tenant.queue:
+                self.scheduler.schedule(tenant.key, tenant.queue)
 
     # --- bounds -------------------------------------------------------------------------
 
-    def is_full_for(self, ticket: Ticket) -> bool:
+    def is_full_for(self, query: QueuedQuery) -> bool:
         """Whether one more query would pass the bounds."""
         is_at_count = self.scheduler.size >= self.max_queries
-        return is_at_count or self.bytes + ticket.size > self.max_bytes
+        return is_at_count or self.bytes + query.size > self.max_bytes
 
     def tenant_to_displace(
-        self, tenant: Tenant, ticket: Ticket, tenants: TenantTable
+        self, tenant: Tenant, query: QueuedQuery, tenants: TenantTable
     ) -> Tenant | None:
         """Whose newest query gives way to this one: the tenant with most queued cost by weight.
 
         None if that would be the query's own tenant or one with no more than it.
         """
         largest = self._largest_backlog(tenants)
-        own = (tenant.line.charge + ticket.charge) / tenant.limits.weight
+        own = (tenant.queue.cost + query.cost) / tenant.limits.weight
         if largest is None or largest.queued_cost_by_weight <= own:
             return None
         return largest
@@ -99,7 +99,7 @@
         while heap:
             recorded, key = heap[0]
             tenant = tenants.get(key)
-            has_queued = tenant is not None and tenant.line
+            has_queued = tenant is not None and tenant.queue
             current = -tenant.queued_cost_by_weight if has_queued else 0.0
             if current <= recorded:
                 return tenant
@@ -116,16 +116,16 @@
         """When `pop_expired` may next return a query."""
         return self._deadlines[0][0] if self._deadlines else None
 
-    def pop_expired(self, now: float) -> Ticket | None:
+    def pop_expired(self, now: float) -> QueuedQuery | None:
         """A queued query whose latest useful start has passed; the caller removes it."""
         while self._deadlines and self._deadlines[0][0] <= now:
-            ticket = self.queries.get(heapq.heappop(self._deadlines)[1])
-            if ticket is not None:
-                return ticket
+            query = self.queries.get(heapq.heappop(self._deadlines)[1])
+            if query is not None:
+                return query
         return None
 
     def compact(self) -> None:
         """Drop heap entries of queries that have left the queue, once they outnumber the others."""
         if len(self._deadlines) > 2 * len(self.queries) + HEAP_SLACK:
-            self._deadlines = [(one.leave_by, one.id) for one in self.queries.values()]
+            self._deadlines = [(one.latest_start, one.id) for one in self.queries.values()]
             heapq.heapify(self._deadlines)
--- a/tansycrank/admission/concurrency_limit.py
+++ b/tansycrank/admission/concurrency_limit.py
@@ -42,13 +42,13 @@
         self.mean = self.least = 0.0
 
 
-class Limit:
+class ConcurrencyLimit:
     """Parts that may be inside; `rate` is the charge answered a ms while the limit was what held
     back.
     """
 
     def __init__(self) -> None:
-        self.parts, self.rate = FIRST, 0.0
+        self.shard_requests, self.rate = FIRST, 0.0
         self.wait = 0.0  # ms of a query's time inside that are waiting
         self._paces: OrderedDict[int, Pace] = (
             OrderedDict()
@@ -63,7 +63,7 @@
         """Cost per ms that is completed at the limit; infinite before anything is known."""
         if self.rate > 0:
             return self.rate
-        return self.parts / mean_service_time if mean_service_time > 0 else math.inf
+        return self.shard_requests / mean_service_time if mean_service_time > 0 else math.inf
 
     def work_time(self, took: float) -> float:
         """The part of a query's ms in flight that its data nodes worked for it."""
@@ -77,15 +77,15 @@
         self._lags: list[float] = []
 
     def ended(
-        self, statement: int, parts: int, charge: float, took: float, kind: str, full: bool
+        self, statement: int, shard_requests: int, cost: float, took: float, kind: str, full: bool
     ) -> None:
         """A query has ended; `full` tells whether others wait for its room."""
         self._ends += 1
         self._full += full
         if kind == QueryOutcome.ANSWERED:
             self._answers += 1
-            self._done_parts += parts
-            self._charge += charge
+            self._done_parts += shard_requests
+            self._charge += cost
             self._times.setdefault(statement, []).append(took)
             self._mean += (took - self._mean) / FEW if self._mean > 0 else took
         elif kind == QueryOutcome.REJECTED:
@@ -126,9 +126,9 @@
             before, pace = self._cut
             self._cut = None
             if rate < pace * (
-                1.0 - COSTS * (1.0 - self.parts / before)
+                1.0 - COSTS * (1.0 - self.shard_requests / before)
             ):  # what was cut was no waiting
-                self.parts = before
+                self.shard_requests = before
                 self._stretch(RAISE)
                 return
         lost = self._refusals > LOST * self._ends
@@ -138,15 +138,17 @@
             ):  # what ends while the number inside doubles a span is the shorter, by this much
                 self._swift = False
                 self._stretch(1 + math.log(2) / RUNS)
-            pace, before = rate, self.parts
+            pace, before = rate, self.shard_requests
             least = self._done_parts / age * self._mean_least()
             # twice the work is as much waiting as work; what is cut is cut by at most half a span
-            goal = self.parts * min(max(2.0 / slow, 0.5) if full else 1.0, 0.85 if lost else 1.0)
-            self.parts = max(goal, least, 1.0)
-            if self.parts < WORTH * before:
+            goal = self.shard_requests * min(
+                max(2.0 / slow, 0.5) if full else 1.0, 0.85 if lost else 1.0
+            )
+            self.shard_requests = max(goal, least, 1.0)
+            if self.shard_requests < WORTH * before:
                 self._cut = before, pace
         elif full:
-            self.parts += self.parts if self._swift else self.parts**0.5
+            self.shard_requests += self.shard_requests if self._swift else self.shard_requests**0.5
 
     def _mean_least(self) -> float:
         known = sum(len(t) for t in self._times.values())
--- a/tansycrank/admission/controller.py
+++ b/tansycrank/admission/controller.py
@@ -66,7 +66,7 @@
     deadline: float  # ms of the clock
     start: Callable[[float, Callable[[Any], None]], Any]
     done: Callable[[Any], None]
-    inside: bool = False
+    is_admitted: bool = False
     began: float = 0.0
     running: Any = None
     ended: bool = False
@@ -96,7 +96,7 @@
         self,
         asker: Asker,
         query_class: int,
-        parts: int,
+        shard_requests: int,
         remaining: float,
         start: Callable[[float, Callable[[Any], None]], Any],
         done: Callable[[Any], None],
@@ -115,7 +115,7 @@
             return entry
         self._play(
             QueryArrived(
-                entry.id, asker.tenant, asker.client, query_class, parts, remaining, statement, mark, size,
+                entry.id, asker.tenant, asker.client, query_class, shard_requests, remaining, statement, mark, size,
                 repeat, asker.limits, session,
             )
         )  # fmt: skip
@@ -164,7 +164,7 @@
         """Its client cancels or has gone: out of the line, or `cancel(what start returned)`."""
         if entry.ended:
             return
-        if entry.inside:
+        if entry.is_admitted:
             cancel(entry.running)
             return
         self._play(QueryCancelled(entry.id))
@@ -185,7 +185,7 @@
                 call.cancel()
         self._beat = self._wake = None
         for entry in list(self.entries.values()):
-            if not entry.inside:
+            if not entry.is_admitted:
                 self._finish(entry, problem)
 
     # --- carrying out -----------------------------------------------------------------------
@@ -203,7 +203,7 @@
                     self._wake_at(at)
 
     def _admit(self, entry: Entry, now: float) -> None:
-        entry.inside, entry.began = True, now
+        entry.is_admitted, entry.began = True, now
         left = max(entry.deadline - now, 1.0)
         entry.running = entry.start(left, lambda outcome: self._ended(entry, outcome))
 
@@ -221,14 +221,14 @@
         if self.policy is None:
             self._finish(entry, outcome)
             return
-        kind, hold_off = "answered", 0.0
+        kind, retry_after_ms = "answered", 0.0
         if isinstance(outcome, PgError):
             kind = {REFUSED: "refused", FAILED: "failed", QUERY_CANCELED: "cancelled"}.get(
                 outcome.state, "failed"
             )
             if kind == "refused":
-                hold_off = retry_after(outcome.detail)
-        self._play(QueryEnded(entry.id, kind, self.now - entry.began, hold_off))
+                retry_after_ms = retry_after(outcome.detail)
+        self._play(QueryEnded(entry.id, kind, self.now - entry.began, retry_after_ms))
         self._finish(entry, outcome)  # where it was refused it has been answered by now
 
     def _finish(self, entry: Entry, outcome: Any) -> None:
@@ -270,7 +270,7 @@
         self.told = {}
         if self.log:
             most = sorted(told.items(), key=lambda item: -sum(item[1].values()))[:10]
-            limit = round(self.policy.limit.parts)
+            limit = round(self.policy.limit.shard_requests)
             self.log.info(
                 "queries_rejected_by_admission", tenants=len(told), most=dict(most), limit=limit
             )
--- a/tansycrank/admission/events.py
+++ b/tansycrank/admission/events.py
@@ -29,7 +29,7 @@
     tenant: str
     client: str
     query_class: int
-    parts: int
+    shard_requests: int
     remaining: float
     statement: int = 0
     mark: int = 0
@@ -53,7 +53,7 @@
     id: int
     kind: str
     took: float
-    hold_off: float = 0.0
+    retry_after_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/tansycrank/admission/fair_shares.py
+++ b/tansycrank/admission/fair_shares.py
@@ -25,61 +25,63 @@
     def __init__(self) -> None:
         self._fill_level = math.inf
 
-    def initial_rate(self, limits: Limits, drain: float) -> float:
+    def initial_rate(self, limits: Limits, drain_rate: float) -> float:
         """The rate of a tenant that is new, until the next `update`."""
-        if drain == math.inf:
+        if drain_rate == math.inf:
             return math.inf
-        level = self._fill_level if self._fill_level < math.inf else drain
-        return min(max(limits.weight * level, limits.min_share * drain), limits.max_share * drain)
+        level = self._fill_level if self._fill_level < math.inf else drain_rate
+        return min(
+            max(limits.weight * level, limits.min_share * drain_rate), limits.max_share * drain_rate
+        )
 
-    def update(self, now: float, tenants: Iterable[Tenant], drain: float) -> None:
+    def update(self, now: float, tenants: Iterable[Tenant], drain_rate: float) -> None:
         """Compute the rates of all tenants with recent demand."""
-        if drain == math.inf:
+        if drain_rate == math.inf:
             return
         plain: list[tuple[float, float, Tenant]] = []  # demand by weight, weight, tenant
         limited: list[tuple[float, Tenant]] = []  # demand, tenant
         for tenant in tenants:
-            is_backlogged = bool(tenant.line) or tenant.account.owed > 0
-            if not is_backlogged and now - tenant.seen > FORGET_DEMAND_MS:
+            is_backlogged = bool(tenant.queue) or tenant.reservations.reserved_cost > 0
+            if not is_backlogged and now - tenant.last_seen > FORGET_DEMAND_MS:
                 continue
-            demand = math.inf if is_backlogged else tenant.asked.rate(now)
+            demand = math.inf if is_backlogged else tenant.demand.rate(now)
             if tenant.limits.min_share > 0 or tenant.limits.max_share < 1:
                 limited.append((demand, tenant))
             else:
                 plain.append((demand / tenant.limits.weight, tenant.limits.weight, tenant))
         plain.sort(key=lambda item: item[0])
-        self._fill_level = self._converge(plain, limited, drain)
-        self._assign(plain, limited, drain)
+        self._fill_level = self._converge(plain, limited, drain_rate)
+        self._assign(plain, limited, drain_rate)
 
-    def _converge(self, plain: list, limited: list, drain: float) -> float:
+    def _converge(self, plain: list, limited: list, drain_rate: float) -> float:
         """The fill level that is left by limited tenants, whose rates depend on it in turn."""
         demands = [item[0] for item in plain]
         weights = [0.0, *accumulate(item[1] for item in plain)]
         wanted = [0.0, *accumulate(0.0 if d == math.inf else d * w for d, w, _ in plain)]
-        level, taken = drain, 0.0
+        level, taken = drain_rate, 0.0
         for _ in range(ROUNDS):
-            free = max(drain - taken, MIN_FREE_SHARE * drain)
+            free = max(drain_rate - taken, MIN_FREE_SHARE * drain_rate)
             level = fill_level(demands, weights, wanted, free)
             taken = 0.0
             for demand, tenant in limited:
-                taken += min(demand, _limited_rate(tenant.limits, level, drain))
+                taken += min(demand, _limited_rate(tenant.limits, level, drain_rate))
         return level
 
-    def _assign(self, plain: list, limited: list, drain: float) -> None:
+    def _assign(self, plain: list, limited: list, drain_rate: float) -> None:
         level = self._fill_level
         for _, tenant in limited:
-            tenant.rate = _limited_rate(tenant.limits, level, drain)
+            tenant.rate = _limited_rate(tenant.limits, level, drain_rate)
             weight = tenant.limits.weight
             has_level = level < math.inf
-            tenant.line.weight = max(weight, tenant.rate / level) if has_level else weight
+            tenant.queue.weight = max(weight, tenant.rate / level) if has_level else weight
         for _, weight, tenant in plain:
-            tenant.rate = min(weight * level, drain)
+            tenant.rate = min(weight * level, drain_rate)
         for *_, tenant in (*limited, *plain):
-            tenant.line.burst = tenant.limits.burst * tenant.rate / tenant.line.weight
+            tenant.queue.burst = tenant.limits.burst * tenant.rate / tenant.queue.weight
 
 
-def _limited_rate(limits: Limits, level: float, drain: float) -> float:
-    least, most = limits.min_share * drain, limits.max_share * drain
+def _limited_rate(limits: Limits, level: float, drain_rate: float) -> float:
+    least, most = limits.min_share * drain_rate, limits.max_share * drain_rate
     return min(max(limits.weight * level, least), most) if level < math.inf else most
 
 
--- a/tansycrank/admission/identity.py
+++ b/tansycrank/admission/identity.py
@@ -1,6 +1,6 @@
-"""Who is asking: which tenant a session belongs to, by rules; which networks may enter at all.
+"""Caller identity: which tenant a session belongs to, and which networks may connect.
 
-The longest network wins, then the order of the file. Who fits no rule shares a tenant with its
+The longest network wins, then the order of the file. Callers without a rule share a tenant by
 network, so that a name made up for each query gains nothing.
 """
 
--- a/tansycrank/admission/policy.py
+++ b/tansycrank/admission/policy.py
@@ -12,8 +12,8 @@
 
 from tansycrank.admission.actions import Action, Admit, Reject, RejectionReason, SetTimer
 from tansycrank.admission.admission_queue import AdmissionQueue
-from tansycrank.admission.concurrency_limit import Limit
-from tansycrank.admission.cost_estimates import Costs
+from tansycrank.admission.concurrency_limit import ConcurrencyLimit
+from tansycrank.admission.cost_estimates import CostEstimates
 from tansycrank.admission.events import (
     Event,
     LimitsChanged,
@@ -23,10 +23,10 @@
     QueryEnded,
     QueryOutcome,
 )
-from tansycrank.admission.fair_queue import Ticket
+from tansycrank.admission.fair_queue import QueuedQuery
 from tansycrank.admission.fair_shares import FairShares
 from tansycrank.admission.in_flight import QueriesInFlight
-from tansycrank.admission.reservations import Book, Place
+from tansycrank.admission.reservations import Reservation, ReservationBook
 from tansycrank.admission.retry_after import (
     expected_service_time,
     remaining_wait,
@@ -45,10 +45,10 @@
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
-        self.costs = Costs(len(settings.classes))
-        self.limit = Limit()
-        self.book = Book(settings.places, settings.horizon)
-        self.tenants = TenantTable(settings.tenants, settings.classes, self.book)
+        self.costs = CostEstimates(len(settings.classes))
+        self.limit = ConcurrencyLimit()
+        self.reservations = ReservationBook(settings.places, settings.horizon)
+        self.tenants = TenantTable(settings.tenants, settings.classes, self.reservations)
         self.queue = AdmissionQueue(settings.queries, settings.bytes)
         self.in_flight = QueriesInFlight()
         self._shares = FairShares()
@@ -70,7 +70,7 @@
             self._handlers[type(event)](now, event)
         self._expire(now)
         if self.limit.turn(now):
-            self._shares.update(now, self.tenants.values(), self.drain)
+            self._shares.update(now, self.tenants.values(), self.drain_rate)
         self._admit_queued(now)
         if (due := self.queue.next_deadline) is not None:
             self._actions.append(SetTimer(due))
@@ -79,7 +79,7 @@
     # --- what others ask ----------------------------------------------------------------
 
     @property
-    def drain(self) -> float:
+    def drain_rate(self) -> float:
         """The drain rate: cost per ms that the router completes when it is full."""
         return self.limit.drain_rate(self.costs.mean)
 
@@ -98,85 +98,95 @@
         tenant = self.tenants.get(event.tenant)
         if tenant is None or self._has_room(tenant):
             return False
-        charge = self.costs.expect(event.query_class, event.statement, 1)
-        place, is_due = self.book.find(tenant.account, event.mark, event.session, now)
-        if place is not None:
+        cost = self.costs.expect(event.query_class, event.statement, 1)
+        reservation, is_due = self.reservations.find(
+            tenant.reservations, event.mark, event.session, now
+        )
+        if reservation is not None:
             return not is_due
-        if self._is_light(charge):
+        if self._is_light(cost):
             return False
-        leave_by = now + self._useful_time(event)
-        ticket = Ticket(0, tenant.key, event.client, event.query_class, 0, 1, charge, 0, leave_by)
-        return self._expected(now, tenant, ticket) > ticket.leave_by
+        latest_start = now + self._useful_time(event)
+        query = QueuedQuery(
+            0, tenant.key, event.client, event.query_class, 0, 1, cost, 0, latest_start
+        )
+        return self._expected(now, tenant, query) > query.latest_start
 
-    def would_wait(self, now: float, key: str, charge: float) -> float:
+    def would_wait(self, now: float, key: str, cost: float) -> float:
         """How long, in ms, a query of this tenant that returns now as told would be queued."""
         tenant = self.tenants.get(key)
         if tenant is None or self._has_room(tenant):
             return 0.0
-        return remaining_wait(tenant, charge)
+        return remaining_wait(tenant, cost)
 
     # --- events -------------------------------------------------------------------------
 
     def _on_arrived(self, now: float, event: QueryArrived) -> None:
         tenant = self._tenant(event.tenant, event.limits)
-        charge = self.costs.expect(event.query_class, event.statement, event.parts)
-        ticket = self._ticket(now, event, tenant, charge)
+        cost = self.costs.expect(event.query_class, event.statement, event.shard_requests)
+        query = self._ticket(now, event, tenant, cost)
         self._counts["arrived"] += 1
-        place, is_due = self.book.find(tenant.account, event.mark, event.session, now)
-        if place is None and not event.repeat:
+        reservation, is_due = self.reservations.find(
+            tenant.reservations, event.mark, event.session, now
+        )
+        if reservation is None and not event.repeat:
             tenant.arrived += 1
-            tenant.record_demand(now, charge)
+            tenant.record_demand(now, cost)
         if is_due:
-            ticket.returning = True
-            self.book.take_up(tenant.account, place)
+            query.is_returning = True
+            self.reservations.take_up(tenant.reservations, reservation)
             self._counts["returned"] += 1
-            tenant.returns.add(now, charge)
-        self._decide(now, tenant, ticket, None if is_due else place)
+            tenant.return_demand.add(now, cost)
+        self._decide(now, tenant, query, None if is_due else reservation)
 
-    def _decide(self, now: float, tenant: Tenant, ticket: Ticket, early: Place | None) -> None:
+    def _decide(
+        self, now: float, tenant: Tenant, query: QueuedQuery, early: Reservation | None
+    ) -> None:
         """Admit, queue or reject a query; `early` is its reservation if that is not due yet."""
-        is_light = self._is_light(ticket.charge)
+        is_light = self._is_light(query.cost)
         if self._has_room(tenant) or (
-            is_light and tenant.is_below_max_share(ticket.parts, self.limit.parts)
+            is_light and tenant.is_below_max_share(query.shard_requests, self.limit.shard_requests)
         ):
-            ticket.light = is_light
+            query.light = is_light
             if early is not None:
-                self.book.drop(tenant.account, early)
-            self.queue.scheduler.pass_by(tenant.line, ticket.charge)
-            self._admit(now, tenant, ticket)
+                self.reservations.drop(tenant.reservations, early)
+            self.queue.scheduler.serve_unqueued(tenant.queue, query.cost)
+            self._admit(now, tenant, query)
         elif early is not None:  # told the same time again, and not counted as a rejection
             tenant.early += 1
             self._counts[RejectionReason.TOO_EARLY] += 1
-            wait = early.due - now
-            self._actions.append(Reject(ticket.id, wait, RejectionReason.TOO_EARLY))
-        elif self._expected(now, tenant, ticket) > ticket.leave_by:
-            self._reject(now, tenant, ticket, RejectionReason.EXPECTED_TOO_LATE)
-        elif self._make_room(now, tenant, ticket):
-            self.queue.add(tenant, ticket, self.tenants)
+            wait = early.due_at - now
+            self._actions.append(Reject(query.id, wait, RejectionReason.TOO_EARLY))
+        elif self._expected(now, tenant, query) > query.latest_start:
+            self._reject(now, tenant, query, RejectionReason.EXPECTED_TOO_LATE)
+        elif self._make_room(now, tenant, query):
+            self.queue.add(tenant, query, self.tenants)
 
     def _on_cancelled(self, now: float, event: QueryCancelled) -> None:
-        ticket = self.queue.queries.get(event.id)
-        if ticket is not None:
-            tenant = self.tenants[ticket.tenant]
+        query = self.queue.queries.get(event.id)
+        if query is not None:
+            tenant = self.tenants[query.tenant]
             tenant.left += 1
             self._counts["left"] += 1
-            self.queue.remove(tenant, ticket)
+            self.queue.remove(tenant, query)
 
     def _on_ended(self, now: float, event: QueryEnded) -> None:
-        ticket = self.in_flight.queries.get(event.id)
-        if ticket is None:
+        query = self.in_flight.queries.get(event.id)
+        if query is None:
             return
         was_full = self.in_flight.is_full(self.limit)
-        tenant = self.tenants[ticket.tenant]
-        self.in_flight.remove(tenant, ticket)
-        took = self._stalls.without_stall(ticket.began, event.took)
+        tenant = self.tenants[query.tenant]
+        self.in_flight.remove(tenant, query)
+        took = self._stalls.without_stall(query.began, event.took)
         if event.kind == QueryOutcome.ANSWERED:
             tenant.answered += 1
-            self._correct_cost(tenant, ticket, took)
-        self.limit.ended(ticket.statement, ticket.parts, ticket.charge, took, event.kind, was_full)
+            self._correct_cost(tenant, query, took)
+        self.limit.ended(
+            query.statement, query.shard_requests, query.cost, took, event.kind, was_full
+        )
         self.queue.unpark(tenant)
         if event.kind == QueryOutcome.REJECTED:
-            self._reject(now, tenant, ticket, RejectionReason.ROUTING_REJECTED, event.hold_off)
+            self._reject(now, tenant, query, RejectionReason.ROUTING_REJECTED, event.retry_after_ms)
 
     def _on_tick(self, now: float, event: PeriodicTick) -> None:
         self.limit.lag(event.late)
@@ -186,21 +196,21 @@
         tenant = self.tenants.override_limits(event.tenant, event.limits)
         if tenant is not None:
             self.queue.unpark(tenant)
-        self._shares.update(now, self.tenants.values(), self.drain)
+        self._shares.update(now, self.tenants.values(), self.drain_rate)
 
     # --- queries ------------------------------------------------------------------------
 
     def _tenant(self, key: str, limits: Limits) -> Tenant:
         return self.tenants.find_or_add(
-            key, limits, lambda limits: self._shares.initial_rate(limits, self.drain)
+            key, limits, lambda limits: self._shares.initial_rate(limits, self.drain_rate)
         )
 
-    def _ticket(self, now: float, event: QueryArrived, tenant: Tenant, charge: float) -> Ticket:
+    def _ticket(self, now: float, event: QueryArrived, tenant: Tenant, cost: float) -> QueuedQuery:
         needs = self.costs.needs(event.query_class, event.statement) + self.limit.wait
-        leave_by = now + self._useful_time(event) - needs
-        return Ticket(
-            event.id, tenant.key, event.client, event.query_class, event.statement, event.parts,
-            charge, event.size, leave_by, event.mark, event.session,
+        latest_start = now + self._useful_time(event) - needs
+        return QueuedQuery(
+            event.id, tenant.key, event.client, event.query_class, event.statement, event.shard_requests,
+            cost, event.size, latest_start, event.mark, event.session,
         )  # fmt: skip
 
     def _useful_time(self, event: QueryArrived) -> float:
@@ -211,20 +221,20 @@
     def _has_room(self, tenant: Tenant) -> bool:
         return self.in_flight.has_room_for(tenant, self.queue, self.limit)
 
-    def _is_light(self, charge: float) -> bool:
-        return self.in_flight.is_light(charge, self.queue, self.limit)
+    def _is_light(self, cost: float) -> bool:
+        return self.in_flight.is_light(cost, self.queue, self.limit)
 
-    def _expected(self, now: float, tenant: Tenant, ticket: Ticket) -> float:
-        return expected_service_time(now, tenant, ticket, self.queue, self.drain)
+    def _expected(self, now: float, tenant: Tenant, query: QueuedQuery) -> float:
+        return expected_service_time(now, tenant, query, self.queue, self.drain_rate)
 
-    def _make_room(self, now: float, tenant: Tenant, ticket: Ticket) -> bool:
+    def _make_room(self, now: float, tenant: Tenant, query: QueuedQuery) -> bool:
         """Displace queries until the queue has room; False if this query is rejected instead."""
-        while self.queue.is_full_for(ticket):
-            displaced = self.queue.tenant_to_displace(tenant, ticket, self.tenants)
+        while self.queue.is_full_for(query):
+            displaced = self.queue.tenant_to_displace(tenant, query, self.tenants)
             if displaced is None:
-                self._reject(now, tenant, ticket, RejectionReason.QUEUE_FULL)
+                self._reject(now, tenant, query, RejectionReason.QUEUE_FULL)
                 return False
-            victim = displaced.line.longest()
+            victim = displaced.queue.newest_of_largest_client()
             self.queue.remove(displaced, victim)
             self._reject(now, displaced, victim, RejectionReason.DISPLACED)
         return True
@@ -235,47 +245,51 @@
             if found is None:
                 return
             tenant = self.tenants[found[0]]
-            if tenant.is_below_max_share(tenant.line.peek_parts(), self.limit.parts):
+            if tenant.is_below_max_share(
+                tenant.queue.next_shard_requests(), self.limit.shard_requests
+            ):
                 self._admit(now, tenant, self.queue.take_next(tenant))
             else:
                 self.queue.park(tenant)
 
-    def _admit(self, now: float, tenant: Tenant, ticket: Ticket) -> None:
-        self.in_flight.add(now, tenant, ticket)
+    def _admit(self, now: float, tenant: Tenant, query: QueuedQuery) -> None:
+        self.in_flight.add(now, tenant, query)
         self._counts["admitted"] += 1
-        self._actions.append(Admit(ticket.id))
+        self._actions.append(Admit(query.id))
 
-    def _correct_cost(self, tenant: Tenant, ticket: Ticket, took: float) -> None:
+    def _correct_cost(self, tenant: Tenant, query: QueuedQuery, took: float) -> None:
         """Replace the estimated cost by the real one, in the tenant's next start tag too."""
         work = self.limit.work_time(took)
-        real = self.costs.learn(ticket.query_class, ticket.statement, ticket.parts, work)
-        tenant.charged += real - ticket.charge
-        tenant.line.debt += (real - ticket.charge) / tenant.line.weight
-        ticket.charge = real
+        real = self.costs.learn(query.query_class, query.statement, query.shard_requests, work)
+        tenant.served_cost += real - query.cost
+        tenant.queue.cost_correction += (real - query.cost) / tenant.queue.weight
+        query.cost = real
 
     def _reject(
         self,
         now: float,
         tenant: Tenant,
-        ticket: Ticket,
+        query: QueuedQuery,
         reason: RejectionReason,
         min_wait: float = 0,
     ) -> None:
         """Reject a query with a Retry-After of at least `min_wait` ms, and reserve that time."""
-        due = return_time(now, tenant, ticket, self.queue, self.drain, self.settings.horizon)
-        due = reserve(now, tenant, ticket, self.book, max(due, now + min_wait), self.drain)
-        corrected = ticket.returning
+        due = return_time(now, tenant, query, self.queue, self.drain_rate, self.settings.horizon)
+        due = reserve(
+            now, tenant, query, self.reservations, max(due, now + min_wait), self.drain_rate
+        )
+        corrected = query.is_returning
         tenant.refused += 1
         tenant.corrected += corrected
         tenant.wait = due - now
         self._counts[reason] += 1
         self._counts["corrected"] += corrected
-        self._actions.append(Reject(ticket.id, due - now, reason, corrected))
+        self._actions.append(Reject(query.id, due - now, reason, corrected))
 
     def _expire(self, now: float) -> None:
-        while (ticket := self.queue.pop_expired(now)) is not None:
-            tenant = self.tenants[ticket.tenant]
-            self.queue.remove(tenant, ticket)
-            self._reject(now, tenant, ticket, RejectionReason.DEADLINE_PASSED)
+        while (query := self.queue.pop_expired(now)) is not None:
+            tenant = self.tenants[query.tenant]
+            self.queue.remove(tenant, query)
+            self._reject(now, tenant, query, RejectionReason.DEADLINE_PASSED)
         self.queue.compact()
-        self.book.expire(now, self.tenants.account)
+        self.reservations.expire(now, self.tenants.reservations)
--- a/tansycrank/admission/reader_scheduler.py
+++ b/tansycrank/admission/reader_scheduler.py
@@ -1,4 +1,4 @@
-"""Whose messages the router looks at next: its own time is shared by tenants, as its nodes are.
+"""Which client messages the router reads next: its own CPU time is shared fairly by tenants.
 
 Reading, understanding and refusing a statement costs the router's one thread about a millisecond.
 Sessions of a flood would fill each turn of the reactor, and everyone's answers would wait for it.
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from tansycrank.admission.fair_queue import Lane, Level
+from tansycrank.admission.fair_queue import FairScheduler, FifoQueue
 
 SLICE = 0.004  # seconds of a turn for messages of clients, one message more at most
 
@@ -34,7 +34,7 @@
         self, soon: Callable[[Callable[[], None]], object], clock: Callable[[], float]
     ) -> None:
         self._soon, self._clock = soon, clock
-        self._level = Level()
+        self._level = FairScheduler()
         self._used = 0.0
         self._called = False
 
@@ -43,13 +43,13 @@
         if not self._level and self._used < SLICE:
             self._used += self._spend(reader)
         else:
-            lane = self._level.children.get(tenant)
-            if lane is None:
-                lane = Lane()
-            if reader.id not in lane.line:
-                lane.add(reader)
+            tenant_queue = self._level.children.get(tenant)
+            if tenant_queue is None:
+                tenant_queue = FifoQueue()
+            if reader.id not in tenant_queue.items:
+                tenant_queue.add(reader)
                 self._level.size += 1
-            self._level.enter(tenant, lane)
+            self._level.schedule(tenant, tenant_queue)
         if not self._called:
             self._called = True
             self._soon(self._turn)
@@ -62,10 +62,10 @@
 
     def forget(self, reader: Reader, tenant: str) -> None:
         """A session has ended."""
-        lane = self._level.children.get(tenant)
-        if lane is not None and lane.line.pop(reader.id, None) is not None:
+        tenant_queue = self._level.children.get(tenant)
+        if tenant_queue is not None and tenant_queue.items.pop(reader.id, None) is not None:
             self._level.size -= 1
-            self._level.tidy()
+            self._level.compact()
 
     def _turn(self) -> None:
         self._called, self._used = False, 0.0
--- a/tansycrank/admission/reservations.py
+++ b/tansycrank/admission/reservations.py
@@ -1,11 +1,9 @@
-"""Times to come back: computed from a tenant's place and pace, spread out, and kept as
-reservations.
-
-A tenant's promises lie behind one another at the tenant's own pace, thinned by the share of its
-clients that come back at all. All tenants' promises are noted in one book of short spans, each
-filled no further than the router drains, so that those turned away in one second don't come back in
-one. The book and the names are bounded; past the bound the time told is the same, only without a
-place kept.
+"""Reservations: the times at which rejected queries are told to return, spread out over time.
+
+Reservations of a tenant follow one another at the tenant's rate, scaled by the share of its clients
+that return. All reservations are booked into short spans of time, each filled no further than the
+drain rate allows, so that queries rejected at the same time don't return at the same time. Their
+number is bounded: past it the Retry-After is the same, but nothing is reserved.
 """
 
 from __future__ import annotations
@@ -13,132 +11,138 @@
 import heapq
 from collections import OrderedDict
 
-SPAN = 50.0  # ms of a page of the book
-EARLY = 0.1  # of the wait that a client may come early
-EARLY_LEAST = 10.0  # ms
-KEPT = 0.5  # of the wait that a place is kept past its time
-KEPT_LEAST = 1000.0  # ms
-SHOW_LEAST = 0.02  # no tenant's clients are thought to stay away more surely than this
-LEARN = 0.05  # weight of the newest reservation in the share that comes back
+SPAN_MS = 50.0  # of one span
+EARLY_SHARE = 0.1  # of the Retry-After by which a client may return early
+MIN_EARLY_MS = 10.0  # ms
+KEPT_SHARE = 0.5  # of the Retry-After for which a reservation outlives its due time
+MIN_KEPT_MS = 1000.0  # ms
+MIN_RETURN_SHARE = 0.02
+RETURN_SHARE_SMOOTHING = 0.05
 
 
-class Place:
+class Reservation:
     """A kept place: of which query and session, when it is due, how long the wait was, what it will
     cost.
     """
 
-    __slots__ = ("charge", "due", "kept", "mark", "session", "until", "wait")
+    __slots__ = ("cost", "due_at", "expires_at", "kept", "mark", "session", "wait")
 
-    def __init__(self, mark: int, session: int, due: float, wait: float, charge: float) -> None:
+    def __init__(self, mark: int, session: int, due_at: float, wait: float, cost: float) -> None:
         self.mark, self.session = mark, session
-        self.due, self.wait, self.charge, self.kept = due, wait, charge, True
-        self.until = due + max(KEPT * wait, KEPT_LEAST)
+        self.due_at, self.wait, self.cost, self.kept = due_at, wait, cost, True
+        self.expires_at = due_at + max(KEPT_SHARE * wait, MIN_KEPT_MS)
 
 
-class Account:
-    """The promises of one tenant."""
+class TenantReservations:
+    """Reservations of one tenant."""
 
-    __slots__ = ("count", "owed", "places", "show", "touched", "unnamed")
+    __slots__ = (
+        "count", "places", "reserved_cost", "return_share", "unreserved_cost", "updated_at",
+    )  # fmt: skip
 
     def __init__(self) -> None:
-        self.owed = 0.0  # charge of places kept
-        self.unnamed = 0.0  # charge promised without a place; it runs off at the tenant's pace
-        self.show = 1.0  # share of reservations that are taken up
+        self.reserved_cost = 0.0  # of reservations
+        self.unreserved_cost = (
+            0.0  # charge promised without a place; it runs off at the tenant's pace
+        )
+        self.return_share = 1.0  # share of reservations that are taken up
         self.places: dict[
-            int, OrderedDict[int, Place]
+            int, OrderedDict[int, Reservation]
         ] = {}  # by query, then by session, the first due first
         self.count = 0
-        self.touched = 0.0
+        self.updated_at = 0.0
 
-    def ahead(self, now: float, rate: float) -> float:
-        """Charge that is likely to come back before a new promise."""
-        self.unnamed = max(self.unnamed - (now - self.touched) * rate, 0.0)
-        self.touched = now
-        return (self.owed + self.unnamed) * max(self.show, SHOW_LEAST)
+    def cost_ahead(self, now: float, rate: float) -> float:
+        """The cost that is expected to return before a new reservation."""
+        self.unreserved_cost = max(self.unreserved_cost - (now - self.updated_at) * rate, 0.0)
+        self.updated_at = now
+        return (self.reserved_cost + self.unreserved_cost) * max(
+            self.return_share, MIN_RETURN_SHARE
+        )
 
 
-class Book:
-    """All promises: pages of time, and the bound on places kept."""
+class ReservationBook:
+    """Reservations of all tenants, booked into spans of time."""
 
     def __init__(self, places: int, horizon: float) -> None:
-        self.bound, self.pages = places, max(int(horizon / SPAN), 1)
+        self.max_reservations, self.span_count = places, max(int(horizon / SPAN_MS), 1)
         self.kept = 0
-        self._filled = [0.0] * self.pages
-        self._page = 0  # the number of the first page
-        self._next: dict[int, int] = {}  # of closed pages, where to look on
-        self._expiry: list[tuple[float, int, str, Place]] = []
+        self._booked_cost = [0.0] * self.span_count
+        self._first_span = 0
+        self._next_open: dict[int, int] = {}  # from full spans to the next candidate
+        self._expiry: list[tuple[float, int, str, Reservation]] = []
         self._number = 0
 
     def _turn(self, now: float) -> None:
-        page = int(now / SPAN)
-        for number in range(self._page, min(page, self._page + self.pages)):
-            self._filled[number % self.pages] = 0.0
-            self._next.pop(number, None)
-        self._page = max(self._page, page)
-
-    def slot(self, now: float, due: float, charge: float, rate: float) -> float:
-        """The first moment from `due` on at which the book has room; notes it there."""
+        span = int(now / SPAN_MS)
+        for number in range(self._first_span, min(span, self._first_span + self.span_count)):
+            self._booked_cost[number % self.span_count] = 0.0
+            self._next_open.pop(number, None)
+        self._first_span = max(self._first_span, span)
+
+    def slot(self, now: float, due_at: float, cost: float, rate: float) -> float:
+        """Book the first time from `due_at` on with free capacity; returns that time."""
         self._turn(now)
-        room = max(rate * SPAN, charge)
-        number = max(int(due / SPAN), self._page)
-        end = self._page + self.pages
+        room = max(rate * SPAN_MS, cost)
+        number = max(int(due_at / SPAN_MS), self._first_span)
+        end = self._first_span + self.span_count
         while number < end:
             number = self._open(number)
-            if number >= end or self._filled[number % self.pages] + charge <= room:
+            if number >= end or self._booked_cost[number % self.span_count] + cost <= room:
                 break
-            self._next[number] = (
+            self._next_open[number] = (
                 number + 1
             )  # closed: looking through full pages again and again costs time
             number += 1
         if number >= end:
-            return max(due, end * SPAN)
-        filled = self._filled[number % self.pages]
-        self._filled[number % self.pages] = filled + charge
-        return max(due, number * SPAN + filled / room * SPAN)
+            return max(due_at, end * SPAN_MS)
+        filled = self._booked_cost[number % self.span_count]
+        self._booked_cost[number % self.span_count] = filled + cost
+        return max(due_at, number * SPAN_MS + filled / room * SPAN_MS)
 
     def _open(self, number: int) -> int:
-        """The first page from this one on that is not closed."""
+        """The first span from this one on that is not full."""
         path = []
-        while (following := self._next.get(number)) is not None:
+        while (following := self._next_open.get(number)) is not None:
             path.append(number)
             number = following
         for one in path:
-            self._next[one] = number
+            self._next_open[one] = number
         return number
 
     def keep(
         self,
-        account: Account,
+        owner: TenantReservations,
         tenant: str,
         mark: int,
         session: int,
         now: float,
-        due: float,
-        charge: float,
+        due_at: float,
+        cost: float,
     ) -> bool:
-        """Keep a place; False where the bound is reached or the time is too far."""
-        if self.kept >= self.bound or due > now + self.pages * SPAN:
-            account.unnamed += charge
+        """Add a reservation; False where the bound or the horizon is passed."""
+        if self.kept >= self.max_reservations or due_at > now + self.span_count * SPAN_MS:
+            owner.unreserved_cost += cost
             return False
-        place = Place(mark, session, due, due - now, charge)
-        account.places.setdefault(mark, OrderedDict())[session] = place
-        account.owed += charge
-        account.count += 1
+        reservation = Reservation(mark, session, due_at, due_at - now, cost)
+        owner.places.setdefault(mark, OrderedDict())[session] = reservation
+        owner.reserved_cost += cost
+        owner.count += 1
         self.kept += 1
         self._number += 1
-        heapq.heappush(self._expiry, (place.until, self._number, tenant, place))
+        heapq.heappush(self._expiry, (reservation.expires_at, self._number, tenant, reservation))
         return True
 
     def find(
-        self, account: Account, mark: int, session: int, now: float
-    ) -> tuple[Place | None, bool]:
-        """(the place of a query, whether it is due).
+        self, owner: TenantReservations, mark: int, session: int, now: float
+    ) -> tuple[Reservation | None, bool]:
+        """(The reservation of a query, whether it is due).
 
-        A place that is due is for whoever asks the same of the same client, on whatever session:
-        pools change them. Before that it is for the session that was told; the same text of another
-        is another query.
+        A due reservation serves any session of the client, since connection pools change sessions.
+        Before that it belongs to the session that was told: the same text of another session is
+        another query.
         """
-        same = account.places.get(mark)
+        same = owner.places.get(mark)
         if not same:
             return None, False
         first = next(iter(same.values()))
@@ -146,43 +150,47 @@
             return first, True
         return same.get(session), False
 
-    def take_up(self, account: Account, place: Place) -> None:
-        """Its client has come as told."""
-        self.drop(account, place)
-        account.show += LEARN * (1.0 - account.show)
+    def take_up(self, owner: TenantReservations, reservation: Reservation) -> None:
+        """The client returned as told."""
+        self.drop(owner, reservation)
+        owner.return_share += RETURN_SHARE_SMOOTHING * (1.0 - owner.return_share)
 
     @staticmethod
-    def opens(place: Place) -> float:
-        """When a place may be taken up: a little before its time, for clocks differ."""
-        return place.due - max(EARLY * place.wait, EARLY_LEAST)
+    def opens(reservation: Reservation) -> float:
+        """When a reservation is valid: a little before its time, since clocks differ."""
+        return reservation.due_at - max(EARLY_SHARE * reservation.wait, MIN_EARLY_MS)
 
-    def drop(self, account: Account, place: Place) -> None:
-        """A place is no longer needed."""
-        if not place.kept:
+    def drop(self, owner: TenantReservations, reservation: Reservation) -> None:
+        """Remove a reservation."""
+        if not reservation.kept:
             return
-        place.kept = False
-        same = account.places[place.mark]
-        del same[place.session]
+        reservation.kept = False
+        same = owner.places[reservation.mark]
+        del same[reservation.session]
         if not same:
-            del account.places[place.mark]
-        account.count -= 1
-        account.owed = max(account.owed - place.charge, 0.0) if account.count else 0.0
+            del owner.places[reservation.mark]
+        owner.count -= 1
+        owner.reserved_cost = (
+            max(owner.reserved_cost - reservation.cost, 0.0) if owner.count else 0.0
+        )
         self.kept -= 1
 
-    def drop_all(self, account: Account) -> None:
-        """The tenant is forgotten."""
-        for same in list(account.places.values()):
-            for place in list(same.values()):
-                self.drop(account, place)
+    def drop_all(self, owner: TenantReservations) -> None:
+        """Remove all reservations of a tenant that is evicted."""
+        for same in list(owner.places.values()):
+            for reservation in list(same.values()):
+                self.drop(owner, reservation)
 
-    def expire(self, now: float, accounts) -> None:
+    def expire(self, now: float, find_owner) -> None:
         """Let go of places nobody came for; `accounts(tenant)` finds an account or None."""
         while self._expiry and self._expiry[0][0] <= now:
-            _, _, tenant, place = heapq.heappop(self._expiry)
-            account = accounts(tenant)
-            if place.kept and account is not None:
-                self.drop(account, place)
-                account.show -= LEARN * account.show
-        if len(self._expiry) > 2 * self.kept + 1024:  # danger: taken places would stay in the heap
+            _, _, tenant, reservation = heapq.heappop(self._expiry)
+            owner = find_owner(tenant)
+            if reservation.kept and owner is not None:
+                self.drop(owner, reservation)
+                owner.return_share -= RETURN_SHARE_SMOOTHING * owner.return_share
+        if (
+            len(self._expiry) > 2 * self.kept + 1024
+        ):  # the heap keeps removed entries until they expire
             self._expiry = [entry for entry in self._expiry if entry[3].kept]
             heapq.heapify(self._expiry)
--- a/tansycrank/admission/retry_after.py
+++ b/tansycrank/admission/retry_after.py
@@ -5,8 +5,8 @@
 import math
 
 from tansycrank.admission.admission_queue import AdmissionQueue
-from tansycrank.admission.fair_queue import Ticket
-from tansycrank.admission.reservations import Book
+from tansycrank.admission.fair_queue import QueuedQuery
+from tansycrank.admission.reservations import ReservationBook
 from tansycrank.admission.tenants import Tenant
 
 MIN_RATE = 1e-9
@@ -15,7 +15,7 @@
 
 
 def expected_service_time(
-    now: float, tenant: Tenant, ticket: Ticket, queue: AdmissionQueue, drain: float
+    now: float, tenant: Tenant, query: QueuedQuery, queue: AdmissionQueue, drain_rate: float
 ) -> float:
     """When the query would be served if it were queued now.
 
@@ -25,45 +25,57 @@
     rate = max(tenant.rate, MIN_RATE)
     if rate == math.inf:
         return now
-    if ticket.returning:
-        return now + (tenant.line.returning_charge + ticket.charge) / rate
-    newcomer_rate = max(rate - tenant.returns.rate(now), MIN_NEWCOMER_SHARE * rate)
-    due = now + (tenant.line.ahead(ticket.client) + ticket.charge) / newcomer_rate
-    if not tenant.line and not tenant.account.count:  # fair queueing serves it within one round
-        mean = queue.charge / max(queue.scheduler.size, 1)
-        due = min(due, now + (len(queue.scheduler.children) * mean + ticket.charge) / drain)
+    if query.is_returning:
+        return now + (tenant.queue.returning_cost + query.cost) / rate
+    newcomer_rate = max(rate - tenant.return_demand.rate(now), MIN_NEWCOMER_SHARE * rate)
+    due = now + (tenant.queue.cost_ahead(query.client) + query.cost) / newcomer_rate
+    if (
+        not tenant.queue and not tenant.reservations.count
+    ):  # fair queueing serves it within one round
+        mean = queue.cost / max(queue.scheduler.size, 1)
+        due = min(due, now + (len(queue.scheduler.children) * mean + query.cost) / drain_rate)
     return due
 
 
 def return_time(
-    now: float, tenant: Tenant, ticket: Ticket, queue: AdmissionQueue, drain: float, horizon: float
+    now: float,
+    tenant: Tenant,
+    query: QueuedQuery,
+    queue: AdmissionQueue,
+    drain_rate: float,
+    horizon: float,
 ) -> float:
     """When a rejected query should return: after the queue and all earlier reservations of its
     tenant.
     """
-    expected = expected_service_time(now, tenant, ticket, queue, drain)
-    if ticket.returning or tenant.rate == math.inf:
+    expected = expected_service_time(now, tenant, query, queue, drain_rate)
+    if query.is_returning or tenant.rate == math.inf:
         return expected
     rate = max(tenant.rate, MIN_RATE)
-    ahead = tenant.line.charge + tenant.account.ahead(now, rate)
-    return max(now + (ahead + ticket.charge) / rate, min(expected, now + horizon))
+    cost_ahead = tenant.queue.cost + tenant.reservations.cost_ahead(now, rate)
+    return max(now + (cost_ahead + query.cost) / rate, min(expected, now + horizon))
 
 
 def reserve(
-    now: float, tenant: Tenant, ticket: Ticket, book: Book, due: float, drain: float
+    now: float,
+    tenant: Tenant,
+    query: QueuedQuery,
+    reservations: ReservationBook,
+    due: float,
+    drain_rate: float,
 ) -> float:
     """Reserve the first free time from `due` on for a rejected query; returns that time."""
-    due = book.slot(now, due, ticket.charge, min(drain, MAX_RATE))
-    mark = ticket.mark or -ticket.id
-    reserved = tenant.account.places.get(mark, {}).get(ticket.session)
-    if reserved is not None and reserved.due > now:  # the session sent the same query twice
-        return reserved.due
+    due = reservations.slot(now, due, query.cost, min(drain_rate, MAX_RATE))
+    mark = query.mark or -query.id
+    reserved = tenant.reservations.places.get(mark, {}).get(query.session)
+    if reserved is not None and reserved.due_at > now:  # the session sent the same query twice
+        return reserved.due_at
     if reserved is not None:  # a due time in the past would give a negative Retry-After
-        book.drop(tenant.account, reserved)
-    book.keep(tenant.account, tenant.key, mark, ticket.session, now, due, ticket.charge)
+        reservations.drop(tenant.reservations, reserved)
+    reservations.keep(tenant.reservations, tenant.key, mark, query.session, now, due, query.cost)
     return due
 
 
-def remaining_wait(tenant: Tenant, charge: float) -> float:
+def remaining_wait(tenant: Tenant, cost: float) -> float:
     """How long, in ms, a query of this cost that returns now as told is still queued."""
-    return (tenant.line.returning_charge + charge) / max(tenant.rate, MIN_RATE)
+    return (tenant.queue.returning_cost + cost) / max(tenant.rate, MIN_RATE)
--- a/tansycrank/admission/tenants.py
+++ b/tansycrank/admission/tenants.py
@@ -9,8 +9,8 @@
 
 import xxhash
 
-from tansycrank.admission.fair_queue import Clients
-from tansycrank.admission.reservations import Account, Book
+from tansycrank.admission.fair_queue import TenantQueue
+from tansycrank.admission.reservations import ReservationBook, TenantReservations
 from tansycrank.admission.settings import Limits
 
 DEMAND_MEMORY_MS = 2000.0
@@ -54,9 +54,9 @@
     def __init__(self, memory: float) -> None:
         self.memory, self._sum, self._updated_at = memory, 0.0, 0.0
 
-    def add(self, now: float, charge: float) -> None:
+    def add(self, now: float, cost: float) -> None:
         """Add a cost."""
-        self._sum, self._updated_at = self.rate(now) * self.memory + charge, now
+        self._sum, self._updated_at = self.rate(now) * self.memory + cost, now
 
     def rate(self, now: float) -> float:
         """Cost per ms."""
@@ -67,54 +67,58 @@
     """State and counters of one tenant. `rate` is the cost per ms that it can rely on."""
 
     __slots__ = (
-        "account", "admitted", "answered", "arrived", "asked", "charged", "corrected", "early",
-        "inside", "key", "left", "limits", "line", "parked", "rate", "refused", "returns", "seen",
-        "wait",
+        "admitted", "answered", "arrived", "corrected", "demand", "early", "inside", "is_parked", "key",
+        "last_seen", "left", "limits", "queue", "rate", "refused", "reservations", "return_demand",
+        "served_cost", "wait",
     )  # fmt: skip
 
     def __init__(self, key: str, limits: Limits, class_weights: tuple[float, ...]) -> None:
         self.key, self.limits = key, limits
-        self.line = Clients(limits.weight, class_weights)
-        self.account = Account()
+        self.queue = TenantQueue(limits.weight, class_weights)
+        self.reservations = TenantReservations()
         self.inside = 0  # shard requests in flight
         self.rate = 0.0
-        self.parked = False  # not scheduled, since it holds its maximum share
-        self.seen = 0.0
-        self.asked = DecayingRate(DEMAND_MEMORY_MS)
-        self.returns = DecayingRate(DEMAND_MEMORY_MS / 2)
+        self.is_parked = False  # not scheduled, since it holds its maximum share
+        self.last_seen = 0.0
+        self.demand = DecayingRate(DEMAND_MEMORY_MS)
+        self.return_demand = DecayingRate(DEMAND_MEMORY_MS / 2)
         self.arrived = self.admitted = self.answered = self.refused = 0
         self.corrected = self.early = self.left = 0
         self.wait = 0.0  # the latest Retry-After, ms
-        self.charged = 0.0  # cost served
+        self.served_cost = 0.0  # cost served
 
-    def record_demand(self, now: float, charge: float) -> None:
+    def record_demand(self, now: float, cost: float) -> None:
         """Count a new query, not a retry, in the tenant's demand."""
-        self.asked.add(now, charge)
-        self.seen = now
+        self.demand.add(now, cost)
+        self.last_seen = now
 
     @property
     def is_busy(self) -> bool:
         """Whether it has queries queued or in flight."""
-        return bool(self.line) or self.inside > 0
+        return bool(self.queue) or self.inside > 0
 
     @property
     def queued_cost_by_weight(self) -> float:
         """Cost of its queued queries, divided by its weight."""
-        return self.line.charge / self.limits.weight
+        return self.queue.cost / self.limits.weight
 
-    def is_below_max_share(self, parts: int, limit_parts: float) -> bool:
+    def is_below_max_share(self, shard_requests: int, limit_shard_requests: float) -> bool:
         """Whether so many more shard requests stay within its maximum share of the concurrency
         limit.
         """
-        most = self.limits.max_share * limit_parts
-        return self.limits.max_share >= 1 or self.inside == 0 or self.inside + parts <= most
+        most = self.limits.max_share * limit_shard_requests
+        return (
+            self.limits.max_share >= 1 or self.inside == 0 or self.inside + shard_requests <= most
+        )
 
 
 class TenantTable:
     """Tenants by key, the least recently seen first."""
 
-    def __init__(self, capacity: int, class_weights: tuple[float, ...], book: Book) -> None:
-        self.capacity, self._class_weights, self._book = capacity, class_weights, book
+    def __init__(
+        self, capacity: int, class_weights: tuple[float, ...], reservations: ReservationBook
+    ) -> None:
+        self.capacity, self._class_weights, self._book = capacity, class_weights, reservations
         self._tenants: OrderedDict[str, Tenant] = OrderedDict()
         self._sketch = FinishTagSketch()
         self._overflow_queues = 0
@@ -162,7 +166,7 @@
 
     def _add(self, key: str, limits: Limits, initial_rate: Callable[[Limits], float]) -> Tenant:
         tenant = self._tenants[key] = Tenant(key, limits, self._class_weights)
-        tenant.line.finish = self._sketch.finish_tag(key)
+        tenant.queue.finish_tag = self._sketch.finish_tag(key)
         tenant.rate = initial_rate(limits)
         return tenant
 
@@ -178,13 +182,13 @@
             self._tenants.move_to_end(key)
             is_overflow = key[0] == OVERFLOW_PREFIX
             is_kept = tenant.is_busy or tenant.limits.min_share > 0 or is_overflow
-            if not is_kept and (victim is None or tenant.charged < victim.charged):
+            if not is_kept and (victim is None or tenant.served_cost < victim.served_cost):
                 victim = tenant
         if victim is None:
             return False
-        self._book.drop_all(victim.account)
+        self._book.drop_all(victim.reservations)
         del self._tenants[victim.key]
-        self._sketch.record(victim.key, max(victim.line.finish, victim.line.start))
+        self._sketch.record(victim.key, max(victim.queue.finish_tag, victim.queue.start_tag))
         self.evicted += 1
         return True
 
@@ -197,10 +201,10 @@
         tenant = self._tenants.get(key)
         if tenant is not None:
             tenant.limits = limits
-            tenant.line.weight = limits.weight
+            tenant.queue.weight = limits.weight
         return tenant
 
-    def account(self, key: str) -> Account | None:
+    def reservations(self, key: str) -> TenantReservations | None:
         """The reservations of a tenant, if it is known."""
         tenant = self._tenants.get(key)
-        return tenant.account if tenant is not None else None
+        return tenant.reservations if tenant is not None else None
--- a/tansycrank/admission/views.py
+++ b/tansycrank/admission/views.py
@@ -30,16 +30,16 @@
     if gate.policy is None:
         return []
     found = sorted(
-        gate.policy.tenants.values(), key=lambda t: (-t.line.size, -t.inside, -t.refused, t.key)
+        gate.policy.tenants.values(), key=lambda t: (-t.queue.size, -t.inside, -t.refused, t.key)
     )
     rows = []
     for t in found[:SHOWN]:
         limits = t.limits
         rate = "" if t.rate in (0.0, float("inf")) else f"{t.rate * 1000:.1f}"
         values = (
-            t.key, t.line.size, t.inside, rate, f"{limits.weight:g}", f"{limits.min_share:g}",
+            t.key, t.queue.size, t.inside, rate, f"{limits.weight:g}", f"{limits.min_share:g}",
             f"{limits.max_share:g}", f"{limits.burst:g}", t.arrived, t.admitted, t.answered,
-            t.refused, t.corrected, t.early, t.left, t.account.count, f"{t.account.show:.2f}", f"{t.wait:.0f}",
+            t.refused, t.corrected, t.early, t.left, t.reservations.count, f"{t.reservations.return_share:.2f}", f"{t.wait:.0f}",
         )  # fmt: skip
         rows.append(tuple(str(value) for value in values))
     return rows
@@ -50,18 +50,18 @@
     policy = gate.policy
     if policy is None:
         return [("enabled", "off")]
-    drain = policy.drain
+    drain_rate = policy.drain_rate
     figures = {
         "enabled": "on",
-        "limit_parts": f"{policy.limit.parts:.1f}",
-        "inside_parts": policy.in_flight.parts,
+        "limit_parts": f"{policy.limit.shard_requests:.1f}",
+        "inside_parts": policy.in_flight.shard_requests,
         "inside_queries": len(policy.in_flight.queries),
         "queued": len(policy.queue.queries),
         "queued_bytes": policy.queue.bytes,
-        "drain_parts_a_second": "" if drain == float("inf") else f"{drain * 1000:.1f}",
+        "drain_parts_a_second": "" if drain_rate == float("inf") else f"{drain_rate * 1000:.1f}",
         "mean_part_ms": f"{policy.costs.mean:.2f}",
         "tenants": len(policy.tenants),
-        "places_kept": policy.book.kept,
+        "places_kept": policy.reservations.kept,
         **{f"count_{name}": count for name, count in policy.counts.items()},
     }
     return [(name, str(value)) for name, value in figures.items()]
--- a/tansycrank/testbed/admission_emulator.py
+++ b/tansycrank/testbed/admission_emulator.py
@@ -32,7 +32,7 @@
     name: str
     rate: float
     manner: str = "patient"  # patient, pushy, never
-    parts: int = 1
+    shard_requests: int = 1
     clients: int = 3
     limits: Limits = Limits()
     begins: float = 0.0
@@ -49,7 +49,7 @@
     in_aim: int = 0
     given_up: int = 0
     refusals: int = 0
-    charge: float = 0.0
+    cost: float = 0.0
     latency: list[float] = field(default_factory=list)
 
 
@@ -135,7 +135,9 @@
 
     def _note(self) -> None:
         policy = self.routers[0].policy
-        self.limits.append((self.clock.seconds(), policy.limit.parts, policy.drain * 1000))
+        self.limits.append(
+            (self.clock.seconds(), policy.limit.shard_requests, policy.drain_rate * 1000)
+        )
         self.clock.callLater(0.1, self._note)
 
     def _fault(self, what: str, share: float) -> None:
@@ -161,14 +163,14 @@
         scene, sent = self.scene, self.clock.seconds()
         tally = self.tallies[load.name]
         start = self.rng.randrange(scene.shards)
-        shards = [(start + i) % scene.shards for i in range(load.parts)]
+        shards = [(start + i) % scene.shards for i in range(load.shard_requests)]
 
         def done(outcome) -> None:
             now = self.clock.seconds()
             if outcome == "answered":
                 tally.answered += 1
                 tally.in_aim += (now - sent) * 1000 <= AIM
-                tally.charge += load.parts
+                tally.cost += load.shard_requests
                 tally.latency.append((now - sent) * 1000)
             elif isinstance(outcome, PgError) and outcome.state == REFUSED:
                 wait = retry_after(outcome.detail)
@@ -181,7 +183,7 @@
         entered: list = []
         entry = router.ask(asker, 0, shards, scene.work_ms, load.remaining, done, mark=mark)
         entered.append(entry)
-        if entry.ended and not entry.inside:
+        if entry.ended and not entry.is_admitted:
             entered.clear()
 
     def _settle(self, promise: Promise | None, entered: list, tries: int) -> None:
@@ -206,7 +208,7 @@
         self.clock.callLater(delay / 1000, self._ask, *again)
 
     def _shadow(self, load: Load, router: SimRouter, promise: Promise) -> None:
-        left = router.policy.would_wait(self.clock.seconds() * 1000, load.name, load.parts)
+        left = router.policy.would_wait(self.clock.seconds() * 1000, load.name, load.shard_requests)
         promise.took, promise.first = promise.wait + left, left < load.remaining
 
     # --- figures ------------------------------------------------------------------------
@@ -239,12 +241,12 @@
 
     def goodput(self) -> float:
         """Parts a second answered."""
-        return sum(t.charge for t in self.tallies.values()) / self.scene.seconds
+        return sum(t.cost for t in self.tallies.values()) / self.scene.seconds
 
     def jain(self, names: list[str]) -> float:
         """Jain's index over service by weight, of tenants that asked for more than they got."""
         weights = {load.name: load.limits.weight for load in self.scene.loads}
-        return jain([self.tallies[n].charge / weights[n] for n in names])
+        return jain([self.tallies[n].cost / weights[n] for n in names])
 
 
 def jain(got: list[float]) -> float:
--- a/tansycrank/testbed/measure_admission.py
+++ b/tansycrank/testbed/measure_admission.py
@@ -180,7 +180,7 @@
         "peak_over_base_mib": round((memory(os.getpid(), "VmHWM") - base) / MIB, 1),
         "refused": sum(policy.counts[k] for k in ("line", "late", "full", "pushed")),
         "tenants known": len(policy.tenants),
-        "places": policy.book.kept,
+        "places": policy.reservations.kept,
         "cpu_us_a_query": round(used / size * 1e6, 1),
         "points": points,
     }
--- a/tansycrank/testbed/simulated.py
+++ b/tansycrank/testbed/simulated.py
@@ -82,7 +82,7 @@
     def __init__(self, clock: SimClock, number: int, slots: int, rng: random.Random) -> None:
         self.clock, self.number, self.slots, self.rng = clock, number, slots, rng
         self.alive, self.free = True, slots
-        self.line: deque[SimSending] = deque()
+        self.queue: deque[SimSending] = deque()
         self.running: dict[
             SimSending, None
         ] = {}  # in the order they began: a set's would differ by run
@@ -93,12 +93,12 @@
         if not self.alive:
             self.clock.callLater(0.001, sending.finish, Ended(routing.Outcome.CONNECT_FAILED))
             return
-        self.line.append(sending)
+        self.queue.append(sending)
         self._start()
 
     def _start(self) -> None:
-        while self.free and self.line:
-            sending = self.line.popleft()
+        while self.free and self.queue:
+            sending = self.queue.popleft()
             if sending.ended:
                 continue
             self.free -= 1
@@ -117,9 +117,9 @@
     def die(self) -> None:
         """Everything at it breaks off, and nobody can connect."""
         self.alive = False
-        lost = [*self.running, *self.line]
+        lost = [*self.running, *self.queue]
         self.running.clear()
-        self.line.clear()
+        self.queue.clear()
         self.free = self.slots
         for sending in lost:
             self.clock.callLater(0.001, sending.finish, Ended(routing.Outcome.CONNECTION_LOST))
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -56,10 +56,10 @@
         site.clock.advance(0.5)
         site.end(next(iter(site.running)))
     before = len(site.running)
-    site.gate.policy.in_flight.parts -= 2  # room that nobody was told of
+    site.gate.policy.in_flight.shard_requests -= 2  # room that nobody was told of
     problem = site.gate.glance(Asker("b", "b/x", Limits()), 0, 1.0, 7, False)
     problem = problem or site.gate.glance(ASKER, 0, 1.0, 9, False)
-    site.gate.policy.in_flight.parts += 2
+    site.gate.policy.in_flight.shard_requests += 2
     assert problem is None or problem.state == REFUSED
     assert len(site.gate.entries) == len(site.gate.policy.queue.queries) + len(
         site.gate.policy.in_flight.queries
--- a/tests/admission/test_machine.py
+++ b/tests/admission/test_machine.py
@@ -47,19 +47,19 @@
         tenant=st.sampled_from("abcdefgh"),
         client=st.sampled_from("xy"),
         query_class=st.integers(0, 1),
-        parts=st.integers(1, 9),
+        shard_requests=st.integers(1, 9),
         left=st.floats(1, 3000),
         size=st.integers(0, 1500),
         mark=st.integers(0, 30),
         repeat=st.booleans(),
         share=st.sampled_from([0.0, 0.0, 0.2]),
     )
-    def arrives(self, tenant, client, query_class, parts, left, size, mark, repeat, share):
+    def arrives(self, tenant, client, query_class, shard_requests, left, size, mark, repeat, share):
         self.ids += 1
         self.open[self.ids] = tenant
         self.play(
             QueryArrived(
-                self.ids, tenant, client, query_class, parts, left, mark % 5, mark, size, repeat,
+                self.ids, tenant, client, query_class, shard_requests, left, mark % 5, mark, size, repeat,
                 Limits(min_share=share),
             )
         )  # fmt: skip
@@ -108,30 +108,36 @@
         assert (
             policy.queue.bytes == sum(t.size for t in policy.queue.queries.values()) <= BOUNDS.bytes
         )
-        assert policy.in_flight.parts == sum(t.parts for t in policy.in_flight.queries.values())
-        assert 0 <= policy.book.kept <= BOUNDS.places
-        assert policy.book.kept == sum(t.account.count for t in policy.tenants.values())
+        assert policy.in_flight.shard_requests == sum(
+            t.shard_requests for t in policy.in_flight.queries.values()
+        )
+        assert 0 <= policy.reservations.kept <= BOUNDS.places
+        assert policy.reservations.kept == sum(
+            t.reservations.count for t in policy.tenants.values()
+        )
         for tenant in policy.tenants.values():
-            assert tenant.account.count == sum(map(len, tenant.account.places.values()))
+            assert tenant.reservations.count == sum(map(len, tenant.reservations.places.values()))
 
     @invariant()
     def lines_add_up(self):
         for tenant in self.policy.tenants.values():
             mine = [t for t in self.policy.queue.queries.values() if t.tenant == tenant.key]
-            assert tenant.line.size == len(mine)
+            assert tenant.queue.size == len(mine)
             assert tenant.inside == sum(
-                t.parts for t in self.policy.in_flight.queries.values() if t.tenant == tenant.key
+                t.shard_requests
+                for t in self.policy.in_flight.queries.values()
+                if t.tenant == tenant.key
             )
 
     @invariant()
     def nobody_waits_beside_room(self):
         policy = self.policy
-        able = [t for t in policy.tenants.values() if t.line and not t.parked]
-        assert not able or policy.in_flight.parts >= policy.limit.parts
+        able = [t for t in policy.tenants.values() if t.queue and not t.is_parked]
+        assert not able or policy.in_flight.shard_requests >= policy.limit.shard_requests
 
     @invariant()
     def nobody_waits_past_his_time(self):
-        assert all(t.leave_by > self.now for t in self.policy.queue.queries.values())
+        assert all(t.latest_start > self.now for t in self.policy.queue.queries.values())
 
     def teardown(self):
         """Whatever came before: once all inside has ended and time has passed, everyone has an
--- a/tests/admission/test_policy.py
+++ b/tests/admission/test_policy.py
@@ -23,9 +23,9 @@
         self.policy = Policy(Settings(**bounds))
         self.slots, self.work = slots, work
         self.now, self.ids = 0.0, 0
-        self.kinds, self.running, self.line = {}, {}, []
+        self.kinds, self.running, self.queue = {}, {}, []
         self.admitted, self.refused, self.ended = [], {}, set()
-        self.parts, self.tenant_of = {}, {}
+        self.shard_requests, self.tenant_of = {}, {}
 
     def play(self, *events):
         for action in self.policy.step(self.now, events):
@@ -33,7 +33,7 @@
                 case Admit(number):
                     self.admitted.append(number)
                     self.kinds[number] = self.now
-                    self.line.append(number)
+                    self.queue.append(number)
                 case Reject(number):
                     assert number not in self.refused
                     self.refused[number] = action
@@ -41,14 +41,16 @@
         return self
 
     def _start(self):
-        while self.line and len(self.running) < self.slots:
-            self.running[self.line.pop(0)] = self.now + self.work
+        while self.queue and len(self.running) < self.slots:
+            self.running[self.queue.pop(0)] = self.now + self.work
 
-    def ask(self, tenant="a", client="c", parts=1, remaining=1000.0, mark=0, **more):
+    def ask(self, tenant="a", client="c", shard_requests=1, remaining=1000.0, mark=0, **more):
         self.ids += 1
         number = self.ids
-        self.parts[number], self.tenant_of[number] = parts, tenant
-        self.play(QueryArrived(number, tenant, client, 0, parts, remaining, mark=mark, **more))
+        self.shard_requests[number], self.tenant_of[number] = shard_requests, tenant
+        self.play(
+            QueryArrived(number, tenant, client, 0, shard_requests, remaining, mark=mark, **more)
+        )
         return number
 
     def run(self, until, step=5.0):
@@ -82,8 +84,8 @@
 
 def test_the_limit_grows_while_queries_run_as_fast_as_ever_and_stops_where_they_wait():
     world = World(slots=20).load(8, {"a": 1500})
-    assert 15 <= world.policy.limit.parts <= 60
-    assert 0.7 < world.policy.drain <= 1.1  # parts a ms: 20 slots of 20 ms
+    assert 15 <= world.policy.limit.shard_requests <= 60
+    assert 0.7 < world.policy.drain_rate <= 1.1  # parts a ms: 20 slots of 20 ms
 
 
 def test_a_hundredfold_flood_leaves_the_others_what_they_ask_for():
@@ -150,8 +152,8 @@
     world_start = world._start
 
     def start():
-        while world.line and len(world.running) < world.slots:
-            number = world.line.pop(0)
+        while world.queue and len(world.running) < world.slots:
+            number = world.queue.pop(0)
             world.running[number] = world.now + (100.0 if slow.get(number) else 10.0)
 
     world._start = start
@@ -194,13 +196,13 @@
     mark, wait = turned_away(world, 10_000)
     due = world.now + wait
     tenant = world.policy.tenants["a"]
-    arrived, owed = tenant.arrived, tenant.account.owed
+    arrived, reserved_cost = tenant.arrived, tenant.reservations.reserved_cost
     for _ in range(20):
         world.play(PeriodicTick())
         again = world.ask("a", mark=mark)
         assert world.refused[again].reason == "early"
         assert world.now + world.refused[again].wait == pytest.approx(due)
-    assert (tenant.arrived, tenant.account.owed) == (arrived, owed)
+    assert (tenant.arrived, tenant.reservations.reserved_cost) == (arrived, reserved_cost)
 
 
 def test_the_same_text_of_another_session_is_another_query():
@@ -236,7 +238,9 @@
     pages = [0] * 200
     for wait in told:
         pages[min(int(wait / 50), 199)] += 1
-    assert max(pages) <= 2 + world.policy.drain * 50  # no span is promised more than drains in it
+    assert (
+        max(pages) <= 2 + world.policy.drain_rate * 50
+    )  # no span is promised more than drains in it
 
 
 def test_a_hundred_thousand_tenants_once_each_stay_within_the_bounds():
@@ -247,7 +251,9 @@
             world.run(world.now + 5)
     policy = world.policy
     assert len(policy.tenants) <= 512 + 64 and policy.queue.scheduler.size <= 200
-    assert policy.book.kept <= 1000 and len(policy.book._expiry) <= 2 * 1000 + 1024 + 1
+    assert (
+        policy.reservations.kept <= 1000 and len(policy.reservations._expiry) <= 2 * 1000 + 1024 + 1
+    )
     assert len(policy.queue._deadlines) <= 2 * 200 + 1024 + 1
     assert len(policy.queue.scheduler.children) <= 3 * 200 + 64
 
@@ -268,11 +274,11 @@
 def test_a_tenant_forgotten_and_back_does_not_gain():
     policy = Policy(Settings(tenants=64))
     tenant = policy._tenant("x", Limits())
-    tenant.line.finish = 500.0
+    tenant.queue.finish_tag = 500.0
     for i in range(200):
         policy._tenant(f"y{i}", Limits())
     assert "x" not in policy.tenants
-    assert policy._tenant("x", Limits()).line.finish >= 500.0
+    assert policy._tenant("x", Limits()).queue.finish_tag >= 500.0
 
 
 def test_the_full_line_pushes_out_who_holds_most_of_it():
@@ -321,7 +327,7 @@
 
 def test_half_the_nodes_gone_the_limit_follows_and_promises_are_corrected_by_name():
     world = World(slots=20).load(6, {"a": 1500})
-    before, drain = world.policy.limit.parts, world.policy.drain
+    before, drain_rate = world.policy.limit.shard_requests, world.policy.drain_rate
     marks = []
     for i in range(300):
         number = world.ask("a", mark=10_000 + i)
@@ -340,27 +346,27 @@
             else:
                 served += 1
         world.load(0.01, {"a": 1000})
-    assert world.policy.limit.parts < before and world.policy.drain < 0.6 * drain
+    assert world.policy.limit.shard_requests < before and world.policy.drain_rate < 0.6 * drain_rate
     assert corrected + served > 100
 
 
 def test_the_modules_refusal_gets_a_place_no_sooner_than_the_module_asked():
     world = World()
     number = world.ask("a", mark=5)
-    world.line.clear()
+    world.queue.clear()
     world.running.clear()
-    world.play(QueryEnded(number, "refused", 3.0, hold_off=700.0))
+    world.play(QueryEnded(number, "refused", 3.0, retry_after_ms=700.0))
     assert world.refused[number].reason == "module" and world.refused[number].wait >= 700.0
-    assert world.policy.tenants["a"].account.count == 1
+    assert world.policy.tenants["a"].reservations.count == 1
 
 
 def test_a_stall_of_the_router_is_no_sign_of_slow_nodes():
     world = World(slots=20).load(5, {"a": 1500})
-    before = world.policy.limit.parts
+    before = world.policy.limit.shard_requests
     world.now += 2000
     world.play(PeriodicTick(late=2000.0))
     world.load(0.5, {"a": 1500})
-    assert world.policy.limit.parts > before / 2
+    assert world.policy.limit.shard_requests > before / 2
 
 
 def test_refusals_for_one_dead_shard_do_not_close_the_door():
@@ -368,9 +374,9 @@
     for _ in range(400):
         number = world.ask("b", remaining=1000.0)
         if number in world.admitted:
-            world.line = [n for n in world.line if n != number]
+            world.queue = [n for n in world.queue if n != number]
             world.running.pop(number, None)
-            world.play(QueryEnded(number, "refused", 1.0, hold_off=100.0))
+            world.play(QueryEnded(number, "refused", 1.0, retry_after_ms=100.0))
         world.load(0.01, {"a": 500})
     asked = sum(t == "a" for t in world.tenant_of.values())
     assert world.got("a") > 0.9 * asked
@@ -384,8 +390,14 @@
     while not policy.queue.queries:  # until nothing more is let in
         number += 1
         policy.step(0.0, [QueryArrived(number, "b", "c", 0, 9, 900.0, mark=100 + number)])
-    account = policy.tenants["b"].account
-    policy.book.keep(account, "b", 100 + number, 0, 0.0, 400.0, 9.0)  # its first was told 400 ms
+    reservations = policy.tenants["b"].reservations
+    policy.reservations.keep(
+        reservations, "b", 100 + number, 0, 0.0, 400.0, 9.0
+    )  # its first was told 400 ms
     refused = [one for one in policy.step(900.0, [PeriodicTick()]) if isinstance(one, Reject)]
     assert [one.id for one in refused] == [number] and refused[0].wait >= 0.0
-    assert policy.book.kept == account.count == sum(map(len, account.places.values()))
+    assert (
+        policy.reservations.kept
+        == reservations.count
+        == sum(map(len, reservations.places.values()))
+    )
--- a/tests/admission/test_simulated.py
+++ b/tests/admission/test_simulated.py
@@ -33,7 +33,7 @@
     faults = ((2.0, "die", 0.5), (5.5, "back", 0.5))
     play = Play(Scene([Load(n, 45) for n in NAMES], seconds=12, faults=faults, **SITE)).run()
     limits = {round(second, 1): limit for second, limit, _ in play.limits}
-    drains = {round(second, 1): drain for second, _, drain in play.limits}
+    drains = {round(second, 1): drain_rate for second, _, drain_rate in play.limits}
     assert drains[5.4] < 0.8 * drains[1.9] and limits[5.4] < limits[1.9]
     # the module tries the nodes that came back after half an aim; the door follows it up
     assert drains[9.3] > 1.2 * drains[5.4] and limits[9.3] > limits[6.5]
