--- a/tansycrank/sql_router/connection_pool.py
+++ b/tansycrank/sql_router/connection_pool.py
@@ -14,7 +14,8 @@
 from tansycrank.routing import Outcome
 from tansycrank.single_connection import OneConnection
 from tansycrank.sql_router.node_connection import (
-    Ended,
+    AttemptResult,
+    ConnectionState,
     NodeConnection,
     ShardStatement,
     refused_outcome,
@@ -28,7 +29,7 @@
     endpoint: int
     request: ShardStatement
     stream: ShardRowStream
-    done: Callable[[Ended], None]
+    done: Callable[[AttemptResult], None]
     attempt: Attempt | None  # which says whether it may begin; None for one that was never made
     link: NodeConnection | None = None
     out: bool = False  # its bytes left this process
@@ -45,7 +46,7 @@
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
 
-    def finish(self, ended: Ended) -> None:
+    def finish(self, ended: AttemptResult) -> None:
         """Report, once."""
         if self.ended:
             return
@@ -127,14 +128,14 @@
         request: ShardStatement,
         stream: ShardRowStream,
         time_out: float,
-        done: Callable[[Ended], None],
+        done: Callable[[AttemptResult], None],
         attempt: Attempt,
     ) -> OutgoingCall:
         """Send a part; `done` hears its one outcome, never before this returns."""
         sending = OutgoingCall(endpoint, request, stream, done, attempt)
         node = self.nodes.get(endpoint)
         if node is None:
-            self.reactor.callLater(0, sending.finish, Ended(Outcome.CONNECT_FAILED))
+            self.reactor.callLater(0, sending.finish, AttemptResult(Outcome.CONNECT_FAILED))
             return sending
         if time_out > 0:
             sending.timer = self.reactor.callLater(time_out / 1000, self._timed_out, sending)
@@ -143,7 +144,7 @@
             if not self._run(link, sending):
                 node.idle.append(link)
         elif len(node.all) >= self.store.max_links:
-            self.reactor.callLater(0, sending.finish, Ended(Outcome.REJECTED))
+            self.reactor.callLater(0, sending.finish, AttemptResult(Outcome.REJECTED))
         else:
             node.waiting.append(sending)
             self._open(node)
@@ -165,13 +166,13 @@
         node = self.nodes.get(sending.endpoint)
         if node is not None and sending in node.waiting:
             node.waiting.remove(sending)  # its connection, once there, waits for the next send
-        sending.finish(Ended(if_not))
+        sending.finish(AttemptResult(if_not))
 
     def _run(self, link: NodeConnection, sending: OutgoingCall) -> bool:
         """Write a send to its link; False if it may not begin any more, and ends."""
         now = self.reactor.seconds()
         if sending.attempt.start(now * 1000) is not None:
-            self.reactor.callLater(0, sending.finish, Ended(Outcome.NOT_SENT))
+            self.reactor.callLater(0, sending.finish, AttemptResult(Outcome.NOT_SENT))
             return False
         sending.link, sending.out = link, True
         link.used = now
@@ -201,12 +202,12 @@
             self.closed += 1
             if link in node.idle:
                 node.idle.remove(link)
-            starting = sum(one.state == "starting" for one in node.all)
+            starting = sum(one.state is ConnectionState.STARTING for one in node.all)
             while len(node.waiting) > starting:  # the send whose connection this was
-                node.waiting.pop(0).finish(Ended(refused_outcome(refusal), error=refusal))
+                node.waiting.pop(0).finish(AttemptResult(refused_outcome(refusal), error=refusal))
 
         link.on_ready, link.on_lost = ready, lost
-        factory = OneConnection(link, link.never_up)
+        factory = OneConnection(link, link.on_connect_failed)
         self.reactor.connectTCP(
             node.host, node.port, factory, timeout=self.store.connect_timeout_ms / 1000
         )
--- a/tansycrank/sql_router/coordinator.py
+++ b/tansycrank/sql_router/coordinator.py
@@ -17,7 +17,7 @@
 from tansycrank.postgres.errors import BROKE_OFF, FAILED, INTERNAL, REFUSED, PgError, cancelled
 from tansycrank.routing import FailureReason
 from tansycrank.sql_router.connection_pool import ConnectionPool, OutgoingCall
-from tansycrank.sql_router.node_connection import Ended, ShardStatement
+from tansycrank.sql_router.node_connection import AttemptResult, ShardStatement
 
 
 @dataclass(slots=True, eq=False)
@@ -205,7 +205,7 @@
         shard_request.lives.append(life)
         stream = ShardRowStream(job.memory, shard_request.request.shard)
 
-        def ended(result: Ended) -> None:
+        def ended(result: AttemptResult) -> None:
             self._ended(job, shard_request, number, action.endpoint, result)
 
         sending = self.pools.send(
@@ -242,7 +242,12 @@
                     )
 
     def _ended(
-        self, job: Job, shard_request: ShardRequest, number: int, endpoint: int, result: Ended
+        self,
+        job: Job,
+        shard_request: ShardRequest,
+        number: int,
+        endpoint: int,
+        result: AttemptResult,
     ) -> None:
         latency = self.now - shard_request.sent_at[number]
         shard_request.lives[number].end(result.outcome, self.now)
@@ -270,7 +275,7 @@
         if job.ended and all(s.ended for s in shard_request.attempts):
             self._parts.pop(shard_request.id, None)
 
-    def _stream_ended(self, job: Job, stream: ShardRowStream, result: Ended) -> None:
+    def _stream_ended(self, job: Job, stream: ShardRowStream, result: AttemptResult) -> None:
         """The end of an attempt whose rows may have left: whole, or an honest error, never a retry."""
         if result.outcome is routing.Outcome.SUCCEEDED:
             stream.finish(result.error)
--- a/tansycrank/sql_router/node_connection.py
+++ b/tansycrank/sql_router/node_connection.py
@@ -1,6 +1,6 @@
-"""One connection to a data node, as a client of the PostgreSQL wire.
+"""One connection to a data node, as a client of the PostgreSQL protocol.
 
-A link runs one part at a time and reports exactly one `Ended` for it. What an outcome proves
+A connection runs one shard request at a time and reports exactly one `AttemptResult` for it. What an outcome proves
 follows the table on the operators' page: only what never left this process, or was refused before
 it, never ran.
 """
@@ -9,6 +9,7 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
+from enum import Enum
 
 from twisted.internet import error
 from twisted.internet.protocol import Protocol
@@ -28,10 +29,32 @@
 READ_AT_ONCE = 16 * 1024  # bytes
 REQUEST_KEY = "tansycrank.request_key"
 
+# Message types of PostgreSQL's backend
+DATA_ROW = ord("D")
+READY_FOR_QUERY = ord("Z")
+COMMAND_COMPLETE = ord("C")
+ROW_DESCRIPTION = ord("T")
+ERROR_RESPONSE = ord("E")
+PARAMETER_DESCRIPTION = ord("t")
+AUTHENTICATION = ord("R")
+BACKEND_KEY_DATA = ord("K")
+COPY_RESPONSES = tuple(b"GHW")  # CopyIn, CopyOut, CopyBoth
+
+
+class ConnectionState(Enum):
+    """States of a connection to a data node."""
+
+    STARTING = "starting"  # connecting or logging in
+    IDLE = "idle"
+    BUSY = "busy"  # running a shard request
+    SETTLING = "settling"  # cancelled; the node has not finished yet
+    SETTLED = "settled"  # ready again, but the CancelRequest may still arrive
+    CLOSED = "closed"
+
 
 @dataclass(frozen=True, slots=True)
 class ShardStatement:
-    """What a node shall do: run a statement with its parameters, or (`describe`) tell its types."""
+    """A statement for a data node: run it with its parameters, or (`describe`) describe its types."""
 
     shard: int
     sql: str
@@ -43,7 +66,7 @@
     describe: bool = False
 
     def wire(self) -> bytes:
-        """The messages, up to their Sync."""
+        """The protocol messages, up to their Sync."""
         if self.describe:
             return pg.parse(self.sql, self.oids) + pg.describe("S") + pg.SYNC_FRAME
         head = b""
@@ -69,7 +92,7 @@
 
 
 @dataclass(slots=True)
-class Ended:
+class AttemptResult:
     """How a part ended at a node: an outcome, and with `ANSWERED` perhaps the statement's own
     error.
 
@@ -99,27 +122,26 @@
             later  # puts the link in the line of large work; None: everything is read at once
         )
         self.frames = pg.RowFrames(max_row)
-        self.state = "starting"  # starting, idle, busy, settling (after a cancel), closed
+        self.state = ConnectionState.STARTING
         self.key: tuple[int, int] | None = None
         self.refusal: PgError | None = None
         self.on_ready: Callable[[NodeConnection], None] = lambda link: None
         self.on_lost: Callable[[NodeConnection, PgError | None], None] = lambda link, refusal: None
         self.used = 0.0
-        self._done: Callable[[Ended], None] | None = None
-        self._ended = Ended(Outcome.SUCCEEDED)
+        self._done: Callable[[AttemptResult], None] | None = None
+        self._ended = AttemptResult(Outcome.SUCCEEDED)
         self._stream: ShardRowStream | None = None
-        self._stopped = self._deaf = False  # told to stop reading; not reading
+        self._hold_requested = self._is_paused = False  # told to stop reading; not reading
         self._pending = b""  # of a large part: come, but not yet looked at
-        self._cancel_open = (
-            False  # danger: a cancel that arrives late would hit the next part of this link
-        )
+        self._cancel_open = False  # a late CancelRequest would cancel the next statement
         self._grace = None
 
     # --- Twisted ----------------------------------------------------------------------
 
     def connectionMade(self) -> None:
+        """Log in, unless the connection was given up meanwhile."""
         self.setRawMode()
-        if self.state == "closed":  # given up while it was connecting
+        if self.state is ConnectionState.CLOSED:  # given up while it was connecting
             self.transport.abortConnection()
             return
         self.transport.setTcpNoDelay(True)
@@ -129,8 +151,9 @@
         self.transport.write(pg.startup(self.parameters))
 
     def rawDataReceived(self, data: bytes) -> None:
+        """Read at once, or buffer data of a large result for the worker."""
         large = (
-            self.state == "busy"
+            self.state is ConnectionState.BUSY
             and self._stream is not None
             and self._stream.memory.mode != "small"
         )
@@ -144,9 +167,9 @@
             self._read(data)
 
     def step(self) -> bool:
-        """Look at what has come of a large part; the line of large work says when."""
+        """Read buffered data of a large result; called by the worker of large results."""
         data, self._pending = self._pending, b""
-        if self.state != "closed":
+        if self.state is not ConnectionState.CLOSED:
             self._read(data)
         self._set_reading()
         return False
@@ -154,29 +177,31 @@
     def _read(self, data: bytes) -> None:
         try:
             for kind, message, count in self.frames.feed(data):
-                if kind == 0x44:
+                if kind == DATA_ROW:
                     self._rows(message, count)
                 else:
                     self._message(kind, message)
-                if self.state == "closed":
+                if self.state is ConnectionState.CLOSED:
                     return
         except PgError as problem:
             self._lost(problem if isinstance(problem, ProtocolError) else None)
             self.transport.abortConnection()
 
     def connectionLost(self, reason=None) -> None:
-        if self._pending:  # danger: the end of a part may be in it, and is no loss then
+        """Report the loss to the running request and to the pool."""
+        if self._pending:  # it may hold the end of the result, which is then no loss
             self.step()
         self._lost(None)
 
     # --- for the pool -----------------------------------------------------------------
 
     def run(
-        self, request: ShardStatement, stream: ShardRowStream, done: Callable[[Ended], None]
+        self, request: ShardStatement, stream: ShardRowStream, done: Callable[[AttemptResult], None]
     ) -> None:
-        """Send a part; its rows go to the stream. From here on it may have run."""
-        assert self.state == "idle"
-        self.state, self._done, self._ended = "busy", done, Ended(Outcome.SUCCEEDED)
+        """Send a shard request; its rows go to the stream. From here on it may have run."""
+        assert self.state is ConnectionState.IDLE
+        self.state = ConnectionState.BUSY
+        self._done, self._ended = done, AttemptResult(Outcome.SUCCEEDED)
         self._stream, stream.hold = stream, self._hold
         self.transport.write(request.wire())
 
@@ -184,10 +209,10 @@
         """Stop waiting (cancelled, or timed out): report at once, ask the node to stop, settle or
         close.
         """
-        if self.state != "busy":
+        if self.state is not ConnectionState.BUSY:
             return
-        self.state = "settling"
-        self._finish(Ended(outcome))
+        self.state = ConnectionState.SETTLING
+        self._finish(AttemptResult(outcome))
         self._hold(False)  # what is on its way is read and dropped
         self._grace = self.reactor.callLater(self.cancel_grace, self.abort)
         if self.key is not None:
@@ -199,14 +224,14 @@
 
     def abort(self) -> None:
         """Close at once."""
-        if self.state != "closed":
+        if self.state is not ConnectionState.CLOSED:
             self._lost(None)
             if self.transport is not None:
                 self.transport.abortConnection()
 
     def leave(self) -> None:
-        """Close an idle link politely."""
-        if self.state == "idle":
+        """Close an idle connection with Terminate, any other at once."""
+        if self.state is ConnectionState.IDLE:
             self.transport.write(pg.TERMINATE_FRAME)
             self._lost(None)
             self.transport.loseConnection()
@@ -217,111 +242,115 @@
 
     def _cancel_closed(self) -> None:
         self._cancel_open = False
-        if self.state == "settled":
-            self._back()
+        if self.state is ConnectionState.SETTLED:
+            self._become_idle()
 
-    def _back(self) -> None:
+    def _become_idle(self) -> None:
         if self._grace is not None and self._grace.active():
             self._grace.cancel()
-        self.state = "idle"
+        self.state = ConnectionState.IDLE
         self.on_ready(self)
 
     def _hold(self, stop: bool) -> None:
-        """Read no more from the node, so that TCP holds it back; or go on."""
-        if self.state in ("busy", "settling"):
-            self._stopped = stop
+        """Pause reading, so that TCP applies back pressure to the node; or resume."""
+        if self.state in (ConnectionState.BUSY, ConnectionState.SETTLING):
+            self._hold_requested = stop
             self._set_reading()
 
     def _set_reading(self) -> None:
-        deaf = (self._stopped or bool(self._pending)) and self.state != "closed"
-        if deaf != self._deaf and self.state != "closed":
-            self._deaf = deaf
-            if deaf:
+        is_paused = (
+            self._hold_requested or bool(self._pending)
+        ) and self.state is not ConnectionState.CLOSED
+        if is_paused != self._is_paused and self.state is not ConnectionState.CLOSED:
+            self._is_paused = is_paused
+            if is_paused:
                 self.transport.pauseProducing()
             else:
                 self.transport.resumeProducing()
 
     def _rows(self, block: bytes, count: int) -> None:
-        if self.state != "busy":
+        if self.state is not ConnectionState.BUSY:
             return
         try:
             self._stream.add(block, count)
         except PgError as problem:  # they can't be held: the query ends, the node is healthy
-            self.state = "settling"
-            self._finish(Ended(Outcome.SUCCEEDED, problem))
+            self.state = ConnectionState.SETTLING
+            self._finish(AttemptResult(Outcome.SUCCEEDED, problem))
             self.abort()
 
-    def _finish(self, ended: Ended) -> None:
-        self._stopped = False  # danger: held back by its last block, it would stay deaf
+    def _finish(self, ended: AttemptResult) -> None:
+        self._hold_requested = (
+            False  # paused by its last block, the connection would never read again
+        )
         self._set_reading()
         done, self._done, self._stream = self._done, None, None
         if done is not None:
             done(ended)
 
-    def never_up(self, reason) -> None:
-        """Its connection could not be made."""
-        if not reason.check(error.UserError) or self.state == "starting":
+    def on_connect_failed(self, reason) -> None:
+        """The connection could not be made."""
+        if not reason.check(error.UserError) or self.state is ConnectionState.STARTING:
             self._lost(None)
 
     def _lost(self, problem: PgError | None) -> None:
-        if self.state == "closed":
+        if self.state is ConnectionState.CLOSED:
             return
-        was, self.state = self.state, "closed"
+        previous, self.state = self.state, ConnectionState.CLOSED
         if self._grace is not None and self._grace.active():
             self._grace.cancel()
-        if was == "busy":
-            self._finish(Ended(Outcome.CONNECTION_LOST, error=problem))
+        if previous is ConnectionState.BUSY:
+            self._finish(AttemptResult(Outcome.CONNECTION_LOST, error=problem))
         self.on_lost(self, self.refusal)
 
     def _message(self, kind: int, message: bytes) -> None:
-        if kind == 0x5A:  # ReadyForQuery
+        if kind == READY_FOR_QUERY:
             self._ready()
-        elif kind == 0x43:  # CommandComplete
+        elif kind == COMMAND_COMPLETE:
             if self._stream is not None:
                 self._stream.tag = message[5:-1].decode("utf-8", "replace")
-        elif kind == 0x54:
+        elif kind == ROW_DESCRIPTION:
             if self._stream is not None:
                 self._stream.fields = pg.read_row_description(message)
-        elif kind == 0x45:
+        elif kind == ERROR_RESPONSE:
             self._error(pg.read_error(message))
-        elif kind == 0x74:
+        elif kind == PARAMETER_DESCRIPTION:
             self._ended.oids = pg.read_parameter_description(message)
-        elif kind == 0x52:
+        elif kind == AUTHENTICATION:
             if pg.Reader(message, 5).int32() != 0:
                 self.refusal = PgError(FEATURE_NOT_SUPPORTED, "the node asks for a password")
                 self.abort()
-        elif kind == 0x4B:
+        elif kind == BACKEND_KEY_DATA:
             reader = pg.Reader(message, 5)
             self.key = reader.int32(), reader.int32()
-        elif kind in (0x47, 0x48, 0x57):  # copy modes are never asked for
+        elif kind in COPY_RESPONSES:  # copy modes are never asked for
             raise ProtocolError("the node went into a copy mode")
 
     def _error(self, problem: PgError) -> None:
-        if self.state == "starting":
+        if self.state is ConnectionState.STARTING:
             self.refusal = problem
         elif self._ended.error is None:
             self._ended.error = problem
 
     def _ready(self) -> None:
-        if self.state == "starting":
-            self.state = "idle"
+        if self.state is ConnectionState.STARTING:
+            self.state = ConnectionState.IDLE
             self.on_ready(self)
-        elif self.state == "settling":
-            self.state = "settled"
+        elif self.state is ConnectionState.SETTLING:
+            self.state = ConnectionState.SETTLED
             if not self._cancel_open:
-                self._back()
-        elif self.state == "busy":
-            ended, self.state = self._ended, "idle"
+                self._become_idle()
+        elif self.state is ConnectionState.BUSY:
+            ended, self.state = self._ended, ConnectionState.IDLE
             problem = ended.error
             if problem is not None and not problem.querys_own_fault:
                 ended.outcome = Outcome.ERROR
             self._finish(ended)
-            if self.state == "idle":
+            if self.state is ConnectionState.IDLE:
                 self.on_ready(self)
 
 
 def refused_outcome(refusal: PgError | None) -> Outcome:
-    """What a link that never became ready tells: turned away, or not connected at all."""
+    """The outcome of a connection that never became ready: rejected, or not connected."""
     return (
         Outcome.REJECTED
         if refusal is not None and refusal.state in REFUSED_BEFORE_RUN
@@ -340,4 +369,4 @@
         self.done()
 
 
-__all__ = ["Ended", "NodeConnection", "ShardStatement", "refused_outcome"]
+__all__ = ["AttemptResult", "NodeConnection", "ShardStatement", "refused_outcome"]
--- a/tansycrank/testbed/simulated.py
+++ b/tansycrank/testbed/simulated.py
@@ -22,7 +22,7 @@
 from tansycrank.merge.blocks import Keeper
 from tansycrank.merge.spill import SpillSpace
 from tansycrank.sql_router.coordinator import Coordinator
-from tansycrank.sql_router.node_connection import Ended, ShardStatement
+from tansycrank.sql_router.node_connection import AttemptResult, ShardStatement
 
 
 class Call:
@@ -91,7 +91,9 @@
     def take(self, sending: SimSending) -> None:
         """A part has come."""
         if not self.alive:
-            self.clock.callLater(0.001, sending.finish, Ended(routing.Outcome.CONNECT_FAILED))
+            self.clock.callLater(
+                0.001, sending.finish, AttemptResult(routing.Outcome.CONNECT_FAILED)
+            )
             return
         self.queue.append(sending)
         self._start()
@@ -111,7 +113,7 @@
             del self.running[sending]
             self.free += 1
             self.done_work += work
-            sending.finish(Ended(routing.Outcome.SUCCEEDED))
+            sending.finish(AttemptResult(routing.Outcome.SUCCEEDED))
             self._start()
 
     def die(self) -> None:
@@ -122,7 +124,9 @@
         self.queue.clear()
         self.free = self.slots
         for sending in lost:
-            self.clock.callLater(0.001, sending.finish, Ended(routing.Outcome.CONNECTION_LOST))
+            self.clock.callLater(
+                0.001, sending.finish, AttemptResult(routing.Outcome.CONNECTION_LOST)
+            )
 
     def come_back(self) -> None:
         """It serves again."""
@@ -135,7 +139,7 @@
 
     endpoint: int
     stream: Any
-    done: Callable[[Ended], None]
+    done: Callable[[AttemptResult], None]
     work_ms: float
     ended: bool = False
     timer: Call | None = None
@@ -145,7 +149,7 @@
         if self.timer is not None:
             self.timer.cancel()
 
-    def finish(self, ended: Ended) -> None:
+    def finish(self, ended: AttemptResult) -> None:
         """Report, once."""
         if not self.ended:
             self.ended = True
@@ -165,25 +169,25 @@
         request: ShardStatement,
         stream,
         time_out: float,
-        done: Callable[[Ended], None],
+        done: Callable[[AttemptResult], None],
         attempt: Attempt,
     ) -> SimSending:
         """As `ConnectionPool.send`."""
         if attempt.start(self.clock.seconds() * 1000) is not None:
             sending = SimSending(endpoint, stream, done, 0.0)
-            self.clock.callLater(0, sending.finish, Ended(routing.Outcome.NOT_SENT))
+            self.clock.callLater(0, sending.finish, AttemptResult(routing.Outcome.NOT_SENT))
             return sending
         sending = SimSending(endpoint, stream, done, float(request.sql))
         if time_out > 0:
             sending.timer = self.clock.callLater(
-                time_out / 1000, sending.finish, Ended(routing.Outcome.TIMED_OUT)
+                time_out / 1000, sending.finish, AttemptResult(routing.Outcome.TIMED_OUT)
             )
         self.clock.callLater(0.0002, self.nodes[endpoint].take, sending)
         return sending
 
     def cancel(self, sending: SimSending) -> None:
         """Stop waiting; the node drops what has not begun."""
-        sending.finish(Ended(routing.Outcome.CANCELLED))
+        sending.finish(AttemptResult(routing.Outcome.CANCELLED))
 
     def close_idle(self, endpoint: int) -> None:
         """There are no links."""
--- a/tests/test_sql_node_connection.py
+++ b/tests/test_sql_node_connection.py
@@ -11,7 +11,7 @@
 from tansycrank.postgres.errors import PgError
 from tansycrank.routing import Outcome
 from tansycrank.sql_router.connection_pool import ConnectionPool
-from tansycrank.sql_router.node_connection import ShardStatement
+from tansycrank.sql_router.node_connection import ConnectionState, ShardStatement
 
 ADDRESS = ("10.0.0.1", 5432)
 HELLO = pg.AUTHENTICATION_OK + pg.backend_key(7, 99) + pg.ready("I")
@@ -163,7 +163,10 @@
     node.pools.cancel(sending)
     assert node.outcomes == [Outcome.NOT_SENT]
     link = node.accept()
-    assert link.state == "idle" and not [d for d in link.transport.value().split(b"SELECT")][1:]
+    assert (
+        link.state is ConnectionState.IDLE
+        and not [d for d in link.transport.value().split(b"SELECT")][1:]
+    )
 
 
 def test_a_cancel_after_it_is_told_at_once_and_the_link_settles_first():
@@ -179,9 +182,9 @@
     before = len(node.reactor.tcpClients)
     node.send()  # danger: the cancel may still hit this link's next part
     assert len(node.reactor.tcpClients) == before + 1
-    assert link.state == "settled"
+    assert link.state is ConnectionState.SETTLED
     canceller.connectionLost()
-    assert link.state == "busy"  # with the part that waited for a connection
+    assert link.state is ConnectionState.BUSY  # with the part that waited for a connection
 
 
 def test_a_node_that_ignores_the_cancel_loses_the_link():
@@ -262,17 +265,17 @@
     second = node.accept()
     second.dataReceived(ANSWER + pg.ready("I"))
     node.pools.close_idle(1)
-    assert second.state == "closed" and first.state == "busy"
+    assert second.state is ConnectionState.CLOSED and first.state is ConnectionState.BUSY
 
 
 def test_links_that_nobody_uses_are_swept():
     node, link = ready(idle_link_ms=1000)
     link.dataReceived(ANSWER + pg.ready("I"))
     node.pools.sweep()
-    assert link.state == "idle"
+    assert link.state is ConnectionState.IDLE
     node.reactor.advance(2)
     node.pools.sweep()
-    assert link.state == "closed"
+    assert link.state is ConnectionState.CLOSED
 
 
 def test_a_node_that_moved_gets_new_links():
@@ -280,7 +283,10 @@
     link.dataReceived(ANSWER + pg.ready("I"))
     node.pools.place(1, "10.0.0.2", 5432)
     node.send()
-    assert link.state == "closed" and node.reactor.tcpClients[-1][:2] == ("10.0.0.2", 5432)
+    assert link.state is ConnectionState.CLOSED and node.reactor.tcpClients[-1][:2] == (
+        "10.0.0.2",
+        5432,
+    )
 
 
 def test_a_request_key_goes_before_its_statement():
