--- a/tansycrank/daemon.py
+++ b/tansycrank/daemon.py
@@ -148,14 +148,14 @@
             self.log.info(
                 "shutdown_started",
                 sessions=len(self.front.sessions),
-                queries=len(self.coordinator.jobs),
+                queries=len(self.coordinator.queries),
             )
         self.port.stopListening()
         self.front.stop_taking()
         self._wait(self.reactor.seconds() + self.config.router.stop_within_ms / 1000)
 
     def _wait(self, until: float) -> None:
-        busy = self.coordinator.jobs or any(s.state == "ready" for s in self.front.sessions)
+        busy = self.coordinator.queries or any(s.state == "ready" for s in self.front.sessions)
         if busy and self.reactor.seconds() < until:
             self.front.stop_taking()
             self.reactor.callLater(0.02, self._wait, until)
@@ -167,8 +167,8 @@
         if self.stopped:
             return
         self.stopped = True
-        self.service.gate.close(PgError(SHUTTING_DOWN, "the router is shutting down"))
-        for job in list(self.coordinator.jobs.values()):
+        self.service.admission.close(PgError(SHUTTING_DOWN, "the router is shutting down"))
+        for job in list(self.coordinator.queries.values()):
             self.coordinator.abandon(job, PgError(SHUTTING_DOWN, "the router is shutting down"))
         for session in list(self.front.sessions):
             session.shut()
--- a/tansycrank/sql_router/connection_pool.py
+++ b/tansycrank/sql_router/connection_pool.py
@@ -1,7 +1,6 @@
-"""Links to all nodes: one bounded pool a node. It decides nothing: which node, when and for how
-long is told.
+"""Connections to all data nodes: a bounded pool for each node.
 
-A send takes an idle link (the one used last) or opens one. Each send ends with exactly one outcome.
+A call takes the idle connection used last, or opens one. Each call ends with exactly one outcome.
 """
 
 from __future__ import annotations
@@ -24,14 +23,14 @@
 
 @dataclass(slots=True, eq=False)
 class OutgoingCall:
-    """One send, from the module's word to its outcome."""
+    """One attempt of a shard request, from the policy's Send to its outcome."""
 
     endpoint: int
     request: ShardStatement
     stream: ShardRowStream
     done: Callable[[AttemptResult], None]
     attempt: Attempt | None  # which says whether it may begin; None for one that was never made
-    link: NodeConnection | None = None
+    connection: NodeConnection | None = None
     out: bool = False  # its bytes left this process
     ended: bool = False
     timer: object = None
@@ -110,15 +109,15 @@
             self._empty(node)
 
     def _empty(self, node: NodePool) -> None:
-        for link in list(node.all):
-            link.leave()
+        for connection in list(node.all):
+            connection.leave()
 
     def sweep(self) -> None:
         """Close links that nobody used for `idle_link_ms`; called now and then."""
         border = self.reactor.seconds() - self.store.idle_link_ms / 1000
         for node in self.nodes.values():
-            for link in [one for one in node.idle if one.used < border]:
-                link.leave()
+            for connection in [one for one in node.idle if one.used < border]:
+                connection.leave()
 
     # --- sends ------------------------------------------------------------------------
 
@@ -132,82 +131,82 @@
         attempt: Attempt,
     ) -> OutgoingCall:
         """Send a part; `done` hears its one outcome, never before this returns."""
-        sending = OutgoingCall(endpoint, request, stream, done, attempt)
+        call = OutgoingCall(endpoint, request, stream, done, attempt)
         node = self.nodes.get(endpoint)
         if node is None:
-            self.reactor.callLater(0, sending.finish, AttemptResult(Outcome.CONNECT_FAILED))
-            return sending
+            self.reactor.callLater(0, call.finish, AttemptResult(Outcome.CONNECT_FAILED))
+            return call
         if time_out > 0:
-            sending.timer = self.reactor.callLater(time_out / 1000, self._timed_out, sending)
+            call.timer = self.reactor.callLater(time_out / 1000, self._timed_out, call)
         if node.idle:
-            link = node.idle.pop()
-            if not self._run(link, sending):
-                node.idle.append(link)
+            connection = node.idle.pop()
+            if not self._run(connection, call):
+                node.idle.append(connection)
         elif len(node.all) >= self.store.max_links:
-            self.reactor.callLater(0, sending.finish, AttemptResult(Outcome.REJECTED))
+            self.reactor.callLater(0, call.finish, AttemptResult(Outcome.REJECTED))
         else:
-            node.waiting.append(sending)
+            node.waiting.append(call)
             self._open(node)
-        return sending
+        return call
 
-    def cancel(self, sending: OutgoingCall) -> None:
+    def cancel(self, call: OutgoingCall) -> None:
         """Stop waiting for a send."""
-        self._stop(sending, Outcome.CANCELLED, Outcome.NOT_SENT)
+        self._stop(call, Outcome.CANCELLED, Outcome.NOT_SENT)
 
-    def _timed_out(self, sending: OutgoingCall) -> None:
-        self._stop(sending, Outcome.TIMED_OUT, Outcome.CONNECT_FAILED)
+    def _timed_out(self, call: OutgoingCall) -> None:
+        self._stop(call, Outcome.TIMED_OUT, Outcome.CONNECT_FAILED)
 
-    def _stop(self, sending: OutgoingCall, if_out: Outcome, if_not: Outcome) -> None:
-        if sending.ended:
+    def _stop(self, call: OutgoingCall, if_out: Outcome, if_not: Outcome) -> None:
+        if call.ended:
             return
-        if sending.out:
-            sending.link.give_up(if_out)
+        if call.out:
+            call.connection.give_up(if_out)
             return
-        node = self.nodes.get(sending.endpoint)
-        if node is not None and sending in node.waiting:
-            node.waiting.remove(sending)  # its connection, once there, waits for the next send
-        sending.finish(AttemptResult(if_not))
+        node = self.nodes.get(call.endpoint)
+        if node is not None and call in node.waiting:
+            node.waiting.remove(call)  # its connection, once there, waits for the next send
+        call.finish(AttemptResult(if_not))
 
-    def _run(self, link: NodeConnection, sending: OutgoingCall) -> bool:
+    def _run(self, connection: NodeConnection, call: OutgoingCall) -> bool:
         """Write a send to its link; False if it may not begin any more, and ends."""
         now = self.reactor.seconds()
-        if sending.attempt.start(now * 1000) is not None:
-            self.reactor.callLater(0, sending.finish, AttemptResult(Outcome.NOT_SENT))
+        if call.attempt.start(now * 1000) is not None:
+            self.reactor.callLater(0, call.finish, AttemptResult(Outcome.NOT_SENT))
             return False
-        sending.link, sending.out = link, True
-        link.used = now
-        link.run(sending.request, sending.stream, sending.finish)
+        call.connection, call.out = connection, True
+        connection.used = now
+        connection.run(call.request, call.stream, call.finish)
         return True
 
     def _open(self, node: NodePool) -> None:
         grace = self.store.cancel_grace_ms / 1000
-        link = NodeConnection(self.parameters, self.max_row, grace, self.reactor, self.later)
-        node.all.add(link)
+        connection = NodeConnection(self.parameters, self.max_row, grace, self.reactor, self.later)
+        node.all.add(connection)
         self.opened += 1
-        timer = self.reactor.callLater(self.store.connect_timeout_ms / 1000, link.abort)
+        timer = self.reactor.callLater(self.store.connect_timeout_ms / 1000, connection.abort)
 
-        def ready(link: NodeConnection) -> None:
+        def ready(connection: NodeConnection) -> None:
             if timer.active():
                 timer.cancel()
-            link.used = self.reactor.seconds()
+            connection.used = self.reactor.seconds()
             while node.waiting:
-                if self._run(link, node.waiting.pop(0)):
+                if self._run(connection, node.waiting.pop(0)):
                     return
-            node.idle.append(link)
+            node.idle.append(connection)
 
-        def lost(link: NodeConnection, refusal) -> None:
+        def lost(connection: NodeConnection, refusal) -> None:
             if timer.active():
                 timer.cancel()
-            node.all.discard(link)
+            node.all.discard(connection)
             self.closed += 1
-            if link in node.idle:
-                node.idle.remove(link)
+            if connection in node.idle:
+                node.idle.remove(connection)
             starting = sum(one.state is ConnectionState.STARTING for one in node.all)
             while len(node.waiting) > starting:  # the send whose connection this was
                 node.waiting.pop(0).finish(AttemptResult(refused_outcome(refusal), error=refusal))
 
-        link.on_ready, link.on_lost = ready, lost
-        factory = OneConnection(link, link.on_connect_failed)
+        connection.on_ready, connection.on_lost = ready, lost
+        factory = OneConnection(connection, connection.on_connect_failed)
         self.reactor.connectTCP(
             node.host, node.port, factory, timeout=self.store.connect_timeout_ms / 1000
         )
--- a/tansycrank/sql_router/node_connection.py
+++ b/tansycrank/sql_router/node_connection.py
@@ -1,8 +1,8 @@
 """One connection to a data node, as a client of the PostgreSQL protocol.
 
-A connection runs one shard request at a time and reports exactly one `AttemptResult` for it. What an outcome proves
-follows the table on the operators' page: only what never left this process, or was refused before
-it, never ran.
+A connection runs one shard request at a time and reports exactly one `AttemptResult` for it.
+What an outcome proves follows the table on the operators' page: only a request that never left this
+process, or was rejected before that, was never executed.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShardStatement:
-    """A statement for a data node: run it with its parameters, or (`describe`) describe its types."""
+    """A statement that a data node runs, or describes where `describe` is set."""
 
     shard: int
     sql: str
@@ -105,9 +105,7 @@
 
 
 class NodeConnection(LineReceiver):
-    """The protocol of one link. Its owner (the pool) hears `on_ready`, `on_lost`, and the end of
-    each run.
-    """
+    """The protocol of one connection; its pool sets `on_ready` and `on_lost`."""
 
     def __init__(
         self,
@@ -125,14 +123,16 @@
         self.state = ConnectionState.STARTING
         self.key: tuple[int, int] | None = None
         self.refusal: PgError | None = None
-        self.on_ready: Callable[[NodeConnection], None] = lambda link: None
-        self.on_lost: Callable[[NodeConnection, PgError | None], None] = lambda link, refusal: None
+        self.on_ready: Callable[[NodeConnection], None] = lambda connection: None
+        self.on_lost: Callable[[NodeConnection, PgError | None], None] = (
+            lambda connection, refusal: None
+        )
         self.used = 0.0
         self._done: Callable[[AttemptResult], None] | None = None
         self._ended = AttemptResult(Outcome.SUCCEEDED)
         self._stream: ShardRowStream | None = None
         self._hold_requested = self._is_paused = False  # told to stop reading; not reading
-        self._pending = b""  # of a large part: come, but not yet looked at
+        self._pending = b""  # received data of a large result, not read yet
         self._cancel_open = False  # a late CancelRequest would cancel the next statement
         self._grace = None
 
@@ -152,14 +152,14 @@
 
     def rawDataReceived(self, data: bytes) -> None:
         """Read at once, or buffer data of a large result for the worker."""
-        large = (
+        is_large = (
             self.state is ConnectionState.BUSY
             and self._stream is not None
             and self._stream.memory.mode != "small"
         )
-        if self._pending or (large and self.later is not None):
-            # danger: cutting 32 kB into rows takes half a millisecond, and hundreds of links may be
-            # readable
+        if self._pending or (is_large and self.later is not None):
+            # Splitting 32 kB into rows takes half a millisecond, and hundreds of connections may be
+            # readable in one reactor turn.
             self._pending += data
             self._set_reading()
             self.later(self)
--- a/tansycrank/sql_router/service.py
+++ b/tansycrank/sql_router/service.py
@@ -10,6 +10,7 @@
 import re
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
+from enum import IntEnum
 
 import xxhash
 
@@ -26,16 +27,27 @@
 from tansycrank.postgres.messages import Field, data_row
 from tansycrank.sql.plan import Prepared
 from tansycrank.sql.planner import Planner, explain_lines
-from tansycrank.sql_router.coordinator import Coordinator, Job, ShardRequest
+from tansycrank.sql_router.coordinator import Coordinator, RoutedQuery, ShardRequest
 from tansycrank.sql_router.node_connection import ShardStatement
 
 LITERAL = re.compile(r"'(?:[^']|'')*'|\b\d+\b")  # statements alike but for these cost alike
-RUNS = re.compile(
+STORE_STATEMENT = re.compile(
     r"\s*(?:select|insert|update|delete|with)\b[^;]*;?\s*$", re.I
 )  # one, for the store
 NOBODY = Caller("", "", "")  # who asks where no session does
-AT_ONCE = 192 * 1024  # bytes of parts that are merged in one go; more is merged in slices
-SAFE, KEYED, UNSAFE = 0, 1, 2  # the order of `config.conversion.IDEMPOTENCY_ORDER`
+MERGE_AT_ONCE_BYTES = (
+    192 * 1024
+)  # bytes of parts that are merged in one go; more is merged in slices
+
+FORM_LABELS = ("safe", "keyed", "unsafe")  # in EXPLAIN and in the log
+
+
+class QueryForm(IntEnum):
+    """The position among the three query classes that each class of the settings becomes."""
+
+    IDEMPOTENT = 0
+    WITH_KEY = 1
+    NOT_IDEMPOTENT = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,7 +79,7 @@
         self.worker = Worker(
             lambda f: coordinator.reactor.callLater(0, f),
             coordinator.reactor.seconds,
-            lambda: bool(coordinator.jobs),
+            lambda: bool(coordinator.queries),
         )
         coordinator.pools.later = self.worker.wake
         self.open_door(coordinator.reactor)
@@ -80,7 +92,7 @@
         self._operators = Identity(
             allow=split_list(config.door.operators) or ["255.255.255.255/32"]
         )
-        self.gate = AdmissionController(reactor, admission_policy(config), self.log)
+        self.admission = AdmissionController(reactor, admission_policy(config), self.log)
 
     def prepare(self, sql: str, oids: tuple[int, ...] = ()) -> tuple[Prepared, ...]:
         """Understand a text of statements, or raise PgError."""
@@ -108,13 +120,13 @@
             return None
         self._check_operator(caller, name)
         if name == "tansycrank.admission":
-            return ("figure", "value"), views.door(self.gate)
-        return views.TENANT_COLUMNS, views.tenants(self.gate)
+            return ("figure", "value"), views.door(self.admission)
+        return views.TENANT_COLUMNS, views.tenants(self.admission)
 
     def change_limits(self, caller: Caller, text: str) -> None:
         """Other limits for a tenant, while the router runs. Raises PgError 42501, 22023."""
         self._check_operator(caller, "tansycrank.limits")
-        views.change(self.gate, text)
+        views.change(self.admission, text)
 
     # --- class and deadline -------------------------------------------------------------
 
@@ -159,16 +171,16 @@
                 return index
         return 0
 
-    def _effect(self, prepared: Prepared, index: int, settings: Mapping[str, str]) -> int:
+    def _form(self, prepared: Prepared, index: int, settings: Mapping[str, str]) -> QueryForm:
         if not prepared.writes and not prepared.volatile:
-            return SAFE
+            return QueryForm.IDEMPOTENT
         keyed = (
             settings.get("tansycrank.request_key")
             and self.config.classes[index].section.dedup_window_ms > 0
         )
-        return KEYED if keyed else UNSAFE
+        return QueryForm.WITH_KEY if keyed else QueryForm.NOT_IDEMPOTENT
 
-    def _time_left(self, index: int, settings: Mapping[str, str]) -> float:
+    def _remaining_ms(self, index: int, settings: Mapping[str, str]) -> float:
         bounds = [self.config.classes[index].section.give_up_ms]
         if settings.get("tansycrank.deadline"):
             bounds.append(float(settings["tansycrank.deadline"]))
@@ -184,7 +196,8 @@
         if len(values) != len(prepared.oids):
             raise PgError(
                 "08P01",
-                f"the statement needs {len(prepared.oids)} parameters, the client gave {len(values)}",
+                f"the statement needs {len(prepared.oids)} parameters,"
+                f" the client gave {len(values)}",
             )
         codes = formats * len(values) if len(formats) == 1 else formats or (0,) * len(values)
         decoded = []
@@ -206,9 +219,9 @@
             target = prepared.explain or prepared
             values = self.decoded(target, request.values, request.formats)
             index = self.class_of(target.sql, settings)
-            effect = self._effect(target, index, settings)
+            form = self._form(target, index, settings)
             if prepared.explain is not None:
-                label = f"{self.config.classes[index].name} ({('safe', 'keyed', 'unsafe')[effect]})"
+                label = f"{self.config.classes[index].name} ({FORM_LABELS[form]})"
                 lines = explain_lines(target, values, label, self._explain_memory)
                 rows = [data_row((line.encode(),)) for line in lines]
                 done(Result(prepared.fields, rows, "EXPLAIN"))
@@ -220,7 +233,7 @@
         plan = shard_requests.merge
         oids = tuple(oid or (types.TEXT if plan is not None else 0) for oid in prepared.oids)
         results = part_formats(plan, request.results)
-        key = settings.get("tansycrank.request_key", "") if effect == KEYED else ""
+        key = settings.get("tansycrank.request_key", "") if form == QueryForm.WITH_KEY else ""
         requests = [
             ShardStatement(
                 p.shard,
@@ -234,23 +247,23 @@
             for p in shard_requests.shard_requests
         ]
         began = self.coordinator.now
-        streams = effect == SAFE and prepared.returns_rows and pipeline.streams(plan)
+        streams = form == QueryForm.IDEMPOTENT and prepared.returns_rows and pipeline.streams(plan)
         repeat = _is_repeat(settings)
 
-        def start(remaining: float, ended: Callable[[Result | PgError], None]) -> Job:
+        def start(remaining: float, ended: Callable[[Result | PgError], None]) -> RoutedQuery:
             def finished(answer: list[ShardRequest] | PgError) -> None:
-                outcome = self._result(request, plan, values, answer, job)
-                self._log_query(request, index, effect, job, outcome, began)
+                outcome = self._result(request, plan, values, answer, routed_query)
+                self._log_query(request, index, form, routed_query, outcome, began)
                 ended(outcome)
 
-            job = self.coordinator.submit(
-                3 * index + effect, remaining, requests, finished, repeat, streams
+            routed_query = self.coordinator.submit(
+                3 * index + form, remaining, requests, finished, repeat, streams
             )
-            return job
+            return routed_query
 
-        remaining = self._time_left(index, settings)
+        remaining = self._remaining_ms(index, settings)
         return self._enter(
-            request, settings, 3 * index + effect, len(requests), remaining, start, done
+            request, settings, 3 * index + form, len(requests), remaining, start, done
         )
 
     def glance(self, sql: str, caller: Caller, settings: Mapping[str, str]) -> PgError | None:
@@ -260,22 +273,29 @@
         Danger: under a flood, planning what is refused in the end would take all of the router's
         time.
         """
-        if not RUNS.match(sql):
+        if not STORE_STATEMENT.match(sql):
             return None
-        asker = self.identity.who(caller, settings.get("tansycrank.tenant", ""))
-        if not self.gate.pressed(asker.tenant):
+        caller_id = self.identity.who(caller, settings.get("tansycrank.tenant", ""))
+        if not self.admission.pressed(caller_id.tenant):
             return None
         index = self.class_of(sql, settings)
-        mark, remaining = self._mark(asker, sql, ()), self._time_left(index, settings)
-        return self.gate.glance(
-            asker, 3 * index + SAFE, remaining, mark, _is_repeat(settings), caller.session
+        mark, remaining = self._query_hash(caller_id, sql, ()), self._remaining_ms(index, settings)
+        return self.admission.glance(
+            caller_id,
+            3 * index + QueryForm.IDEMPOTENT,
+            remaining,
+            mark,
+            _is_repeat(settings),
+            caller.session,
         )
 
-    def _mark(self, asker: Asker, sql: str, values: tuple[bytes | None, ...]) -> int:
-        held = xxhash.xxh3_64(f"{asker.tenant}|{asker.client}|{sql.rstrip('; ')}".encode())
+    def _query_hash(self, caller_id: Asker, sql: str, values: tuple[bytes | None, ...]) -> int:
+        digest = xxhash.xxh3_64(
+            f"{caller_id.tenant}|{caller_id.client}|{sql.rstrip('; ')}".encode()
+        )
         for value in values:
-            held.update(b"-" if value is None else b"+" + value)
-        return held.intdigest() | 1
+            digest.update(b"-" if value is None else b"+" + value)
+        return digest.intdigest() | 1
 
     def _enter(
         self,
@@ -288,19 +308,19 @@
         done,
     ) -> Running:
         """Through the door."""
-        asker = self.identity.who(request.caller, settings.get("tansycrank.tenant", ""))
+        caller_id = self.identity.who(request.caller, settings.get("tansycrank.tenant", ""))
         sql = request.prepared.sql
         size = len(sql) + sum(len(value) for value in request.values if value is not None)
         return Running(
-            self.gate.enter(
-                asker,
+            self.admission.enter(
+                caller_id,
                 query_class,
                 shard_requests,
                 remaining,
                 start,
                 done,
                 statement=xxhash.xxh3_64_intdigest(LITERAL.sub("?", sql).encode()),
-                mark=self._mark(asker, sql, request.values),
+                mark=self._query_hash(caller_id, sql, request.values),
                 size=size,
                 repeat=_is_repeat(settings),
                 session=request.caller.session,
@@ -308,7 +328,12 @@
         )
 
     def _result(
-        self, request: Request, plan, values, answer: list[ShardRequest] | PgError, job: Job
+        self,
+        request: Request,
+        plan,
+        values,
+        answer: list[ShardRequest] | PgError,
+        routed_query: RoutedQuery,
     ):
         if isinstance(answer, PgError):
             return answer
@@ -316,7 +341,7 @@
         prepared = request.prepared
         try:
             at_once = all(p.state == "whole" and p.run is None for p in shard_requests)
-            if at_once and sum(p.size for p in shard_requests) <= AT_ONCE:
+            if at_once and sum(p.size for p in shard_requests) <= MERGE_AT_ONCE_BYTES:
                 frames = [
                     [f for block in p.blocks for f in frames_of(block)] for p in shard_requests
                 ]
@@ -330,21 +355,27 @@
                     result = merge(
                         plan, rows, values, prepared.oids, request.results, prepared.fields
                     )
-                result.memory = job.memory
+                result.memory = routed_query.memory
                 return result
-            told = prepared.fields
+            described = prepared.fields
             fields, source = pipeline.build(
-                plan, shard_requests, values, prepared.oids, request.results, told, job.memory
+                plan,
+                shard_requests,
+                values,
+                prepared.oids,
+                request.results,
+                described,
+                routed_query.memory,
             )
-            stream = RowStream(fields, source, shard_requests, job.memory, self.worker)
-            return Result(fields, (), "SELECT", stream, job.memory)
+            stream = RowStream(fields, source, shard_requests, routed_query.memory, self.worker)
+            return Result(fields, (), "SELECT", stream, routed_query.memory)
         except PgError as problem:
             result = problem
         except Exception as problem:  # a fault of the merge ends this query alone
             if self.log:
                 self.log.error("merge_failed", error=repr(problem), sql=prepared.sql[:500])
             result = PgError(INTERNAL, f"merging the parts failed: {type(problem).__name__}")
-        job.memory.close()
+        routed_query.memory.close()
         return result
 
     def release(self, result: Result) -> None:
@@ -361,7 +392,7 @@
 
     def cancel(self, running: Running, left: bool = False) -> None:
         """The client cancels, or has left."""
-        self.gate.leave(running.entry, self.coordinator.abandon)
+        self.admission.leave(running.entry, self.coordinator.abandon)
 
     def describe(
         self,
@@ -386,29 +417,39 @@
             if isinstance(answer, PgError):
                 done(answer)
                 return
-            told, fields = answer[0].oids, answer[0].answer.fields
-            if len(told) >= len(target.oids):
+            described, fields = answer[0].oids, answer[0].answer.fields
+            if len(described) >= len(target.oids):
                 target.oids = tuple(
-                    mine or theirs for mine, theirs in zip(target.oids, told, strict=False)
+                    mine or theirs for mine, theirs in zip(target.oids, described, strict=False)
                 )
             if target.returns_rows:
                 target.fields = fields or ()
             done((target.oids, prepared.fields if prepared.explain else target.fields))
 
-        def start(remaining: float, ended: Callable) -> Job:
+        def start(remaining: float, ended: Callable) -> RoutedQuery:
             def answered(answer: list[ShardRequest] | PgError) -> None:
                 ended(answer)
-                job.memory.close()
+                routed_query.memory.close()
 
-            job = self.coordinator.submit(3 * index + SAFE, remaining, [request], answered)
-            return job
+            routed_query = self.coordinator.submit(
+                3 * index + QueryForm.IDEMPOTENT, remaining, [request], answered
+            )
+            return routed_query
 
         asked = Request(prepared, caller=caller)
-        remaining = self._time_left(index, settings)
-        return self._enter(asked, settings, 3 * index + SAFE, 1, remaining, start, finished)
+        remaining = self._remaining_ms(index, settings)
+        return self._enter(
+            asked, settings, 3 * index + QueryForm.IDEMPOTENT, 1, remaining, start, finished
+        )
 
     def _log_query(
-        self, request: Request, index: int, effect: int, job: Job, outcome, began: float
+        self,
+        request: Request,
+        index: int,
+        form: QueryForm,
+        routed_query: RoutedQuery,
+        outcome,
+        began: float,
     ) -> None:
         if self.log is None or not self.config.log.queries:
             return
@@ -417,16 +458,16 @@
             "query_completed",
             sql=(request.comment + request.prepared.sql)[:200],
             cls=self.config.classes[index].name,
-            effect=("safe", "keyed", "unsafe")[effect],
-            shard_requests=len(job.shard_requests),
-            attempts=job.story,
-            hedged=sum(len(p.attempts) > 1 for p in job.shard_requests),
+            effect=FORM_LABELS[form],
+            shard_requests=len(routed_query.shard_requests),
+            attempts=routed_query.attempt_history,
+            hedged=sum(len(p.attempts) > 1 for p in routed_query.shard_requests),
             outcome=outcome.state if failed else "answered",
-            given_up=job.given_up.value if job.given_up is not None else None,
-            rows=sum(p.answer.rows for p in job.shard_requests if p.answer is not None),
-            bytes=sum(p.answer.size for p in job.shard_requests if p.answer is not None),
-            spilled=job.memory.spilled,
-            peak=job.memory.peak,
+            given_up=routed_query.given_up.value if routed_query.given_up is not None else None,
+            rows=sum(p.answer.rows for p in routed_query.shard_requests if p.answer is not None),
+            bytes=sum(p.answer.size for p in routed_query.shard_requests if p.answer is not None),
+            spilled=routed_query.memory.spilled,
+            peak=routed_query.memory.peak,
             ms=round(self.coordinator.now - began, 2),
         )
 
