--- a/tansycrank/daemon.py
+++ b/tansycrank/daemon.py
@@ -156,11 +156,7 @@
         self._wait(self.reactor.seconds() + self.config.router.stop_within_ms / 1000)
 
     def _wait(self, until: float) -> None:
-<<<<<<< HEAD
-        busy = self.coordinator.jobs or any(s.is_logged_in for s in self.front.sessions)
-=======
-        busy = self.coordinator.queries or any(s.state == "ready" for s in self.front.sessions)
->>>>>>> part-d
+        busy = self.coordinator.queries or any(s.is_logged_in for s in self.front.sessions)
         if busy and self.reactor.seconds() < until:
             self.front.stop_taking()
             self.reactor.callLater(0.02, self._wait, until)
