--- /dev/null
+++ b/tansycrank/postgres/messages/frontend.py
@@ -0,0 +1,182 @@
+"""Messages of clients (frontends), decoded."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from tansycrank.postgres.errors import ProtocolError
+from tansycrank.postgres.messages.reader import Reader
+
+PROTOCOL_3 = 196608
+CANCEL_CODE = 80877102
+SSL_CODE = 80877103
+GSS_CODE = 80877104
+FRONTEND_TYPES = frozenset(b"BCDEFHPQSXcdfp")
+
+
+@dataclass(frozen=True, slots=True)
+class Startup:
+    """Start of a session, with its parameters."""
+
+    parameters: dict[str, str]
+
+
+@dataclass(frozen=True, slots=True)
+class CancelRequest:
+    """A cancel for the session of this key."""
+
+    pid: int
+    secret: int
+
+
+@dataclass(frozen=True, slots=True)
+class EncryptionRequest:
+    """SSLRequest or GSSENCRequest: answered by one byte."""
+
+
+@dataclass(frozen=True, slots=True)
+class Query:
+    """Simple query: one or several statements."""
+
+    sql: str
+
+
+@dataclass(frozen=True, slots=True)
+class Parse:
+    """Prepare a statement; an OID of 0 leaves the type open."""
+
+    name: str
+    sql: str
+    oids: tuple[int, ...]
+
+
+@dataclass(frozen=True, slots=True)
+class Bind:
+    """Make a portal of a statement. A parameter of None is NULL; formats 0 text, 1 binary."""
+
+    portal: str
+    statement: str
+    formats: tuple[int, ...]
+    values: tuple[bytes | None, ...]
+    results: tuple[int, ...]
+
+
+@dataclass(frozen=True, slots=True)
+class Describe:
+    """Describe a statement ('S') or a portal ('P')."""
+
+    kind: str
+    name: str
+
+
+@dataclass(frozen=True, slots=True)
+class Execute:
+    """Run a portal; a limit of 0 means all rows."""
+
+    portal: str
+    limit: int
+
+
+@dataclass(frozen=True, slots=True)
+class Close:
+    """Drop a statement ('S') or a portal ('P')."""
+
+    kind: str
+    name: str
+
+
+@dataclass(frozen=True, slots=True)
+class Flush:
+    """Send what is pending."""
+
+
+@dataclass(frozen=True, slots=True)
+class Sync:
+    """End of an extended batch; errors are skipped up to here."""
+
+
+@dataclass(frozen=True, slots=True)
+class Terminate:
+    """The client leaves."""
+
+
+@dataclass(frozen=True, slots=True)
+class Unexpected:
+    """A message that is known but has no place here (copy data, passwords, function calls)."""
+
+    kind: str
+
+
+def read_startup(body: bytes) -> Startup | CancelRequest | EncryptionRequest:
+    """The first packet of a connection, without its length."""
+    reader = Reader(body)
+    code = reader.int32()
+    if code in (SSL_CODE, GSS_CODE):
+        reader.end()
+        return EncryptionRequest()
+    if code == CANCEL_CODE:
+        cancel = CancelRequest(reader.int32(), reader.int32())
+        reader.end()
+        return cancel
+    if code >> 16 != 3:
+        raise ProtocolError(
+            f"protocol {code >> 16}.{code & 0xFFFF} is not supported; 3.0 is", "0A000"
+        )
+    parameters = {}
+    while True:
+        name = reader.text()
+        if not name:
+            break
+        parameters[name] = reader.text()
+    reader.end()
+    if "user" not in parameters:
+        raise ProtocolError("no user in the startup packet", "28000")
+    return Startup(parameters)
+
+
+def _formats(reader: Reader) -> tuple[int, ...]:
+    formats = tuple(reader.int16() for _ in range(reader.count()))
+    if any(f not in (0, 1) for f in formats):
+        raise ProtocolError(f"unknown format code in {formats}")
+    return formats
+
+
+def read_frontend(kind: int, frame: bytes):
+    """One message of a client after the startup."""
+    reader = Reader(frame, 5)
+    match chr(kind):
+        case "Q":
+            message = Query(reader.text())
+        case "P":
+            name, sql = reader.text(), reader.text()
+            message = Parse(name, sql, tuple(reader.uint32() for _ in range(reader.count())))
+        case "B":
+            portal, statement, formats = reader.text(), reader.text(), _formats(reader)
+            values = []
+            for _ in range(reader.count()):
+                size = reader.int32()
+                if size < -1:
+                    raise ProtocolError(f"parameter of {size} bytes")
+                values.append(None if size < 0 else reader.take(size))
+            if len(formats) not in (0, 1, len(values)):
+                raise ProtocolError(f"{len(formats)} formats for {len(values)} parameters")
+            message = Bind(portal, statement, formats, tuple(values), _formats(reader))
+        case "D" | "C" as letter:
+            which = reader.take(1).decode("latin-1")
+            if which not in "SP":
+                raise ProtocolError(f"neither statement nor portal: {which!r}")
+            message = (Describe if letter == "D" else Close)(which, reader.text())
+        case "E":
+            message = Execute(reader.text(), reader.int32())
+            if message.limit < 0:
+                raise ProtocolError(f"row limit of {message.limit}")
+        case "H":
+            message = Flush()
+        case "S":
+            message = Sync()
+        case "X":
+            message = Terminate()
+        case other:
+            return Unexpected(other)
+    reader.end()
+    return message
--- /dev/null
+++ b/tansycrank/postgres/messages/store_requests.py
@@ -0,0 +1,71 @@
+"""Messages that a connection to the store writes: the client side of the protocol."""
+
+from __future__ import annotations
+
+import struct
+from collections.abc import Sequence
+
+from tansycrank.postgres.messages.framing import INT, frame, zero_terminated
+from tansycrank.postgres.messages.frontend import CANCEL_CODE, PROTOCOL_3
+
+SYNC_FRAME = b"S\x00\x00\x00\x04"
+FLUSH_FRAME = b"H\x00\x00\x00\x04"
+TERMINATE_FRAME = b"X\x00\x00\x00\x04"
+
+
+def startup(parameters: dict[str, str]) -> bytes:
+    """A StartupMessage."""
+    body = (
+        INT.pack(PROTOCOL_3)
+        + b"".join(zero_terminated(k) + zero_terminated(v) for k, v in parameters.items())
+        + b"\0"
+    )
+    return INT.pack(len(body) + 4) + body
+
+
+def cancel_request(pid: int, secret: int) -> bytes:
+    """A CancelRequest, to be sent on a connection of its own."""
+    return (
+        INT.pack(16)
+        + INT.pack(CANCEL_CODE)
+        + INT.pack(pid)
+        + struct.pack("!I", secret & 0xFFFFFFFF)
+    )
+
+
+def query(sql: str) -> bytes:
+    """A simple Query."""
+    return frame(b"Q", zero_terminated(sql))
+
+
+def parse(sql: str, oids: Sequence[int], name: str = "") -> bytes:
+    """Parse."""
+    return frame(
+        b"P",
+        zero_terminated(name)
+        + zero_terminated(sql)
+        + struct.pack(f"!H{len(oids)}I", len(oids), *oids),
+    )
+
+
+def bind(values: Sequence[bytes | None], formats: Sequence[int], results: Sequence[int]) -> bytes:
+    """Bind of the unnamed statement to the unnamed portal."""
+    parts = [
+        b"\0\0",
+        struct.pack(f"!H{len(formats)}h", len(formats), *formats),
+        struct.pack("!H", len(values)),
+    ]
+    for value in values:
+        parts.append(b"\xff\xff\xff\xff" if value is None else INT.pack(len(value)) + value)
+    parts.append(struct.pack(f"!H{len(results)}h", len(results), *results))
+    return frame(b"B", b"".join(parts))
+
+
+def describe(kind: str) -> bytes:
+    """Describe of the unnamed statement ('S') or portal ('P')."""
+    return frame(b"D", kind.encode() + b"\0")
+
+
+def execute(limit: int = 0) -> bytes:
+    """Execute of the unnamed portal."""
+    return frame(b"E", b"\0" + INT.pack(limit))
--- /dev/null
+++ b/tansycrank/postgres/messages/store_responses.py
@@ -0,0 +1,63 @@
+"""Messages that a connection to the store reads: rows, columns, errors."""
+
+from __future__ import annotations
+
+import struct
+from functools import lru_cache
+
+from tansycrank.postgres.errors import PgError, ProtocolError
+from tansycrank.postgres.messages.backend import Field
+from tansycrank.postgres.messages.framing import INT, SHORT
+from tansycrank.postgres.messages.reader import Reader
+
+
+def read_error(message: bytes) -> PgError:
+    """An ErrorResponse or NoticeResponse of a node."""
+    reader, fields = Reader(message, 5), {}
+    while (code := reader.take(1)) != b"\0":
+        fields[code.decode("latin-1")] = reader.text()
+    return PgError(
+        fields.get("C", "XX000"),
+        fields.get("M", ""),
+        fields.get("D", ""),
+        fields.get("H", ""),
+        fields.get("V") or fields.get("S", "ERROR"),
+    )
+
+
+@lru_cache(maxsize=1024)  # nodes describe the same columns for each shard request
+def read_row_description(message: bytes) -> tuple[Field, ...]:
+    """The columns a node announces."""
+    reader, fields = Reader(message, 5), []
+    for _ in range(reader.count()):
+        name = reader.text()
+        table, column, oid = reader.uint32(), reader.int16(), reader.uint32()
+        size, modifier, code = reader.int16(), reader.int32(), reader.int16()
+        fields.append(Field(name, oid, size, modifier, code, table, column))
+    return tuple(fields)
+
+
+def read_parameter_description(message: bytes) -> tuple[int, ...]:
+    """The parameter types a node inferred."""
+    reader = Reader(message, 5)
+    return tuple(reader.uint32() for _ in range(reader.count()))
+
+
+def read_row(message: bytes) -> list[bytes | None]:
+    """The values of a DataRow."""
+    count, at, values = SHORT.unpack_from(message, 5)[0], 7, []
+    unpack = INT.unpack_from
+    try:
+        for _ in range(count):
+            size = unpack(message, at)[0]
+            at += 4
+            if size < 0:
+                values.append(None)
+            else:
+                values.append(message[at : at + size])
+                at += size
+    except struct.error:
+        raise ProtocolError("row ends inside a field") from None
+    if at != len(message):
+        raise ProtocolError("row is longer or shorter than its fields")
+    return values
