--- a/tansycrank/postgres/messages/backend.py
+++ b/tansycrank/postgres/messages/backend.py
@@ -20,9 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Field:
-    """One column of a RowDescription. Its size is -1 where it varies, its format 0 text or 1
-    binary.
-    """
+    """One column of a RowDescription. A size of -1 varies; format 0 is text, 1 binary."""
 
     name: str
     oid: int
--- a/tansycrank/postgres/messages/frontend.py
+++ b/tansycrank/postgres/messages/frontend.py
@@ -2,9 +2,11 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass
 
 from tansycrank.postgres.errors import ProtocolError
+from tansycrank.postgres.messages.framing import HEAD_BYTES
 from tansycrank.postgres.messages.reader import Reader
 
 PROTOCOL_3 = 196608
@@ -107,6 +109,11 @@
     kind: str
 
 
+FrontendMessage = (
+    Query | Parse | Bind | Describe | Execute | Close | Flush | Sync | Terminate | Unexpected
+)
+
+
 def read_startup(body: bytes) -> Startup | CancelRequest | EncryptionRequest:
     """The first packet of a connection, without its length."""
     reader = Reader(body)
@@ -141,42 +148,61 @@
     return formats
 
 
-def read_frontend(kind: int, frame: bytes):
-    """One message of a client after the startup."""
-    reader = Reader(frame, 5)
-    match chr(kind):
-        case "Q":
-            message = Query(reader.text())
-        case "P":
-            name, sql = reader.text(), reader.text()
-            message = Parse(name, sql, tuple(reader.uint32() for _ in range(reader.count())))
-        case "B":
-            portal, statement, formats = reader.text(), reader.text(), _formats(reader)
-            values = []
-            for _ in range(reader.count()):
-                size = reader.int32()
-                if size < -1:
-                    raise ProtocolError(f"parameter of {size} bytes")
-                values.append(None if size < 0 else reader.take(size))
-            if len(formats) not in (0, 1, len(values)):
-                raise ProtocolError(f"{len(formats)} formats for {len(values)} parameters")
-            message = Bind(portal, statement, formats, tuple(values), _formats(reader))
-        case "D" | "C" as letter:
-            which = reader.take(1).decode("latin-1")
-            if which not in "SP":
-                raise ProtocolError(f"neither statement nor portal: {which!r}")
-            message = (Describe if letter == "D" else Close)(which, reader.text())
-        case "E":
-            message = Execute(reader.text(), reader.int32())
-            if message.limit < 0:
-                raise ProtocolError(f"row limit of {message.limit}")
-        case "H":
-            message = Flush()
-        case "S":
-            message = Sync()
-        case "X":
-            message = Terminate()
-        case other:
-            return Unexpected(other)
+def read_frontend(kind: int, frame: bytes) -> FrontendMessage:
+    """One message of a client after the startup. Raises ProtocolError."""
+    reader = Reader(frame, HEAD_BYTES)
+    letter = chr(kind)
+    read_body = BODY_READERS.get(letter)
+    if read_body is None:
+        return Unexpected(letter)
+    message = read_body(reader)
     reader.end()
     return message
+
+
+def _read_parse(reader: Reader) -> Parse:
+    name, sql = reader.text(), reader.text()
+    return Parse(name, sql, tuple(reader.uint32() for _ in range(reader.count())))
+
+
+def _read_bind(reader: Reader) -> Bind:
+    portal, statement, formats = reader.text(), reader.text(), _formats(reader)
+    values = tuple(_parameter(reader) for _ in range(reader.count()))
+    if len(formats) not in (0, 1, len(values)):
+        raise ProtocolError(f"{len(formats)} formats for {len(values)} parameters")
+    return Bind(portal, statement, formats, values, _formats(reader))
+
+
+def _parameter(reader: Reader) -> bytes | None:
+    size = reader.int32()
+    if size < -1:
+        raise ProtocolError(f"parameter of {size} bytes")
+    return None if size < 0 else reader.take(size)
+
+
+def _read_target(reader: Reader) -> tuple[str, str]:
+    """Kind ('S' statement, 'P' portal) and name of what is described or closed."""
+    kind = reader.take(1).decode("latin-1")
+    if kind not in "SP":
+        raise ProtocolError(f"neither statement nor portal: {kind!r}")
+    return kind, reader.text()
+
+
+def _read_execute(reader: Reader) -> Execute:
+    message = Execute(reader.text(), reader.int32())
+    if message.limit < 0:
+        raise ProtocolError(f"row limit of {message.limit}")
+    return message
+
+
+BODY_READERS: dict[str, Callable[[Reader], FrontendMessage]] = {
+    "Q": lambda reader: Query(reader.text()),
+    "P": _read_parse,
+    "B": _read_bind,
+    "D": lambda reader: Describe(*_read_target(reader)),
+    "C": lambda reader: Close(*_read_target(reader)),
+    "E": _read_execute,
+    "H": lambda reader: Flush(),
+    "S": lambda reader: Sync(),
+    "X": lambda reader: Terminate(),
+}
