--- /dev/null
+++ b/tansycrank/postgres/types/__init__.py
@@ -0,0 +1,85 @@
+"""PostgreSQL's types between wire and Python, both formats, and their order and equality.
+
+Values: bool, int, float, Decimal, str, bytes (bytea, uuid), list (arrays); date as days and
+timestamps as microseconds since 2000-01-01 UTC (`math.inf` for infinity), so that they sort as
+numbers. json is text.
+"""
+
+from decimal import Decimal
+
+from tansycrank.postgres.types.codec import (
+    decode,
+    decoder,
+    encode,
+)
+from tansycrank.postgres.types.oids import (
+    ARRAY_OF,
+    ARRAYS,
+    BOOL,
+    BPCHAR,
+    BYTEA,
+    DATE,
+    FLOAT4,
+    FLOAT8,
+    INT2,
+    INT4,
+    INT8,
+    INTEGERS,
+    JSON,
+    JSONB,
+    NAME,
+    NAMES,
+    NUMBERS,
+    NUMERIC,
+    OID,
+    SIZES,
+    TEXT,
+    TEXTUAL,
+    TIMESTAMP,
+    TIMESTAMPTZ,
+    UNKNOWN,
+    UUID,
+    VARCHAR,
+    type_name,
+)
+from tansycrank.postgres.types.ordering import (
+    ORDERED,
+    order_key,
+)
+
+__all__ = [
+    "ARRAYS",
+    "ARRAY_OF",
+    "BOOL",
+    "BPCHAR",
+    "BYTEA",
+    "DATE",
+    "FLOAT4",
+    "FLOAT8",
+    "INT2",
+    "INT4",
+    "INT8",
+    "INTEGERS",
+    "JSON",
+    "JSONB",
+    "NAME",
+    "NAMES",
+    "NUMBERS",
+    "NUMERIC",
+    "OID",
+    "ORDERED",
+    "SIZES",
+    "TEXT",
+    "TEXTUAL",
+    "TIMESTAMP",
+    "TIMESTAMPTZ",
+    "UNKNOWN",
+    "UUID",
+    "VARCHAR",
+    "Decimal",
+    "decode",
+    "decoder",
+    "encode",
+    "order_key",
+    "type_name",
+]
--- /dev/null
+++ b/tansycrank/postgres/types/codec.py
@@ -0,0 +1,70 @@
+"""Values between the wire and Python, in both formats (code 0 text, 1 binary)."""
+
+from __future__ import annotations
+
+import struct
+from collections.abc import Callable
+from decimal import Decimal, InvalidOperation
+
+from tansycrank.postgres.errors import INVALID_BINARY, INVALID_TEXT, PgError
+from tansycrank.postgres.types import binary_format, text_format
+from tansycrank.postgres.types.arrays import (
+    ArrayTextParser,
+    decode_array,
+    encode_array,
+    format_array,
+)
+from tansycrank.postgres.types.oids import ARRAYS, INTEGERS, NUMERIC, type_name
+
+TEXT_CODE = 0
+BINARY_CODE = 1
+MAX_SHOWN_BYTES = 40  # of an invalid value in its error
+
+
+def decode(oid: int, code: int, data: bytes) -> object:
+    """A value as it came on the wire. Raises PgError 22P02 or 22P03."""
+    try:
+        if code == TEXT_CODE:
+            return _decode_text(oid, data.decode())
+        if oid in ARRAYS:
+            return decode_array(data, lambda element, raw: decode(element, BINARY_CODE, raw))
+        return binary_format.decode_value(oid, data)
+    except (ValueError, struct.error, InvalidOperation, IndexError, OverflowError):
+        state = INVALID_BINARY if code else INVALID_TEXT
+        shown = f"{data[:MAX_SHOWN_BYTES]!r}"
+        raise PgError(state, f"invalid value for type {type_name(oid)}: {shown}") from None
+
+
+def _decode_text(oid: int, text: str) -> object:
+    if oid in ARRAYS:
+        element = ARRAYS[oid]
+        return ArrayTextParser(lambda raw: decode(element, TEXT_CODE, raw)).parse(text)
+    return text_format.parse_value(oid, text)
+
+
+def decoder(oid: int, code: int) -> Callable[[bytes], object]:
+    """`decode` for one type, without checks of the values: they come from the store."""
+    if code == TEXT_CODE and oid in INTEGERS:
+        return int
+    if code == TEXT_CODE and oid == NUMERIC:
+        return lambda data: Decimal(data.decode())
+    return lambda data: decode(oid, code, data)
+
+
+def encode(oid: int, code: int, value: object) -> bytes:
+    """A value for the wire. Raises PgError 22003."""
+    if code == TEXT_CODE:
+        return _encode_text(oid, value)
+    if oid in ARRAYS:
+        element = ARRAYS[oid]
+        return encode_array(value, element, lambda inner: encode(element, BINARY_CODE, inner))
+    return binary_format.encode_value(oid, value)
+
+
+def _encode_text(oid: int, value: object) -> bytes:
+    if isinstance(value, bool):
+        return b"t" if value else b"f"
+    if oid in ARRAYS:
+        element = ARRAYS[oid]
+        return format_array(value, lambda inner: encode(element, TEXT_CODE, inner)).encode()
+    return text_format.format_value(oid, value).encode()
