--- a/tansycrank/postgres/__init__.py
+++ b/tansycrank/postgres/__init__.py
@@ -1,1 +1,1 @@
-"""The PostgreSQL wire: codec, types, errors, and the protocols of both sides."""
+"""The PostgreSQL protocol: message codec, types, errors, COPY formats, and the server side."""
--- a/tansycrank/postgres/copy.py
+++ b/tansycrank/postgres/copy.py
@@ -1,7 +1,6 @@
 """COPY ... TO STDOUT: rows as text, CSV or binary, one CopyData message a row.
 
-Source: the PostgreSQL manual, "COPY", "File Formats", and "COPY Operations" of the protocol. No
-I/O.
+Source: the PostgreSQL manual, "COPY", "File Formats", and "COPY Operations" of the protocol.
 """
 
 from __future__ import annotations
@@ -14,10 +13,10 @@
 from tansycrank.postgres.errors import FEATURE_NOT_SUPPORTED, INVALID_PARAMETER, PgError
 from tansycrank.postgres.messages import Field, frame, read_row
 
-SIGNATURE = b"PGCOPY\n\xff\r\n\0" + struct.pack("!ii", 0, 0)
-TRAILER = struct.pack("!h", -1)
-SPECIAL = re.compile(rb"[\\\n\r\t\x08\x0c\x0b]")
-ESCAPES = {
+BINARY_SIGNATURE = b"PGCOPY\n\xff\r\n\0" + struct.pack("!ii", 0, 0)
+BINARY_TRAILER = struct.pack("!h", -1)
+ESCAPED_CHARACTERS = re.compile(rb"[\\\n\r\t\x08\x0c\x0b]")
+ESCAPE_SEQUENCES = {
     b"\\": b"\\\\",
     b"\n": b"\\n",
     b"\r": b"\\r",
@@ -39,16 +38,16 @@
 
     @property
     def results(self) -> tuple[int, ...]:
-        """The formats to ask for."""
+        """The result formats to request from the store."""
         return (1,) if self.kind == "binary" else ()
 
     def begin(self, fields: Sequence[Field]) -> bytes:
-        """CopyOutResponse, and what stands before the first row."""
+        """CopyOutResponse, and the header before the first row."""
         binary = self.kind == "binary"
         count = len(fields)
         out = frame(b"H", struct.pack(f"!bh{count}h", binary, count, *([int(binary)] * count)))
         if binary:
-            return out + frame(b"d", SIGNATURE)
+            return out + frame(b"d", BINARY_SIGNATURE)
         if self.header:
             out += frame(b"d", self._line([f.name.encode() for f in fields]))
         return out
@@ -60,16 +59,19 @@
         return frame(b"d", self._line(read_row(message)))
 
     def end(self) -> bytes:
-        """What stands behind the last row, and CopyDone."""
-        return (frame(b"d", TRAILER) if self.kind == "binary" else b"") + frame(b"c")
+        """The trailer after the last row, and CopyDone."""
+        return (frame(b"d", BINARY_TRAILER) if self.kind == "binary" else b"") + frame(b"c")
 
     def _line(self, values: Sequence[bytes | None]) -> bytes:
-        one = self._csv if self.kind == "csv" else self._text
-        return self.delimiter.join(self.null if v is None else one(v) for v in values) + b"\n"
+        encode = self._csv if self.kind == "csv" else self._text
+        return (
+            self.delimiter.join(self.null if value is None else encode(value) for value in values)
+            + b"\n"
+        )
 
     def _text(self, value: bytes) -> bytes:
-        if SPECIAL.search(value):
-            value = SPECIAL.sub(lambda m: ESCAPES[m[0]], value)
+        if ESCAPED_CHARACTERS.search(value):
+            value = ESCAPED_CHARACTERS.sub(lambda m: ESCAPE_SEQUENCES[m[0]], value)
         if self.delimiter != b"\t":
             value = value.replace(self.delimiter, b"\\" + self.delimiter)
         return value
--- a/tansycrank/postgres/errors.py
+++ b/tansycrank/postgres/errors.py
@@ -1,11 +1,12 @@
-"""Errors as PostgreSQL clients see them, and the SQLSTATEs this program gives.
+"""Errors as PostgreSQL clients see them, and the SQLSTATEs that the router reports.
 
-The states are those of the PostgreSQL manual, appendix A, but for two of our own: `REFUSED` and
-`FAILED`.
+The states are those of the PostgreSQL manual, appendix A, but for three of the router's own.
 """
 
 from __future__ import annotations
 
+from tansycrank.errors import TansycrankError
+
 PROTOCOL_VIOLATION = "08P01"
 FEATURE_NOT_SUPPORTED = "0A000"
 UNDEFINED_OBJECT = "42704"
@@ -31,16 +32,15 @@
 CANNOT_CONNECT_NOW = "57P03"
 INTERNAL = "XX000"
 
-REFUSED = "53T01"  # ours: the router refused the query; trying again is harmless
-FAILED = "58T01"  # ours: the router gave the query up; it may or may not have had an effect
-
-BROKE_OFF = "58T02"  # ours: an answer ended after rows of it had left; they are not the whole
+REFUSED = "53T01"  # own: the router rejected the query before it ran; a retry is harmless
+FAILED = "58T01"  # own: the router ended the query; it may or may not have had an effect
+BROKE_OFF = "58T02"  # own: an answer ended after some of its rows were sent
 
-QUERYS_OWN_FAULT = ("0A", "21", "22", "23", "42", "P0")  # classes: the node is healthy
-REFUSED_BEFORE_RUN = ("53300", "57P03")
+QUERYS_OWN_FAULT = ("0A", "21", "22", "23", "42", "P0")  # SQLSTATE classes: the node is healthy
+REFUSED_BEFORE_RUN = (TOO_MANY_CONNECTIONS, CANNOT_CONNECT_NOW)  # a node did not start the query
 
 
-class PgError(Exception):
+class PgError(TansycrankError):
     """An error for a client: SQLSTATE, message, and the optional fields of ErrorResponse."""
 
     def __init__(
@@ -52,7 +52,7 @@
 
     @property
     def fatal(self) -> bool:
-        """Whether the session ends with it."""
+        """Whether it ends the session."""
         return self.severity in ("FATAL", "PANIC")
 
     @property
@@ -62,18 +62,18 @@
 
 
 def cancelled() -> PgError:
-    """The end of a statement that its client cancelled, in PostgreSQL's words."""
+    """The error of a statement that its client cancelled, in PostgreSQL's wording."""
     return PgError(QUERY_CANCELED, "canceling statement due to user request")
 
 
 def retry_after(detail: str) -> float:
-    """The ms that a refusal's DETAIL tells to wait; 0 where it tells none."""
+    """Milliseconds to wait, from the DETAIL of a rejection; 0 where it names none."""
     found = detail.partition("retry_after_ms=")[2].split(" ")[0]
     return float(found or 0)
 
 
 def unsupported(construct: str, hint: str = "") -> PgError:
-    """The refusal of a statement whose parts can't be merged exactly; it names the construct."""
+    """The error of a statement whose shard results can't be merged exactly; names the construct."""
     return PgError(
         FEATURE_NOT_SUPPORTED, f"not supported over several shards: {construct}", hint=hint
     )
