--- a/tests/test_sql_node_connection.py
+++ b/tests/test_sql_node_connection.py
@@ -245,7 +245,7 @@
     node = Node()
     sending = node.send()
     link = node.accept()
-    node.streams[0].revoke_unsent(True)
+    node.streams[0].set_paused(True)
     assert link.transport.producerState == "paused"
     node.pools.cancel(sending)
     assert link.transport.producerState == "producing"
@@ -297,6 +297,6 @@
 
 def test_a_link_held_back_by_its_last_block_reads_on_for_the_next_part():
     node, link = ready()
-    node.streams[0].memory.grew = lambda stream, size: node.streams[0].revoke_unsent(True)
+    node.streams[0].memory.grew = lambda stream, size: node.streams[0].set_paused(True)
     link.dataReceived(ANSWER + pg.ready("I"))
     assert node.outcomes == [Outcome.SUCCEEDED] and link.transport.producerState == "producing"
