--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -10,21 +10,21 @@
 
 
 def settings(*classes, **changes):
-    base = dict(
-        classes=classes or (SAFE,),
-        routers=3,
-        tick=5.0,
-        shards=1,
-        cells=1,
-        replica_span=1,
-        max_attempts=3,
-        answer_grace=20.0,
-        drain_grace=500.0,
-        slow_start_overload_factor=2.0,
-        slow_start_window=1000.0,
-        slow_start_initial_share=0.2,
-        slow_start_duration=10_000.0,
-    )
+    base = {
+        "classes": classes or (SAFE,),
+        "routers": 3,
+        "tick": 5.0,
+        "shards": 1,
+        "cells": 1,
+        "replica_span": 1,
+        "max_attempts": 3,
+        "answer_grace": 20.0,
+        "drain_grace": 500.0,
+        "slow_start_overload_factor": 2.0,
+        "slow_start_window": 1000.0,
+        "slow_start_initial_share": 0.2,
+        "slow_start_duration": 10_000.0,
+    }
     return routing.Settings(**(base | changes))
 
 
--- a/tests/routing/test_admission_queue.py
+++ b/tests/routing/test_admission_queue.py
@@ -34,9 +34,7 @@
 
 
 def test_attempts_cancelled_late_narrow_the_window_without_any_response():
-    """Incident i3f2d23: all was given up at its aim, so no answer told that the queues were too
-    long.
-    """
+    """If all attempts end at the objective, no response shows that the queues are too long."""
     cls = routing.QueryClass(latency_objective=1000.0, deadline=4000.0, priority_weight=1.0)
     bench = Bench(settings(cls, allows_hedging=False), endpoints=(1,))
     bench.teach(latency=60.0, answers=30)
--- a/tests/routing/test_endpoint_updates.py
+++ b/tests/routing/test_endpoint_updates.py
@@ -25,9 +25,7 @@
 
 
 def test_removed_endpoints_are_forgotten_once_nothing_refers_to_them():
-    """Danger: nodes replaced under new ids all day. Rule 4 keeps one whose window holds a send of
-    ours.
-    """
+    """Endpoints replaced under new ids must not add up; slow start still counts recent sends."""
     bench = Bench(settings(), endpoints=(1, 2))
     _, [shard_request], _ = bench.query()
     endpoint = bench.attempts[shard_request][0][1]
--- a/tests/routing/test_hedging.py
+++ b/tests/routing/test_hedging.py
@@ -68,7 +68,7 @@
 
 
 def test_the_token_bucket_keeps_what_the_largest_query_earns():
-    """Danger: one large query every few seconds, and a bucket of one second empty for its tail."""
+    """With rare wide queries, a bucket of one second of refill is empty for each of them."""
     bench = Bench(
         settings(shards=40, cells=40), endpoints=[listed(s, cell=s // 2) for s in range(80)]
     )
@@ -125,17 +125,13 @@
 
 
 def test_the_first_wide_query_has_the_tokens_that_its_shard_requests_earn():
-    """Danger: a router that meets a few wide queries in its life sends no copy for the first of
-    them.
-    """
+    """A router that gets few wide queries must be able to hedge the first one."""
     bench, late = three_parts_late()
     assert all(len(bench.attempts[shard_request]) == 2 for shard_request in late)
 
 
 def test_tokens_suffice_for_the_rest_once_the_first_hedge_is_sent():
-    """Danger: one of three missing parts is copied, the others are not, and the query is lost
-    anyway.
-    """
+    """If one of three missing responses is hedged and the others are not, the query is lost."""
     bench, late = three_parts_late()
     assert (
         len({bench.attempts[shard_request][1][0] for shard_request in late}) == 1
--- a/tests/routing/test_outlier_ejection.py
+++ b/tests/routing/test_outlier_ejection.py
@@ -37,9 +37,7 @@
 
 
 def test_an_endpoint_that_gets_few_requests_is_ejected_for_longer():
-    """Danger: parts at a server seconds apart, and a trial each second: every part is one
-    (one_sided).
-    """
+    """After a short ejection, each of few requests would be a readmission attempt."""
     bench = Bench(settings(), endpoints=range(1, 61))
     bench.run(30_000)
     for _ in range(10):
--- a/tests/routing/test_probe_requests.py
+++ b/tests/routing/test_probe_requests.py
@@ -6,7 +6,7 @@
 
 
 def test_probe_requests_go_ahead_without_recent_responses():
-    """Danger: a router with one query at a time filling queues that it cannot see."""
+    """A router with one query at a time fills queues that it cannot see."""
     bench = Bench(settings(shards=16, cells=16), endpoints=[listed(s, cell=s) for s in range(16)])
     _, shard_requests, _ = bench.query(shard_requests=16, shards=range(16))
     assert len(bench.attempts) == 2
@@ -48,7 +48,7 @@
 
 
 def test_one_unanswered_probe_request_does_not_block_a_query():
-    """Danger: one paused server vetoing a query on a quiet day."""
+    """One paused endpoint must not block a query of a quiet system."""
     bench = Bench(settings(shards=16, cells=16), endpoints=[listed(s, cell=s) for s in range(16)])
     _, shard_requests, _ = bench.query(shard_requests=16, shards=range(16))
     bench.end(shard_requests[0], after=50.0)
@@ -82,9 +82,7 @@
 
 
 def test_a_probe_is_hedged_in_time_where_wasted_work_has_a_price():
-    """Danger: a copy kept for the aim comes after its query was refused for want of that very
-    pilot.
-    """
+    """A hedge sent near the objective comes after the query was rejected for want of its probe."""
     bench = Bench(
         settings(price_waste=0.08, shards=16, cells=16, replica_span=2),
         endpoints=[listed(s, cell=s % 16) for s in range(32)],
@@ -107,9 +105,7 @@
 
 
 def test_probes_without_any_response_are_hedged_before_their_query_is_rejected():
-    """Danger: a fleet that has just started; a third of the aim is later than the refusal at a
-    quarter.
-    """
+    """The delay assumed before any response is longer than the time until the rejection."""
     bench = Bench(
         settings(price_waste=0.08, shards=16, cells=16, replica_span=2),
         endpoints=[listed(s, cell=s % 16) for s in range(32)],
--- a/tests/routing/test_replica_selection.py
+++ b/tests/routing/test_replica_selection.py
@@ -72,7 +72,7 @@
 
 
 def test_a_request_rejected_by_its_only_replica_is_retried_there_after_a_pause():
-    """Danger: three attempts spent within 3 ms at one full queue, or none after the first."""
+    """At once, all attempts would be spent at one full queue; never, its later room is lost."""
     cold = [listed(endpoint, started_at=100_000.0) for endpoint in (2, 3, 4)]
     for endpoints in ([listed(1)], [listed(1), *cold]):
         bench = Bench(settings(routers=1000, slow_start_window=3000.0), endpoints=endpoints)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -28,7 +28,7 @@
 
 
 def test_a_query_that_breaks_two_servers_and_is_answered_by_none_is_given_up():
-    """Danger: a poisonous query takes down every server that begins a part of it."""
+    """A harmful query takes down every endpoint that begins one of its shard requests."""
     bench = spread(8)
     query, shard_requests, _ = bench.query(shard_requests=4, shards=[0, 2, 4, 6])
     assert all(len(bench.attempts[shard_request]) == 1 for shard_request in shard_requests)
@@ -47,7 +47,7 @@
 
 
 def test_an_attempt_times_out_when_its_answer_stops_being_of_use():
-    """Danger: parts of queries long ended are still worked off where a cancel frees nothing."""
+    """Where cancelling frees nothing, endpoints would go on working for queries that ended."""
     bench = spread(4, NO_LATE_WORTH)
     bench.query(shards=[0])
     send = of(routing.Send, bench.query(shards=[1])[2])[0]
@@ -55,7 +55,7 @@
 
 
 def test_a_time_out_alone_does_not_set_a_server_aside():
-    """Danger: at the aim of a late query every server would be set aside together."""
+    """Otherwise a late query would eject all its endpoints at its objective."""
     bench = spread(4, NO_LATE_WORTH)
     _, (shard_request,), _ = bench.query(shards=[0])
     endpoint = bench.router.endpoints[bench.attempts[shard_request][0][1]]
@@ -64,9 +64,7 @@
 
 
 def test_small_queries_send_a_pilot_where_most_answers_are_late():
-    """Danger: an overload of queries of four to seven parts, all sent at once to long queues
-    (id542ad).
-    """
+    """Under overload, small queries sent at once lengthen the queues."""
     bench = spread(8)
     for _ in range(40):
         _, (shard_request,), _ = bench.query(shards=[bench.numbers % 8])
@@ -77,9 +75,7 @@
 
 
 def test_a_started_query_is_kept_for_its_answer_in_part():
-    """Danger: half the weight thrown away because the pilot took more than a quarter of the aim
-    (id542ad).
-    """
+    """Most of the weight is lost if a late probe ends the query before its partial answer."""
     bench = Bench(
         settings(IN_PART, shards=8, cells=8), endpoints=[listed(s, cell=s) for s in range(8)]
     )
@@ -93,7 +89,7 @@
 
 
 def test_a_long_query_sends_one_part_ahead_where_its_aim_has_room():
-    """Danger: one poisonous query of 15 parts taking down 15 servers in the same moment (he9cb32)."""
+    """A harmful query sent at once takes down all its endpoints together."""
     bench = spread(16)
     _, shard_requests, _ = bench.query(shard_requests=16, shards=range(16))
     assert [
@@ -104,7 +100,7 @@
 
 
 def test_a_late_pilot_frees_the_rest_unless_a_connection_broke():
-    """Danger: one paused server holding up every long query of a quiet day."""
+    """One paused endpoint must not hold up every wide query of a quiet system."""
     bench = spread(16)
     _, shard_requests, _ = bench.query(shard_requests=16, shards=range(16))
     bench.run(400)
@@ -112,7 +108,7 @@
 
 
 def test_after_a_poisonous_query_every_query_sends_one_part_ahead():
-    """Danger: its client asks again, and the same servers go down again."""
+    """Its client retries, and the same endpoints would be lost again."""
     bench = spread(8)
     _, shard_requests, _ = bench.query(shard_requests=4, shards=[0, 2, 4, 6])
     bench.run(60)
@@ -129,9 +125,7 @@
 
 
 def test_a_reset_on_an_unused_connection_says_nothing_of_its_server_and_is_not_met_twice():
-    """Danger: idle connections dropped unseen; servers set aside and unsafe parts failed by the
-    dozen.
-    """
+    """Connections closed while idle must neither eject endpoints nor fail requests."""
     bench = spread(4)
     bench.run(3000)
     _, (shard_request,), _ = bench.query(shards=[0])
@@ -156,15 +150,13 @@
 
 
 def test_a_small_query_waits_for_its_pilot_while_the_rest_can_be_in_time():
-    """Danger: one late pilot of a sound fleet refusing a third of the small queries (a deploy at
-    size).
-    """
+    """One late probe of a sound system must not reject small queries."""
     bench = spread(8)
     for _ in range(40):
         _, (shard_request,), _ = bench.query(shards=[bench.numbers % 8])
         bench.run(300)
         bench.end(shard_request, 0)
-    query, shard_requests, _ = bench.query(shard_requests=4, shards=[0, 2, 4, 6])
+    _, shard_requests, _ = bench.query(shard_requests=4, shards=[0, 2, 4, 6])
     (pilot,) = [
         shard_request for shard_request in shard_requests if shard_request in bench.attempts
     ]
@@ -174,9 +166,7 @@
 
 
 def test_a_server_that_fails_quickly_is_set_aside():
-    """Danger: quick errors keep a server's room free, and it attracts more parts than the sound
-    ones.
-    """
+    """Quick errors keep the window of an endpoint free and attract more requests."""
     bench = spread(2, routers=1)
     _, (shard_request,), _ = bench.query(shards=[0])
     failing = bench.attempts[shard_request][0][1]
@@ -188,7 +178,7 @@
 
 
 def test_tokens_are_kept_for_queries_that_they_can_make_whole():
-    """Danger: copies for a query that misses many parts, and none for the one that misses its last."""
+    """Hedges for a query that misses many responses leave none for one that misses its last."""
     bench = spread(16)
     bench.router.hedging.tokens, bench.router.hedging.largest_query_tokens = 1.0, 5.0
     _, many, _ = bench.query(shard_requests=6, shards=range(0, 12, 2))
@@ -201,7 +191,7 @@
 
 
 def test_answers_after_this_router_stood_still_teach_nothing():
-    """Danger: our own standing still taken for servers that are slow, and windows cut for it."""
+    """A stall of this router must not be taken for slow endpoints."""
     bench = spread(2)
     _, (shard_request,), _ = bench.query(shards=[0])
     endpoint, lateness = (
@@ -214,9 +204,7 @@
 
 
 def test_a_keyed_part_past_its_window_is_settled_at_once():
-    """Danger: a part that can't be sent again sits in the line until the aim, and its query with
-    it.
-    """
+    """A request that may not be retried would wait in the queue until the objective."""
     keyed = routing.QueryClass(
         latency_objective=1000.0,
         deadline=4000.0,
@@ -232,9 +220,7 @@
 
 
 def test_after_a_stall_due_final_answers_come_and_nothing_is_sent_for_them():
-    """Danger: a router that finds a second's events at once sends a part of a query whose client
-    has left.
-    """
+    """After a stall, nothing may be sent for a query whose client has left."""
     bench = Bench(settings(), endpoints=(1,))
     queries = [bench.query(remaining=900.0) for _ in range(30)]
     waiting = [
@@ -262,9 +248,7 @@
 
 
 def test_a_silent_server_is_tried_again_after_a_time_that_follows_the_aim():
-    """Danger: times that fit long aims alone, so that a pause of 200 ms sets a server aside for two
-    aims.
-    """
+    """A fixed ejection would be too long for short objectives."""
     for aim in (400.0, 4000.0):
         bench = spread(
             2,
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -26,23 +26,23 @@
     cfg = settings(
         *CLASSES,
         **(
-            dict(
-                routers=ROUTERS,
-                shards=3 * NODES,
-                cells=NODES,
-                replica_span=4,
-                tick=1.0,
-                call_batch_size=16,
-                call_work=9.0,
-                slow_start_overload_factor=2.0,
-                slow_start_window=3000.0,
-                slow_start_initial_share=0.15,
-                slow_start_duration=18_000.0,
-                price_waste=0.08,
-                can_retry_after=True,
-                max_retry_after=500.0,
-                polls_discovery=True,
-            )
+            {
+                "routers": ROUTERS,
+                "shards": 3 * NODES,
+                "cells": NODES,
+                "replica_span": 4,
+                "tick": 1.0,
+                "call_batch_size": 16,
+                "call_work": 9.0,
+                "slow_start_overload_factor": 2.0,
+                "slow_start_window": 3000.0,
+                "slow_start_initial_share": 0.15,
+                "slow_start_duration": 18_000.0,
+                "price_waste": 0.08,
+                "can_retry_after": True,
+                "max_retry_after": 500.0,
+                "polls_discovery": True,
+            }
             | changes
         ),
     )
@@ -78,9 +78,7 @@
 
 
 def test_cold_nodes_take_a_good_part_of_what_they_can(cold_fleet):
-    """Danger: shares of routers that seldom meet a node lapse; the warm nodes drown beside idle
-    ones.
-    """
+    """If allowances of thin routers lapse, warm endpoints are overloaded beside idle cold ones."""
     made, cold = cold_fleet
     loads = [made.load_of_rule_4(made.nodes[id], end) for id in cold for end in (9000.0, 12_000.0)]
     assert sum(loads) / len(loads) >= 0.06
@@ -92,7 +90,7 @@
 
 
 def test_routers_whose_watches_end_together_ask_again_apart():
-    """Danger: a common failure turned into waves of hundreds of calls, each of which fails for all."""
+    """Calls that all routers repeat together fail for all of them again."""
     made = fleet(3)
     made.watches.clear()
     for wave in range(6):
@@ -107,9 +105,7 @@
 
 
 def test_a_hundred_and_forty_routers_that_start_at_once_serve_every_class():
-    """Danger: seven in ten routers without any answer yet, each of which refuses what it cannot
-    judge.
-    """
+    """Routers without any response yet must not reject what they cannot judge."""
     made = fleet(4)
     made.traffic(range(ROUTERS), until=8000.0, every=1500.0, wide=40)
     made.run(3000.0)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -141,7 +141,7 @@
 
 def test_rule_3_the_guard_itself_refuses_a_server_that_is_not_ready():
     bench = Bench(settings(), endpoints=(1,))
-    query, (shard_request,), _ = bench.query()
+    _, (shard_request,), _ = bench.query()
     router = bench.router
     endpoint, held = router.endpoints[1], router.queries.shard_requests[shard_request]
     held.attempts.clear()
@@ -151,7 +151,7 @@
 
 
 def test_rule_4_all_routers_together_keep_a_cold_sole_replica_within_what_it_bears():
-    """Danger: dozens of routers each sending just one part to a server that has come back."""
+    """Many routers that each send a single request overload an endpoint that has just started."""
     for routers in (1, 3, 40):
         sent = cold_burst(routers)
         assert sent, routers
@@ -166,7 +166,7 @@
 
 
 def test_rule_4_a_fleet_of_thin_routers_uses_most_of_what_a_cold_server_of_two_cores_bears():
-    """Danger: a tenth of the rule's budget used, the warm servers drowned, the cold ones idle."""
+    """If most of the allowance lapses, warm endpoints are overloaded beside idle cold ones."""
     sent = cold_burst(100, spans=3, queries=3, every=3500)  # each router asks once a window
     last = sum(6000.0 < t <= 9000.0 for t in sent)
     borne = (
@@ -188,9 +188,7 @@
 
 
 def test_rule_4_light_parts_and_warm_keys_do_not_raise_what_two_cold_cores_get():
-    """Danger: the pace of parts on warm keys taken for the pace of all; the rule counts the class's
-    work.
-    """
+    """Responses from cached keys are quicker than the work that the allowance is based on."""
     light = [60.0] * 20  # two answers in five are quick
     for routers in (1, 20):
         sent = cold_burst(routers, light=light)
@@ -258,9 +256,7 @@
 
 
 def test_a_server_set_aside_takes_what_cold_ones_without_a_lot_cannot():
-    """Danger: 63 parts of a query answered and thrown away, because the last waits for a lot till
-    its aim.
-    """
+    """A request that waits for slow start until its objective wastes all others of its query."""
     bench = Bench(settings(routers=1000, slow_start_window=3000.0), endpoints=(1,))
     bench.teach(latency=100.0)
     query, (shard_request,), _ = bench.query()
@@ -279,7 +275,7 @@
 
 
 def test_rule_2_a_keyed_repeat_is_told_until_when_it_may_leave():
-    """Danger: it waits for its connection, and is written once its window is over."""
+    """Otherwise it may be written late, once a connection is up and its window has ended."""
     bench = Bench(settings(KEYED))
     _, (shard_request,), actions = bench.query(remaining=8000.0)
     assert [send.leave_within for send in of(routing.Send, actions)] == [
