--- a/tansycrank/admission/controller.py
+++ b/tansycrank/admission/controller.py
@@ -1,8 +1,7 @@
-"""Carries out what the door decides: holds queries that wait, starts those let in, answers the
-others.
+"""Carries out the actions of the admission policy: holds, starts and rejects queries.
 
-It decides nothing. Queries of fronts come in through `enter`; the module's own refusals pass back
-through it, so that the time to come back that a client hears is the door's.
+Queries enter through `enter`. Rejections by the routing policy pass back through the admission
+policy, so that the Retry-After that a client gets is that of admission control.
 """
 
 from __future__ import annotations
@@ -20,7 +19,7 @@
     QueryCancelled,
     QueryEnded,
 )
-from tansycrank.admission.identity import Asker
+from tansycrank.admission.identity import CallerIdentity
 from tansycrank.admission.policy import Policy
 from tansycrank.admission.settings import Limits
 from tansycrank.postgres.errors import (
@@ -32,9 +31,9 @@
     retry_after,
 )
 
-BEAT = 0.05  # seconds between two looks while anything is open
-TOLD = 1000  # tenants counted between two log lines
-WHY = {
+TICK_INTERVAL_SECONDS = 0.05  # while any query is open
+MAX_LOGGED_TENANTS = 1000  # between two log lines
+REASON_TEXTS = {
     "line": "its turn would come too late",
     "late": "its turn did not come in time",
     "full": "the line is full",
@@ -44,25 +43,27 @@
 }
 
 
-def refusal(wait: float, reason: str, corrected: bool = False) -> PgError:
-    """The one answer to a query that is turned away: it never ran, and may come back."""
+def rejection_error(wait: float, reason: str, corrected: bool = False) -> PgError:
+    """The error of a rejected query, which was never executed."""
     later = ", and an earlier time could not be held" if corrected else ""
     return PgError(
         REFUSED,
-        f"refused: {WHY[reason]}{later}; trying again is harmless",
-        detail=f"retry_after_ms={math.ceil(max(wait, 0))} reason={reason} corrected={int(corrected)}",
+        f"refused: {REASON_TEXTS[reason]}{later}; trying again is harmless",
+        detail=f"retry_after_ms={math.ceil(max(wait, 0))} reason={reason}"
+        f" corrected={int(corrected)}",
         hint="come back after the time in the detail field: a place is kept then",
     )
 
 
 @dataclass(slots=True, eq=False)
-class Entry:
-    """A query at the door or inside. `start(time left in ms, done)` runs it and returns what
-    cancels it.
+class AdmissionEntry:
+    """A query that is queued or in flight.
+
+    `start(remaining ms, done)` runs it and returns the handle that cancels it.
     """
 
     id: int
-    asker: Asker
+    caller: CallerIdentity
     deadline: float  # ms of the clock
     start: Callable[[float, Callable[[Any], None]], Any]
     done: Callable[[Any], None]
@@ -73,17 +74,17 @@
 
 
 class AdmissionController:
-    """The door of one router on its reactor. With `policy` None it is off: everyone goes straight
-    in.
-    """
+    """Admission control of one router; with `policy` None each query is admitted at once."""
 
     def __init__(self, reactor, policy: Policy | None, log=None) -> None:
         self.reactor, self.policy, self.log = reactor, policy, log
-        self.entries: dict[int, Entry] = {}
-        self.told: dict[str, dict[str, int]] = {}  # tenant: reasons, since the last line of the log
+        self.entries: dict[int, AdmissionEntry] = {}
+        self.rejected_by_tenant: dict[
+            str, dict[str, int]
+        ] = {}  # tenant: reasons, since the last line of the log
         self._ids = 0
-        self._beat = self._wake = None
-        self._beat_due = self._logged = 0.0
+        self._tick_call = self._timer = None
+        self._tick_due_ms = self._logged_at_ms = 0.0
 
     @property
     def now(self) -> float:
@@ -94,7 +95,7 @@
 
     def enter(
         self,
-        asker: Asker,
+        caller: CallerIdentity,
         query_class: int,
         shard_requests: int,
         remaining: float,
@@ -105,92 +106,107 @@
         size: int = 0,
         repeat: bool = False,
         session: int = 0,
-    ) -> Entry:
-        """A query asks to be let in; `done` hears its one answer, perhaps before this returns."""
+    ) -> AdmissionEntry:
+        """Admit, queue or reject a query; `done` gets its one answer, perhaps before this returns."""
         self._ids += 1
         now = self.now
-        entry = self.entries[self._ids] = Entry(self._ids, asker, now + remaining, start, done)
+        entry = self.entries[self._ids] = AdmissionEntry(
+            self._ids, caller, now + remaining, start, done
+        )
         if self.policy is None:
             self._admit(entry, now)
             return entry
-        self._play(
+        self._step(
             QueryArrived(
-                entry.id, asker.tenant, asker.client, query_class, shard_requests, remaining, statement, mark, size,
-                repeat, asker.limits, session,
+                entry.id, caller.tenant, caller.client, query_class, shard_requests, remaining,
+                statement, mark, size, repeat, caller.limits, session,
             )
         )  # fmt: skip
-        self._keep_beat()
+        self._schedule_tick()
         return entry
 
-    def pressed(self, tenant: str) -> bool:
-        """Whether a tenant may have to wait."""
+    def may_reject(self, tenant: str) -> bool:
+        """Whether a new query of this tenant may be rejected."""
         return self.policy is not None and self.policy.may_reject(tenant)
 
-    def glance(
+    def reject_early(
         self,
-        asker: Asker,
+        caller: CallerIdentity,
         query_class: int,
         remaining: float,
         mark: int,
         repeat: bool,
         session: int = 0,
     ) -> PgError | None:
-        """The refusal of a query whose turn is too far off whatever it is, None where it may not
-        be.
+        """Reject a query by its text alone, if it would be rejected even with one shard request.
+
+        None if it has to be planned first.
         """
-        number, who = self._ids + 1, (asker.tenant, asker.client)
+        number, who = self._ids + 1, (caller.tenant, caller.client)
         event = QueryArrived(
-            number, *who, query_class, 1, remaining, 0, mark, 0, repeat, asker.limits, session
+            number, *who, query_class, 1, remaining, 0, mark, 0, repeat, caller.limits, session
         )
         if not self.policy.would_reject(self.now, event):
             return None
         self._ids += 1
-        told: list[PgError] = []
-        entry = Entry(event.id, asker, self.now + remaining, lambda left, done: None, told.append)
+        errors: list[PgError] = []
+        entry = AdmissionEntry(
+            event.id, caller, self.now + remaining, lambda left, done: None, errors.append
+        )
         self.entries[entry.id] = entry
-        self._play(event)
-        self._keep_beat()
-        if not told:  # it could have waited after all: it is to be looked at
-            self._play(QueryCancelled(entry.id))
+        self._step(event)
+        self._schedule_tick()
+        if not errors:  # it was queued or admitted after all, and has to be planned
+            self._step(QueryCancelled(entry.id))
             entry.ended = True
             self.entries.pop(entry.id, None)
-        return told[0] if told else None
+        return errors[0] if errors else None
 
-    def _count_told(self, tenant: str, reason: str) -> None:
-        reasons = self.told.setdefault(tenant, {}) if len(self.told) < TOLD else {}
+    def _count_rejection(self, tenant: str, reason: str) -> None:
+        reasons = (
+            self.rejected_by_tenant.setdefault(tenant, {})
+            if len(self.rejected_by_tenant) < MAX_LOGGED_TENANTS
+            else {}
+        )
         reasons[reason] = reasons.get(reason, 0) + 1
 
-    def leave(self, entry: Entry, cancel: Callable[[Any], None]) -> None:
-        """Its client cancels or has gone: out of the line, or `cancel(what start returned)`."""
+    def leave(self, entry: AdmissionEntry, cancel: Callable[[Any], None]) -> None:
+        """The client cancelled or disconnected: dequeue the query, or cancel it if it is running."""
         if entry.ended:
             return
         if entry.is_admitted:
             cancel(entry.running)
             return
-        self._play(QueryCancelled(entry.id))
+        self._step(QueryCancelled(entry.id))
         self._finish(entry, cancelled())
 
     def change(self, tenant: str, limits: Limits) -> None:
-        """An operator gives a tenant other limits."""
+        """Change the limits of a tenant."""
         if self.policy is not None:
-            self._play(LimitsChanged(tenant, limits))
+            self._step(LimitsChanged(tenant, limits))
         if self.log:
-            self.log.info("tenant_limits_changed", tenant=tenant, weight=limits.weight, min_share=limits.min_share,
-                          max_share=limits.max_share, burst_ms=limits.burst)  # fmt: skip
+            self.log.info(
+                "tenant_limits_changed",
+                tenant=tenant,
+                weight=limits.weight,
+                min_share=limits.min_share,
+                max_share=limits.max_share,
+                burst_ms=limits.burst,
+            )
 
     def close(self, problem: PgError) -> None:
-        """The router ends: who waits hears so at once."""
-        for call in (self._beat, self._wake):
+        """The router shuts down: answer all queued queries with this error."""
+        for call in (self._tick_call, self._timer):
             if call is not None and call.active():
                 call.cancel()
-        self._beat = self._wake = None
+        self._tick_call = self._timer = None
         for entry in list(self.entries.values()):
             if not entry.is_admitted:
                 self._finish(entry, problem)
 
     # --- carrying out -----------------------------------------------------------------------
 
-    def _play(self, event: object) -> None:
+    def _step(self, event: object) -> None:
         now = self.now
         for action in self.policy.step(now, [event]):
             match action:
@@ -198,24 +214,24 @@
                     if number in self.entries:
                         self._admit(self.entries[number], now)
                 case Reject(number, wait, reason, corrected):
-                    self._refuse(number, wait, reason, corrected)
+                    self._reject(number, wait, reason, corrected)
                 case SetTimer(at):
-                    self._wake_at(at)
+                    self._set_timer(at)
 
-    def _admit(self, entry: Entry, now: float) -> None:
+    def _admit(self, entry: AdmissionEntry, now: float) -> None:
         entry.is_admitted, entry.began = True, now
         left = max(entry.deadline - now, 1.0)
         entry.running = entry.start(left, lambda outcome: self._ended(entry, outcome))
 
-    def _refuse(self, number: int, wait: float, reason: str, corrected: bool) -> None:
+    def _reject(self, number: int, wait: float, reason: str, corrected: bool) -> None:
         entry = self.entries.get(number)
         if entry is None:
             return
-        self._count_told(entry.asker.tenant, reason)
-        self._finish(entry, refusal(wait, reason, corrected))
+        self._count_rejection(entry.caller.tenant, reason)
+        self._finish(entry, rejection_error(wait, reason, corrected))
 
-    def _ended(self, entry: Entry, outcome: Any) -> None:
-        """The answer of a query that was let in."""
+    def _ended(self, entry: AdmissionEntry, outcome: Any) -> None:
+        """Pass the outcome of an admitted query to the policy and to its client."""
         if entry.ended:
             return
         if self.policy is None:
@@ -228,10 +244,10 @@
             )
             if kind == "refused":
                 retry_after_ms = retry_after(outcome.detail)
-        self._play(QueryEnded(entry.id, kind, self.now - entry.began, retry_after_ms))
+        self._step(QueryEnded(entry.id, kind, self.now - entry.began, retry_after_ms))
         self._finish(entry, outcome)  # where it was refused it has been answered by now
 
-    def _finish(self, entry: Entry, outcome: Any) -> None:
+    def _finish(self, entry: AdmissionEntry, outcome: Any) -> None:
         if not entry.ended:
             entry.ended = True
             self.entries.pop(entry.id, None)
@@ -239,38 +255,41 @@
 
     # --- time ---------------------------------------------------------------------------------
 
-    def _wake_at(self, at: float) -> None:
-        if self._wake is not None and self._wake.active():
-            if self._wake.getTime() * 1000 <= at + 1:
+    def _set_timer(self, at: float) -> None:
+        if self._timer is not None and self._timer.active():
+            if self._timer.getTime() * 1000 <= at + 1:
                 return
-            self._wake.cancel()
-        self._wake = self.reactor.callLater(max(at - self.now, 0) / 1000 + 0.0005, self._woken)
-
-    def _woken(self) -> None:
-        self._wake = None
-        self._play(PeriodicTick())
-
-    def _keep_beat(self) -> None:
-        if self._beat is None:
-            self._beat_due = self.now + BEAT * 1000
-            self._beat = self.reactor.callLater(BEAT, self._on_beat)
-
-    def _on_beat(self) -> None:
-        self._beat = None
-        self._play(PeriodicTick(max(self.now - self._beat_due, 0.0)))
-        self._log_told()
-        if self.entries or self.told:
-            self._keep_beat()
-
-    def _log_told(self) -> None:
-        """Who was held back and why: one line a second."""
-        if not self.told or self.now - self._logged < 1000:
+            self._timer.cancel()
+        self._timer = self.reactor.callLater(max(at - self.now, 0) / 1000 + 0.0005, self._on_timer)
+
+    def _on_timer(self) -> None:
+        self._timer = None
+        self._step(PeriodicTick())
+
+    def _schedule_tick(self) -> None:
+        if self._tick_call is None:
+            self._tick_due_ms = self.now + TICK_INTERVAL_SECONDS * 1000
+            self._tick_call = self.reactor.callLater(TICK_INTERVAL_SECONDS, self._on_tick)
+
+    def _on_tick(self) -> None:
+        self._tick_call = None
+        self._step(PeriodicTick(max(self.now - self._tick_due_ms, 0.0)))
+        self._log_rejections()
+        if self.entries or self.rejected_by_tenant:
+            self._schedule_tick()
+
+    def _log_rejections(self) -> None:
+        """Log the rejections by tenant and reason, at most once a second."""
+        if not self.rejected_by_tenant or self.now - self._logged_at_ms < 1000:
             return
-        self._logged, told = self.now, self.told
-        self.told = {}
+        self._logged_at_ms, rejected_by_tenant = self.now, self.rejected_by_tenant
+        self.rejected_by_tenant = {}
         if self.log:
-            most = sorted(told.items(), key=lambda item: -sum(item[1].values()))[:10]
+            most = sorted(rejected_by_tenant.items(), key=lambda item: -sum(item[1].values()))[:10]
             limit = round(self.policy.limit.shard_requests)
             self.log.info(
-                "queries_rejected_by_admission", tenants=len(told), most=dict(most), limit=limit
+                "queries_rejected_by_admission",
+                tenants=len(rejected_by_tenant),
+                most=dict(most),
+                limit=limit,
             )
--- a/tansycrank/admission/identity.py
+++ b/tansycrank/admission/identity.py
@@ -94,7 +94,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asker:
+class CallerIdentity:
     """Who asks: the tenant, the client within it, and the rule's limits."""
 
     tenant: str
@@ -116,7 +116,7 @@
         prefix6: int = 48,
     ) -> None:
         self.rules = tuple(rules)
-        self._known: dict[tuple[str, str, str, str], Asker] = {}
+        self._known: dict[tuple[str, str, str, str], CallerIdentity] = {}
         self.prefix = {4: prefix4, 6: prefix6}
         self._entry, self._allowing = Networks(), False
         for text in allow:
@@ -142,7 +142,7 @@
             found = []
         return False not in found if found else not self._allowing
 
-    def who(self, caller: Caller, claimed: str = "") -> Asker:
+    def who(self, caller: Caller, claimed: str = "") -> CallerIdentity:
         """The tenant of a session, which sets `tansycrank.tenant` to what it claims. Kept for a
         while.
         """
@@ -153,7 +153,7 @@
             self._known[key] = self._who(caller, claimed)
         return self._known[key]
 
-    def _who(self, caller: Caller, claimed: str) -> Asker:
+    def _who(self, caller: Caller, claimed: str) -> CallerIdentity:
         try:
             peer = read_address(caller.address)
         except (AddrFormatError, ValueError):
@@ -163,8 +163,8 @@
         for rule in chain(near, self._anywhere):
             name = self._name(rule, caller, claimed, peer)
             if name is not None:
-                return Asker(name[:NAME_LIMIT], client, rule.limits)
-        return Asker(self._shared(peer), client, Limits())
+                return CallerIdentity(name[:NAME_LIMIT], client, rule.limits)
+        return CallerIdentity(self._shared(peer), client, Limits())
 
     def _shared(self, peer: IPAddress | None) -> str:
         if peer is None:
--- a/tansycrank/admission/policy.py
+++ b/tansycrank/admission/policy.py
@@ -69,7 +69,7 @@
         for event in events:
             self._handlers[type(event)](now, event)
         self._expire(now)
-        if self.limit.turn(now):
+        if self.limit.end_interval(now):
             self._shares.update(now, self.tenants.values(), self.drain_rate)
         self._admit_queued(now)
         if (due := self.queue.next_deadline) is not None:
@@ -189,7 +189,7 @@
             self._reject(now, tenant, query, RejectionReason.ROUTING_REJECTED, event.retry_after_ms)
 
     def _on_tick(self, now: float, event: PeriodicTick) -> None:
-        self.limit.lag(event.late)
+        self.limit.record_timer_lag(event.late)
         self._stalls.record(now, event.late)
 
     def _on_limits_changed(self, now: float, event: LimitsChanged) -> None:
--- a/tansycrank/admission/stalls.py
+++ b/tansycrank/admission/stalls.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tansycrank.admission.concurrency_limit import SPAN
+from tansycrank.admission.concurrency_limit import INTERVAL_MS
 
 
 class StallTracker:
@@ -14,7 +14,7 @@
 
     def record(self, now: float, late: float) -> None:
         """A timer expired so late; more than a measuring interval is a stall."""
-        if late > SPAN:
+        if late > INTERVAL_MS:
             self._length, self._ended_at = late, now
 
     def without_stall(self, started_at: float, latency: float) -> float:
--- a/tansycrank/daemon.py
+++ b/tansycrank/daemon.py
@@ -24,7 +24,7 @@
 from tansycrank.sql_router.coordinator import Coordinator
 from tansycrank.sql_router.service import Service
 
-SWEEP = 5.0  # seconds between two looks for links that nobody uses
+MAINTENANCE_INTERVAL_SECONDS = 5.0  # seconds between two looks for links that nobody uses
 
 
 def make_log(section, stream=None) -> Any:
@@ -81,10 +81,10 @@
             config.router.seed,
             self.pools,
             keeper,
-            self._watch,
-            self._broken,
+            self._on_watch_endpoints,
+            self._on_policy_failed,
         )
-        self.coordinator.on_violation = self._violated
+        self.coordinator.on_violation = self._on_violation
         kind = FeedClient if config.roster.feed else EndpointFile
         self.roster = kind(reactor, config, self.pools, self.coordinator.handle_endpoint_list, log)
         self.service = Service(config, self.coordinator, log)
@@ -93,13 +93,11 @@
         )
         self.port = None
         self.stopped = False
-        self._sweep = None
+        self._maintenance_call = None
         self.on_stopped = lambda: None
 
     def start(self) -> int:
-        """Listen, and begin to watch the roster; returns the port. Clears what a crash left on
-        disk.
-        """
+        """Remove spill files of a crash, listen, and watch discovery; returns the port."""
         gone = self.space.clean()
         if gone and self.log:
             self.log.warning("leftover_spill_files_removed", removed=gone)
@@ -107,7 +105,9 @@
             self.config.listen.port, self.front, backlog=1024, interface=self.config.listen.host
         )
         self.coordinator.start()
-        self._sweep = self.reactor.callLater(SWEEP, self._clean)
+        self._maintenance_call = self.reactor.callLater(
+            MAINTENANCE_INTERVAL_SECONDS, self._maintain
+        )
         number = self.port.getHost().port
         if self.log:
             self.log.info(
@@ -118,19 +118,21 @@
             )
         return number
 
-    def _clean(self) -> None:
-        self._sweep = self.reactor.callLater(SWEEP, self._clean)
+    def _maintain(self) -> None:
+        self._maintenance_call = self.reactor.callLater(
+            MAINTENANCE_INTERVAL_SECONDS, self._maintain
+        )
         self.pools.sweep()
 
-    def _watch(self, on: bool) -> None:
+    def _on_watch_endpoints(self, on: bool) -> None:
         self.roster.watch(on)
 
-    def _broken(self, error: BaseException) -> None:
+    def _on_policy_failed(self, error: BaseException) -> None:
         if self.log:
             self.log.critical("policy_failed", error=repr(error), exc_info=error)
         self.stop_now()
 
-    def _violated(self, violation: Violation) -> None:
+    def _on_violation(self, violation: Violation) -> None:
         if self.log:
             self.log.error(
                 "invariant_violated",
@@ -141,7 +143,7 @@
             )
 
     def stop(self) -> None:
-        """Take nothing new, finish what is in flight within `stop_within_ms`, then leave."""
+        """Shut down gracefully: accept no sessions, drain queries for at most `stop_within_ms`."""
         if self.front.stopping:
             return
         if self.log:
@@ -152,34 +154,34 @@
             )
         self.port.stopListening()
         self.front.stop_taking()
-        self._wait(self.reactor.seconds() + self.config.router.stop_within_ms / 1000)
+        self._drain(self.reactor.seconds() + self.config.router.stop_within_ms / 1000)
 
-    def _wait(self, until: float) -> None:
+    def _drain(self, shutdown_deadline: float) -> None:
         busy = self.coordinator.queries or any(s.state == "ready" for s in self.front.sessions)
-        if busy and self.reactor.seconds() < until:
+        if busy and self.reactor.seconds() < shutdown_deadline:
             self.front.stop_taking()
-            self.reactor.callLater(0.02, self._wait, until)
+            self.reactor.callLater(0.02, self._drain, shutdown_deadline)
         else:
             self.stop_now()
 
     def stop_now(self) -> None:
-        """End all sessions and leave; each open query is answered with 57P01 before."""
+        """Stop at once: answer each open query with 57P01, then end all sessions."""
         if self.stopped:
             return
         self.stopped = True
         self.service.admission.close(PgError(SHUTTING_DOWN, "the router is shutting down"))
-        for job in list(self.coordinator.queries.values()):
-            self.coordinator.abandon(job, PgError(SHUTTING_DOWN, "the router is shutting down"))
+        for query in list(self.coordinator.queries.values()):
+            self.coordinator.abandon(query, PgError(SHUTTING_DOWN, "the router is shutting down"))
         for session in list(self.front.sessions):
             session.shut()
         self.coordinator.lifecycle.stop(self.coordinator.now)
         self.coordinator.stop()
         self.roster.stop()
-        if self._sweep is not None and self._sweep.active():
-            self._sweep.cancel()
-        self.reactor.callLater(0.1, self._leave)
+        if self._maintenance_call is not None and self._maintenance_call.active():
+            self._maintenance_call.cancel()
+        self.reactor.callLater(0.1, self._finish)
 
-    def _leave(self) -> None:
+    def _finish(self) -> None:
         self.pools.close()
         for session in list(self.front.sessions):
             session.transport.abortConnection()
@@ -214,7 +216,7 @@
         reactor.callFromThread(daemon.stop_now if daemon.front.stopping else daemon.stop)
 
     gc.collect()
-    # the program itself is never garbage: looking through it again and again costs time
+    # modules and settings are never garbage; without this each collection scans them
     gc.freeze()
     gc.set_threshold(20_000, 20, 20)
     signal.signal(signal.SIGTERM, stop)
--- a/tansycrank/sql_router/service.py
+++ b/tansycrank/sql_router/service.py
@@ -15,8 +15,8 @@
 import xxhash
 
 from tansycrank.admission import views
-from tansycrank.admission.controller import AdmissionController, Entry
-from tansycrank.admission.identity import Asker, Caller, Identity
+from tansycrank.admission.controller import AdmissionController, AdmissionEntry
+from tansycrank.admission.identity import Caller, CallerIdentity, Identity
 from tansycrank.config import Config, admission_policy, caller_identity, split_list
 from tansycrank.merge import pipeline
 from tansycrank.merge.blocks import frames_of
@@ -67,7 +67,7 @@
 class Running:
     """A handle to cancel by."""
 
-    entry: Entry
+    entry: AdmissionEntry
 
 
 class Service:
@@ -276,11 +276,11 @@
         if not STORE_STATEMENT.match(sql):
             return None
         caller_id = self.identity.who(caller, settings.get("tansycrank.tenant", ""))
-        if not self.admission.pressed(caller_id.tenant):
+        if not self.admission.may_reject(caller_id.tenant):
             return None
         index = self.class_of(sql, settings)
         mark, remaining = self._query_hash(caller_id, sql, ()), self._remaining_ms(index, settings)
-        return self.admission.glance(
+        return self.admission.reject_early(
             caller_id,
             3 * index + QueryForm.IDEMPOTENT,
             remaining,
@@ -289,7 +289,9 @@
             caller.session,
         )
 
-    def _query_hash(self, caller_id: Asker, sql: str, values: tuple[bytes | None, ...]) -> int:
+    def _query_hash(
+        self, caller_id: CallerIdentity, sql: str, values: tuple[bytes | None, ...]
+    ) -> int:
         digest = xxhash.xxh3_64(
             f"{caller_id.tenant}|{caller_id.client}|{sql.rstrip('; ')}".encode()
         )
--- a/tansycrank/testbed/admission_emulator.py
+++ b/tansycrank/testbed/admission_emulator.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field, replace
 
 from tansycrank import routing
-from tansycrank.admission.identity import Asker
+from tansycrank.admission.identity import CallerIdentity
 from tansycrank.admission.policy import Policy
 from tansycrank.admission.settings import Limits, Settings
 from tansycrank.postgres.errors import REFUSED, PgError, retry_after
@@ -156,7 +156,9 @@
         tally.asked += 1
         self._marks += 1
         router = self.routers[self.rng.randrange(len(self.routers))]
-        asker = Asker(load.name, f"{load.name}/{self.rng.randrange(load.clients)}", load.limits)
+        asker = CallerIdentity(
+            load.name, f"{load.name}/{self.rng.randrange(load.clients)}", load.limits
+        )
         self._ask(load, router, asker, self._marks, None, 0)
 
     def _ask(self, load, router, asker, mark: int, promise: Promise | None, tries: int) -> None:
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -2,13 +2,13 @@
 
 from twisted.internet.task import Clock
 
-from tansycrank.admission.controller import AdmissionController, refusal
-from tansycrank.admission.identity import Asker
+from tansycrank.admission.controller import AdmissionController, rejection_error
+from tansycrank.admission.identity import CallerIdentity
 from tansycrank.admission.policy import Policy
 from tansycrank.admission.settings import Limits, Settings
 from tansycrank.postgres.errors import REFUSED, PgError
 
-ASKER = Asker("a", "a/x", Limits())
+ASKER = CallerIdentity("a", "a/x", Limits())
 
 
 class LocalCluster:
@@ -57,8 +57,8 @@
         site.end(next(iter(site.running)))
     before = len(site.running)
     site.gate.policy.in_flight.shard_requests -= 2  # room that nobody was told of
-    problem = site.gate.glance(Asker("b", "b/x", Limits()), 0, 1.0, 7, False)
-    problem = problem or site.gate.glance(ASKER, 0, 1.0, 9, False)
+    problem = site.gate.reject_early(CallerIdentity("b", "b/x", Limits()), 0, 1.0, 7, False)
+    problem = problem or site.gate.reject_early(ASKER, 0, 1.0, 9, False)
     site.gate.policy.in_flight.shard_requests += 2
     assert problem is None or problem.state == REFUSED
     assert len(site.gate.entries) == len(site.gate.policy.queue.queries) + len(
@@ -73,13 +73,13 @@
     for _ in range(3):
         site.clock.advance(0.5)
         site.end(next(iter(site.running)))
-    problem = site.gate.glance(ASKER, 0, 5.0, 9, False)
+    problem = site.gate.reject_early(ASKER, 0, 5.0, 9, False)
     assert (
         isinstance(problem, PgError)
         and problem.state == REFUSED
         and "retry_after_ms=" in problem.detail
     )
-    assert site.gate.glance(ASKER, 0, 1e9, 11, False) is None
+    assert site.gate.reject_early(ASKER, 0, 1e9, 11, False) is None
     assert len(site.gate.entries) == len(site.gate.policy.queue.queries) + len(
         site.gate.policy.in_flight.queries
     )
@@ -131,5 +131,5 @@
 
 
 def test_the_wait_is_in_a_field_machines_can_read():
-    assert refusal(12.2, "line").detail == "retry_after_ms=13 reason=line corrected=0"
-    assert refusal(-5, "early", True).detail == "retry_after_ms=0 reason=early corrected=1"
+    assert rejection_error(12.2, "line").detail == "retry_after_ms=13 reason=line corrected=0"
+    assert rejection_error(-5, "early", True).detail == "retry_after_ms=0 reason=early corrected=1"
