--- a/tansycrank/admission/actions.py
+++ b/tansycrank/admission/actions.py
@@ -7,7 +7,7 @@
 
 
 class RejectionReason(StrEnum):
-    """Why a query was rejected; the values are part of the client protocol (`reason=` in DETAIL)."""
+    """Why a query was rejected; the values are sent to clients (`reason=` in DETAIL)."""
 
     EXPECTED_TOO_LATE = "line"  # it would be served after its deadline
     DEADLINE_PASSED = "late"  # its latest useful start passed while it was queued
--- a/tansycrank/admission/admission_queue.py
+++ b/tansycrank/admission/admission_queue.py
@@ -11,7 +11,7 @@
 
 
 class AdmissionQueue:
-    """Queued queries by fair schedule, by latest useful start, and by tenant with most queued cost."""
+    """Queued queries by fair schedule, by latest useful start, and by cost queued per tenant."""
 
     def __init__(self, max_queries: int, max_bytes: int) -> None:
         self.max_queries, self.max_bytes = max_queries, max_bytes
@@ -94,7 +94,7 @@
         return largest
 
     def _largest_backlog(self, tenants: TenantTable) -> Tenant | None:
-        """The tenant with most queued cost by weight; stale heap entries are corrected on the way."""
+        """The tenant with most queued cost by weight; corrects stale heap entries."""
         heap = self._backlogs
         while heap:
             recorded, key = heap[0]
--- a/tansycrank/admission/concurrency_limit.py
+++ b/tansycrank/admission/concurrency_limit.py
@@ -41,7 +41,7 @@
 
 
 class ConcurrencyLimit:
-    """The limit in shard requests; `rate` is the cost per ms answered while the limit was reached."""
+    """The limit in shard requests; `rate` is the cost per ms answered at the limit."""
 
     def __init__(self) -> None:
         self.shard_requests, self.rate = INITIAL_LIMIT, 0.0
--- a/tansycrank/admission/controller.py
+++ b/tansycrank/admission/controller.py
@@ -107,7 +107,7 @@
         repeat: bool = False,
         session: int = 0,
     ) -> AdmissionEntry:
-        """Admit, queue or reject a query; `done` gets its one answer, perhaps before this returns."""
+        """Admit, queue or reject a query; `done` gets its one answer, perhaps at once."""
         self._ids += 1
         now = self.now
         entry = self.entries[self._ids] = AdmissionEntry(
@@ -171,7 +171,7 @@
         reasons[reason] = reasons.get(reason, 0) + 1
 
     def leave(self, entry: AdmissionEntry, cancel: Callable[[Any], None]) -> None:
-        """The client cancelled or disconnected: dequeue the query, or cancel it if it is running."""
+        """The client cancelled or disconnected: dequeue the query, or cancel its run."""
         if entry.ended:
             return
         if entry.is_admitted:
--- a/tansycrank/admission/fair_queue.py
+++ b/tansycrank/admission/fair_queue.py
@@ -1,4 +1,4 @@
-"""Hierarchical start-time fair queueing: tenants, then clients of a tenant, then classes of a client.
+"""Hierarchical start-time fair queueing: tenants, their clients, and classes of a client.
 
 Each scheduler keeps a virtual time, the start tag of what it served last. A child that becomes busy
 starts at that time, or earlier by its burst; serving it moves its tag by cost / weight. So over any
@@ -114,7 +114,7 @@
             self._push(key, child)
 
     def _resumed_start_tag(self, child: FairScheduler | FifoQueue) -> float:
-        """The start tag of a child that was idle, with its correction of estimated costs applied."""
+        """The start tag of a child that was idle, after correction of estimated costs."""
         child.finish_tag += child.cost_correction
         child.cost_correction = 0.0
         return max(self.virtual_time - child.burst, child.finish_tag)
--- a/tansycrank/admission/fair_shares.py
+++ b/tansycrank/admission/fair_shares.py
@@ -88,7 +88,7 @@
 def fill_level(
     demands: list[float], weights: list[float], wanted: list[float], capacity: float
 ) -> float:
-    """The level at which demands, capped at weight x level, use up the capacity; infinite if they can't.
+    """The level at which demands, capped at weight x level, use up the capacity; else infinite.
 
     `demands` are by weight and sorted; `weights` and `wanted` are prefix sums of weights and
     demands.
--- a/tansycrank/admission/policy.py
+++ b/tansycrank/admission/policy.py
@@ -94,7 +94,7 @@
         return tenant is not None and not self._has_room(tenant)
 
     def would_reject(self, now: float, event: QueryArrived) -> bool:
-        """Whether a query of one shard request with this text would be rejected; changes no state."""
+        """Whether this query would be rejected with one shard request; changes no state."""
         tenant = self.tenants.get(event.tenant)
         if tenant is None or self._has_room(tenant):
             return False
@@ -209,8 +209,8 @@
         needs = self.costs.needs(event.query_class, event.statement) + self.limit.wait
         latest_start = now + self._useful_time(event) - needs
         return QueuedQuery(
-            event.id, tenant.key, event.client, event.query_class, event.statement, event.shard_requests,
-            cost, event.size, latest_start, event.mark, event.session,
+            event.id, tenant.key, event.client, event.query_class, event.statement,
+            event.shard_requests, cost, event.size, latest_start, event.mark, event.session,
         )  # fmt: skip
 
     def _useful_time(self, event: QueryArrived) -> float:
--- a/tansycrank/admission/reader_scheduler.py
+++ b/tansycrank/admission/reader_scheduler.py
@@ -1,9 +1,8 @@
 """Which client messages the router reads next: its own CPU time is shared fairly by tenants.
 
-Reading, understanding and refusing a statement costs the router's one thread about a millisecond.
-Sessions of a flood would fill each turn of the reactor, and everyone's answers would wait for it.
-So a turn looks at messages for a bounded time only, by start-time fair queuing of tenants over the
-time they really took.
+Parsing, planning and rejecting a statement takes about a millisecond of the reactor thread. So that
+the sessions of a flood don't delay the responses of others, each reactor turn reads messages for a
+bounded time only, by start-time fair queueing of tenants over the CPU time that they really used.
 """
 
 from __future__ import annotations
@@ -13,68 +12,69 @@
 
 from tansycrank.admission.fair_queue import FairScheduler, FifoQueue
 
-SLICE = 0.004  # seconds of a turn for messages of clients, one message more at most
+SLICE_SECONDS = 0.004  # of a reactor turn; the last message may exceed it
 
 
 class Reader(Protocol):
-    """A session with messages in its line."""
+    """A session with unread messages."""
 
     id: int
 
     def look(self) -> None:
-        """Look at what waits."""
+        """Read the messages that are pending."""
 
 
 class Turns:
-    """Fair turns of all sessions. `soon(f)` calls f in the next reactor turn; `clock()` tells
-    seconds.
+    """Schedules the sessions of all tenants.
+
+    `call_soon(f)` calls f in the next reactor turn; `clock()` returns seconds.
     """
 
     def __init__(
-        self, soon: Callable[[Callable[[], None]], object], clock: Callable[[], float]
+        self, call_soon: Callable[[Callable[[], None]], object], clock: Callable[[], float]
     ) -> None:
-        self._soon, self._clock = soon, clock
-        self._level = FairScheduler()
-        self._used = 0.0
-        self._called = False
+        self._call_soon, self._clock = call_soon, clock
+        self._scheduler = FairScheduler()
+        self._used_seconds = 0.0
+        self._is_turn_scheduled = False
 
     def wake(self, reader: Reader, tenant: str) -> None:
-        """A session has messages: they are looked at now where this turn has time, else by turns."""
-        if not self._level and self._used < SLICE:
-            self._used += self._spend(reader)
+        """A session has messages: read them now if this turn has time left, else schedule it."""
+        if not self._scheduler and self._used_seconds < SLICE_SECONDS:
+            self._used_seconds += self._read_timed(reader)
         else:
-            tenant_queue = self._level.children.get(tenant)
+            tenant_queue = self._scheduler.children.get(tenant)
             if tenant_queue is None:
                 tenant_queue = FifoQueue()
             if reader.id not in tenant_queue.items:
                 tenant_queue.add(reader)
-                self._level.size += 1
-            self._level.schedule(tenant, tenant_queue)
-        if not self._called:
-            self._called = True
-            self._soon(self._turn)
-
-    def _spend(self, reader: Reader) -> float:
-        """Let it look; the seconds that took."""
+                self._scheduler.size += 1
+            self._scheduler.schedule(tenant, tenant_queue)
+        if not self._is_turn_scheduled:
+            self._is_turn_scheduled = True
+            self._call_soon(self._on_turn)
+
+    def _read_timed(self, reader: Reader) -> float:
+        """Let the session read; returns the seconds used."""
         began = self._clock()
         reader.look()
         return max(self._clock() - began, 0.0)
 
     def forget(self, reader: Reader, tenant: str) -> None:
         """A session has ended."""
-        tenant_queue = self._level.children.get(tenant)
+        tenant_queue = self._scheduler.children.get(tenant)
         if tenant_queue is not None and tenant_queue.items.pop(reader.id, None) is not None:
-            self._level.size -= 1
-            self._level.compact()
+            self._scheduler.size -= 1
+            self._scheduler.compact()
 
-    def _turn(self) -> None:
-        self._called, self._used = False, 0.0
-        while self._used < SLICE and (found := self._level.first()) is not None:
+    def _on_turn(self) -> None:
+        self._is_turn_scheduled, self._used_seconds = False, 0.0
+        while self._used_seconds < SLICE_SECONDS and (found := self._scheduler.first()) is not None:
             reader = found[1].take()
-            self._level.size -= 1
-            took = max(self._spend(reader), 1e-6)
-            self._used += took
-            self._level.serve(took)
-        if self._level and not self._called:
-            self._called = True
-            self._soon(self._turn)
+            self._scheduler.size -= 1
+            took = max(self._read_timed(reader), 1e-6)
+            self._used_seconds += took
+            self._scheduler.serve(took)
+        if self._scheduler and not self._is_turn_scheduled:
+            self._is_turn_scheduled = True
+            self._call_soon(self._on_turn)
--- a/tansycrank/admission/tenants.py
+++ b/tansycrank/admission/tenants.py
@@ -67,9 +67,9 @@
     """State and counters of one tenant. `rate` is the cost per ms that it can rely on."""
 
     __slots__ = (
-        "admitted", "answered", "arrived", "corrected", "demand", "early", "inside", "is_parked", "key",
-        "last_seen", "left", "limits", "queue", "rate", "refused", "reservations", "return_demand",
-        "served_cost", "wait",
+        "admitted", "answered", "arrived", "corrected", "demand", "early", "inside", "is_parked",
+        "key", "last_seen", "left", "limits", "queue", "rate", "refused", "reservations",
+        "return_demand", "served_cost", "wait",
     )  # fmt: skip
 
     def __init__(self, key: str, limits: Limits, class_weights: tuple[float, ...]) -> None:
@@ -146,7 +146,7 @@
     def find_or_add(
         self, key: str, limits: Limits, initial_rate: Callable[[Limits], float]
     ) -> Tenant:
-        """The tenant of this key; when the table is full of busy tenants, one of the overflow queues.
+        """The tenant of this key; an overflow queue if the table is full of busy tenants.
 
         A tenant with a minimum share is always added.
         """
--- a/tansycrank/admission/views.py
+++ b/tansycrank/admission/views.py
@@ -1,4 +1,4 @@
-"""What operators see of the door, and the checked call that changes a tenant's limits."""
+"""Operators' views of admission control, and the checked change of a tenant's limits."""
 
 from __future__ import annotations
 
@@ -39,7 +39,8 @@
         values = (
             t.key, t.queue.size, t.inside, rate, f"{limits.weight:g}", f"{limits.min_share:g}",
             f"{limits.max_share:g}", f"{limits.burst:g}", t.arrived, t.admitted, t.answered,
-            t.refused, t.corrected, t.early, t.left, t.reservations.count, f"{t.reservations.return_share:.2f}", f"{t.wait:.0f}",
+            t.refused, t.corrected, t.early, t.left, t.reservations.count,
+            f"{t.reservations.return_share:.2f}", f"{t.wait:.0f}",
         )  # fmt: skip
         rows.append(tuple(str(value) for value in values))
     return rows
--- a/tansycrank/daemon.py
+++ b/tansycrank/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: all parts of one router put together, started, and stopped cleanly."""
+"""The daemon of the SQL router: sets it up, starts it, drains it and stops it."""
 
 from __future__ import annotations
 
--- a/tansycrank/sql_router/coordinator.py
+++ b/tansycrank/sql_router/coordinator.py
@@ -291,7 +291,7 @@
     def _stream_ended(
         self, query: RoutedQuery, stream: ShardRowStream, result: AttemptResult
     ) -> None:
-        """The end of an attempt whose rows may have left: whole, or an honest error, never a retry."""
+        """End an attempt whose rows may have been sent: complete or an error, never a retry."""
         if result.outcome is routing.Outcome.SUCCEEDED:
             stream.finish(result.error)
             return
--- a/tansycrank/sql_router/service.py
+++ b/tansycrank/sql_router/service.py
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A statement to run: its parameters as they came, the formats wanted, the session's settings."""
+    """A statement to run, with its encoded parameters, result formats and session settings."""
 
     prepared: Prepared
     values: tuple[bytes | None, ...] = ()
@@ -86,7 +86,7 @@
         self._class_index = {c.name: i for i, c in enumerate(config.classes)}
 
     def open_door(self, reactor) -> None:
-        """The door as the settings have it."""
+        """Set up admission control from the settings."""
         config = self.config
         self.identity = caller_identity(config)
         self._operators = Identity(
@@ -115,7 +115,7 @@
     def view(
         self, name: str, caller: Caller
     ) -> tuple[tuple[str, ...], list[tuple[str, ...]]] | None:
-        """(columns, rows) of a view of the door, None where the name is none. Raises PgError 42501."""
+        """(columns, rows) of an operators' view, None for other names. Raises PgError 42501."""
         if name not in ("tansycrank.tenants", "tansycrank.admission"):
             return None
         self._check_operator(caller, name)
@@ -309,7 +309,7 @@
         start,
         done,
     ) -> Running:
-        """Through the door."""
+        """Pass a query to admission control."""
         caller_id = self.identity.who(request.caller, settings.get("tansycrank.tenant", ""))
         sql = request.prepared.sql
         size = len(sql) + sum(len(value) for value in request.values if value is not None)
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -25,8 +25,8 @@
             return name
 
         return self.gate.enter(
-            asker, 0, 1, remaining, start, lambda outcome: self.heard.setdefault(name, []).append(outcome),
-            mark=mark,
+            asker, 0, 1, remaining, start,
+            lambda outcome: self.heard.setdefault(name, []).append(outcome), mark=mark,
         )  # fmt: skip
 
     def end(self, name, outcome="answer"):
--- a/tests/admission/test_machine.py
+++ b/tests/admission/test_machine.py
@@ -59,7 +59,8 @@
         self.open[self.ids] = tenant
         self.play(
             QueryArrived(
-                self.ids, tenant, client, query_class, shard_requests, left, mark % 5, mark, size, repeat,
+                self.ids, tenant, client, query_class, shard_requests, left, mark % 5,
+                mark, size, repeat,
                 Limits(min_share=share),
             )
         )  # fmt: skip
--- a/tests/admission/test_reader_scheduler.py
+++ b/tests/admission/test_reader_scheduler.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from tansycrank.admission.reader_scheduler import SLICE, Turns
+from tansycrank.admission.reader_scheduler import SLICE_SECONDS, Turns
 
 
 class Reactor:
@@ -48,12 +48,12 @@
     readers = [Reader(n, clock, looks) for n in range(100)]
     for reader in readers:
         turns.wake(reader, "a")
-    assert len(looks) <= SLICE / 0.001 + 1
+    assert len(looks) <= SLICE_SECONDS / 0.001 + 1
     rounds = 0
     while any(not r.seen for r in readers):
         before = len(looks)
         clock.turn()
-        assert len(looks) - before <= SLICE / 0.001 + 1
+        assert len(looks) - before <= SLICE_SECONDS / 0.001 + 1
         rounds += 1
         assert rounds < 100
     assert all(r.seen == 1 for r in readers)
@@ -85,4 +85,4 @@
     for _ in range(30):
         clock.turn()
     assert last.seen == 0 and all(r.seen for r in readers[:-1])
-    assert not turns._level.children
+    assert not turns._scheduler.children
