--- a/tansycrank/sql_router/service.py
+++ b/tansycrank/sql_router/service.py
@@ -10,7 +10,6 @@
 import re
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
-from enum import IntEnum
 
 import xxhash
 
@@ -23,12 +22,21 @@
 from tansycrank.merge.rows import PartRows, Result, merge, part_formats
 from tansycrank.merge.work import RowStream, Worker
 from tansycrank.postgres import types
-from tansycrank.postgres.errors import INTERNAL, INVALID_PARAMETER, PgError
+from tansycrank.postgres.errors import INTERNAL, PgError
 from tansycrank.postgres.messages import Field, data_row
 from tansycrank.sql.plan import Prepared
 from tansycrank.sql.planner import Planner, explain_lines
 from tansycrank.sql_router.coordinator import Coordinator, RoutedQuery, ShardRequest
 from tansycrank.sql_router.node_connection import ShardStatement
+from tansycrank.sql_router.session_settings import (
+    FORM_LABELS,
+    QueryForm,
+    check_setting,
+    class_index,
+    is_repeat,
+    query_form,
+    remaining_ms,
+)
 
 LITERAL = re.compile(r"'(?:[^']|'')*'|\b\d+\b")  # statements alike but for these cost alike
 STORE_STATEMENT = re.compile(
@@ -39,16 +47,6 @@
     192 * 1024
 )  # bytes of parts that are merged in one go; more is merged in slices
 
-FORM_LABELS = ("safe", "keyed", "unsafe")  # in EXPLAIN and in the log
-
-
-class QueryForm(IntEnum):
-    """The position among the three query classes that each class of the settings becomes."""
-
-    IDEMPOTENT = 0
-    WITH_KEY = 1
-    NOT_IDEMPOTENT = 2
-
 
 @dataclass(frozen=True, slots=True)
 class Request:
@@ -83,7 +81,6 @@
         )
         coordinator.pools.later = self.worker.wake
         self.open_door(coordinator.reactor)
-        self._class_index = {c.name: i for i, c in enumerate(config.classes)}
 
     def open_door(self, reactor) -> None:
         """Set up admission control from the settings."""
@@ -131,63 +128,11 @@
     # --- class and deadline -------------------------------------------------------------
 
     def check_setting(self, name: str, value: str) -> str:
-        """A session setting of ours, checked. Raises PgError 22023 with what is allowed."""
-        if name == "tansycrank.class":
-            if value and value not in self._class_index:
-                raise PgError(
-                    INVALID_PARAMETER,
-                    f"no class {value!r}; classes: {', '.join(self._class_index)}",
-                )
-        elif name == "tansycrank.deadline":
-            if value and not (value.isdigit() and int(value) > 0):
-                raise PgError(
-                    INVALID_PARAMETER,
-                    f"{name} = {value!r}: milliseconds above 0, or empty for none",
-                )
-        elif name == "tansycrank.repeat":
-            if value not in ("on", "off", "true", "false"):
-                raise PgError(INVALID_PARAMETER, f"{name} = {value!r}: on or off")
-        elif name == "tansycrank.limits":
-            raise PgError(INVALID_PARAMETER, f"{name} is a call: it can't be kept as a setting")
-        elif name in ("tansycrank.request_key", "tansycrank.tenant"):
-            if len(value) > 128:
-                raise PgError(INVALID_PARAMETER, f"{name}: at most 128 characters")
-        else:
-            known = "class, deadline, limits, repeat, request_key, tenant"
-            raise PgError(
-                "42704", f"unrecognized configuration parameter {name!r}; tansycrank has {known}"
-            )
-        return value
-
-    def class_of(self, sql: str, settings: Mapping[str, str]) -> int:
-        """The position of the query's class: session setting, pattern of the statement, the first
-        class.
-        """
-        name = settings.get("tansycrank.class", "")
-        if name:
-            return self._class_index[name]
-        for index, one in enumerate(self.config.classes):
-            if one.pattern is not None and one.pattern.search(sql):
-                return index
-        return 0
-
-    def _form(self, prepared: Prepared, index: int, settings: Mapping[str, str]) -> QueryForm:
-        if not prepared.writes and not prepared.volatile:
-            return QueryForm.IDEMPOTENT
-        keyed = (
-            settings.get("tansycrank.request_key")
-            and self.config.classes[index].section.dedup_window_ms > 0
-        )
-        return QueryForm.WITH_KEY if keyed else QueryForm.NOT_IDEMPOTENT
+        """A value for a setting of the router. Raises PgError 22023 with what is allowed."""
+        return check_setting(self.config.classes, name, value)
 
     def _remaining_ms(self, index: int, settings: Mapping[str, str]) -> float:
-        bounds = [self.config.classes[index].section.give_up_ms]
-        if settings.get("tansycrank.deadline"):
-            bounds.append(float(settings["tansycrank.deadline"]))
-        timeout = float(settings.get("statement_timeout") or 0)
-        if timeout > 0:
-            bounds.append(timeout)
-        return min(bounds)
+        return remaining_ms(self.config.classes[index].section, settings)
 
     # --- running ------------------------------------------------------------------------
 
@@ -218,8 +163,8 @@
         try:
             target = prepared.explain or prepared
             values = self.decoded(target, request.values, request.formats)
-            index = self.class_of(target.sql, settings)
-            form = self._form(target, index, settings)
+            index = class_index(self.config.classes, target.sql, settings)
+            form = query_form(self.config.classes[index].section, target, settings)
             if prepared.explain is not None:
                 label = f"{self.config.classes[index].name} ({FORM_LABELS[form]})"
                 lines = explain_lines(target, values, label, self._explain_memory)
@@ -248,7 +193,7 @@
         ]
         began = self.coordinator.now
         streams = form == QueryForm.IDEMPOTENT and prepared.returns_rows and pipeline.streams(plan)
-        repeat = _is_repeat(settings)
+        repeat = is_repeat(settings)
 
         def start(remaining: float, ended: Callable[[Result | PgError], None]) -> RoutedQuery:
             def finished(answer: list[ShardRequest] | PgError) -> None:
@@ -278,14 +223,14 @@
         caller_id = self.identity.who(caller, settings.get("tansycrank.tenant", ""))
         if not self.admission.may_reject(caller_id.tenant):
             return None
-        index = self.class_of(sql, settings)
+        index = class_index(self.config.classes, sql, settings)
         mark, remaining = self._query_hash(caller_id, sql, ()), self._remaining_ms(index, settings)
         return self.admission.reject_early(
             caller_id,
             3 * index + QueryForm.IDEMPOTENT,
             remaining,
             mark,
-            _is_repeat(settings),
+            is_repeat(settings),
             caller.session,
         )
 
@@ -324,7 +269,7 @@
                 statement=xxhash.xxh3_64_intdigest(LITERAL.sub("?", sql).encode()),
                 mark=self._query_hash(caller_id, sql, request.values),
                 size=size,
-                repeat=_is_repeat(settings),
+                repeat=is_repeat(settings),
                 session=request.caller.session,
             )
         )
@@ -412,7 +357,7 @@
             done((target.oids, prepared.fields if prepared.explain else target.fields))
             return None
         shard_request = target.describe_sql()
-        index = self.class_of(target.sql, settings)
+        index = class_index(self.config.classes, target.sql, settings)
         request = ShardStatement(shard_request.shard, shard_request.sql, target.oids, describe=True)
 
         def finished(answer: list[ShardRequest] | PgError) -> None:
@@ -472,8 +417,3 @@
             peak=routed_query.memory.peak,
             ms=round(self.coordinator.now - began, 2),
         )
-
-
-def _is_repeat(settings: Mapping[str, str]) -> bool:
-    """Whether the client says that it asks again."""
-    return settings.get("tansycrank.repeat") in ("on", "true")
