--- a/tansycrank/admission/policy.py
+++ b/tansycrank/admission/policy.py
@@ -69,7 +69,7 @@
         for event in events:
             self._handlers[type(event)](now, event)
         self._expire(now)
-        if self.limit.turn(now):
+        if self.limit.end_interval(now):
             self._shares.update(now, self.tenants.values(), self.drain_rate)
         self._admit_queued(now)
         if (due := self.queue.next_deadline) is not None:
@@ -94,7 +94,7 @@
         return tenant is not None and not self._has_room(tenant)
 
     def would_reject(self, now: float, event: QueryArrived) -> bool:
-        """Whether a query of one shard request with this text would be rejected; changes no state."""
+        """Whether this query would be rejected with one shard request; changes no state."""
         tenant = self.tenants.get(event.tenant)
         if tenant is None or self._has_room(tenant):
             return False
@@ -189,7 +189,7 @@
             self._reject(now, tenant, query, RejectionReason.ROUTING_REJECTED, event.retry_after_ms)
 
     def _on_tick(self, now: float, event: PeriodicTick) -> None:
-        self.limit.lag(event.late)
+        self.limit.record_timer_lag(event.late)
         self._stalls.record(now, event.late)
 
     def _on_limits_changed(self, now: float, event: LimitsChanged) -> None:
@@ -209,8 +209,8 @@
         needs = self.costs.needs(event.query_class, event.statement) + self.limit.wait
         latest_start = now + self._useful_time(event) - needs
         return QueuedQuery(
-            event.id, tenant.key, event.client, event.query_class, event.statement, event.shard_requests,
-            cost, event.size, latest_start, event.mark, event.session,
+            event.id, tenant.key, event.client, event.query_class, event.statement,
+            event.shard_requests, cost, event.size, latest_start, event.mark, event.session,
         )  # fmt: skip
 
     def _useful_time(self, event: QueryArrived) -> float:
