--- a/tansycrank/postgres/errors.py
+++ b/tansycrank/postgres/errors.py
@@ -51,7 +51,7 @@
         self.severity = severity
 
     @property
-    def fatal(self) -> bool:
+    def is_fatal(self) -> bool:
         """Whether it ends the session."""
         return self.severity in ("FATAL", "PANIC")
 
--- a/tansycrank/postgres/server/session.py
+++ b/tansycrank/postgres/server/session.py
@@ -276,7 +276,7 @@
             else:
                 self._extended_query.handle(message)
         except PgError as error:
-            if error.fatal:
+            if error.is_fatal:
                 raise
             self._extended_query.fail(error)
 
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -60,7 +60,7 @@
     front = Front(TEXT)
     front.session.dataReceived(packet)
     problem = error_of(front.heard())
-    assert problem.state == state and problem.fatal and front.transport.disconnecting
+    assert problem.state == state and problem.is_fatal and front.transport.disconnecting
 
 
 def test_options_of_the_startup_are_settings():
@@ -237,7 +237,7 @@
     front = Front(TEXT, max_message=2048)
     front.log_in()
     problem = error_of(front.send(b"Q" + pg.INT.pack(1 << 30) + b"x" * 100))
-    assert problem.state == "08P01" and problem.fatal and front.transport.disconnecting
+    assert problem.state == "08P01" and problem.is_fatal and front.transport.disconnecting
 
 
 def test_settings_are_shown_and_reset(front):
--- a/tests/test_session_fuzz.py
+++ b/tests/test_session_fuzz.py
@@ -71,7 +71,7 @@
     heard = front.heard()
     if front.transport.disconnecting:
         problem = error_of(reversed(heard))
-        assert problem is None or problem.fatal or heard[-1][0] != "E"
+        assert problem is None or problem.is_fatal or heard[-1][0] != "E"
         return
     if front.session.state is SessionState.STARTUP or front.session._frames.held:
         return  # it waits for the rest of a message
