--- a/tansycrank/http_router/daemon.py
+++ b/tansycrank/http_router/daemon.py
@@ -10,10 +10,10 @@
 import sys
 import traceback as tracebacks
 from collections.abc import Callable, Mapping
+from enum import Enum
 
 import msgspec
 from twisted.internet.error import CannotListenError
-from twisted.internet.task import LoopingCall
 
 from tansycrank import clock, routing
 from tansycrank.http_router import settings as configuration
@@ -21,18 +21,16 @@
 from tansycrank.http_router.coordinator import Coordinator
 from tansycrank.http_router.discovery_client import DiscoveryClient
 from tansycrank.http_router.endpoint_directory import EndpointDirectory
+from tansycrank.http_router.graceful_shutdown import GracefulShutdown
 from tansycrank.http_router.http_server import HttpServer
+from tansycrank.http_router.maintenance import Maintenance
 from tansycrank.http_router.settings import ConfigError, Listing, Settings
 
-SWEEP = 0.25  # s between looks at what waits too long
-LATE = 0.1  # s a look may come late before the log says so
-TELL = 10.0  # s between lines about how it goes
-# s: so long may this process stand still unnoticed; the platform allows nodes' waits 0.15 s
-BEAT = 0.1
-LEAVE_EVERY = 0.05  # s between looks at what is still open while leaving
-READY_WITHIN = 2.0  # s for discovery's first word; the known list serves without it
+# s until discovery's first list; without one a router that polls serves from its configuration
+READY_WITHIN = 2.0
+PUSHED_WITHIN = 20.0  # s until the first list where lists are pushed; the platform gives a start 30
 LISTEN_AGAIN = 0.1  # s until an address that another process still holds is tried again
-PUSHED_WITHIN = 20.0  # s where lists are pushed; the platform gives a start 30
+MAX_ACCEPTS = 16  # connections accepted in one reactor turn: the bound may be exceeded by so many
 
 _logger = logging.getLogger("tansycrank")
 
@@ -44,8 +42,17 @@
     _logger.info("%s", msgspec.json.encode({"event": event, **fields}).decode())
 
 
+class ProcessState(Enum):
+    """The lifecycle of the process, in this order."""
+
+    STARTING = "starting"
+    READY = "ready"  # `/-/ready` answers 200
+    DRAINING = "draining"  # from SIGTERM on
+    STOPPED = "stopped"
+
+
 class Daemon:
-    """Puts the parts together. `stop` is called once, when nothing is owed any more."""
+    """One router: connects its parts, and handles endpoint lists and signals."""
 
     def __init__(
         self,
@@ -55,7 +62,10 @@
         overslept: Callable[[], float] = lambda: 0.0,
     ) -> None:
         """`overslept` tells for how many seconds what is read now may have lain unread."""
-        self.reactor, self.settings, self.environ = reactor, settings, environ
+        self.reactor = reactor
+        self.settings = settings
+        self.environ = environ
+        self.state = ProcessState.STARTING
         self.names = EndpointDirectory(settings.zones)
         self.pool = ConnectionPool(
             reactor,
@@ -85,28 +95,29 @@
             self.discovery.fetch,
         )
         self.server = HttpServer(reactor, settings, self.coordinator, log, overslept)
-        self._swept = 0.0
+        self.shutdown = GracefulShutdown(
+            reactor, settings, self.server, self.coordinator, self._on_drained
+        )
+        self.maintenance = Maintenance(reactor, self.pool, self.server, self._report_state, log)
         self.discovery_failures = 0
-        self.stopping = self.stopped = self._closed = self._doubted = False
-        self._heard = False  # whether there is a list, or no more waiting for one
-        self._again = None  # the timer of an address that is tried again
-        self._stood = False  # whether this process had stood still before the last look
-        self._wall_clock = clock.WallClockMonitor()
-        self._calls = [LoopingCall(self._sweep), LoopingCall(self._tell), LoopingCall(self._beat)]
-        for call in self._calls:
-            call.clock = reactor
+        self._is_empty_list_doubted = False  # an empty list was polled once more
+        self._may_become_ready = False  # there is a list, or no more waiting for one
+        self._listen_timer = None  # until an address is tried again
+
+    @property
+    def stopped(self) -> bool:
+        """Whether the process ends now."""
+        return self.state is ProcessState.STOPPED
 
     def start(self) -> None:
-        """Take the known list, ask discovery, listen."""
+        """Apply the list of the configuration, poll discovery, listen."""
         self._take(self.settings.known, routing.EndpointListKind.CACHED)
         if self.settings.module.polls_discovery:
             self._listen()
         self.reactor.callLater(
             READY_WITHIN if self.settings.module.polls_discovery else PUSHED_WITHIN, self._ready
         )
-        self._swept = self.reactor.seconds()
-        for call, every in zip(self._calls, (SWEEP, TELL, BEAT), strict=True):
-            call.start(every, now=False)
+        self.maintenance.start()
         log(
             "process_started",
             name=self.settings.name,
@@ -117,57 +128,55 @@
         )
 
     def _listen(self) -> None:
-        self._again = None
-        if self.stopping:
+        self._listen_timer = None
+        if self.state is not ProcessState.STARTING:
             return
         host, port = self.settings.listen
         try:
             self.server.port = self.reactor.listenTCP(
                 port, self.server, backlog=1024, interface=host
             )
-        except (
-            CannotListenError
-        ) as problem:  # danger: the process before is not gone yet, this one deaf
+        except CannotListenError as problem:  # the previous process may still hold the address
             log("listen_failed", host=host, port=port, problem=str(problem))
-            self._again = self.reactor.callLater(LISTEN_AGAIN, self._listen)
+            self._listen_timer = self.reactor.callLater(LISTEN_AGAIN, self._listen)
             return
-        self.server.port.numberAccepts = configuration.ACCEPTS
+        self.server.port.numberAccepts = MAX_ACCEPTS
         log("listening_started", host=host, port=port)
-        if self._heard:
+        if self._may_become_ready:
             self._ready()
 
     def _ready(self) -> None:
-        """Danger: where lists are pushed, what the agent has counts from a process's first moment
-        on.
+        """Become ready, and listen before that where lists are pushed.
 
-        A front that has not noticed the death of the last process sends at once: until there is a
-        list of the agent's, nobody listens, and what comes is refused by the system.
+        Where lists are pushed, the agent's list counts from the first moment of a process, and a
+        client that has not noticed the end of the last process sends at once. So nobody listens
+        before there is a list, and the system refuses connections.
         """
-        self._heard = True
-        if self.server.ready or self.stopping:
+        self._may_become_ready = True
+        if self.state is not ProcessState.STARTING:
             return
         if self.server.port is not None:
+            self.state = ProcessState.READY
             self.server.ready = True
             log("became_ready", nodes=len(self.names), version=self.names.version)
-        elif self._again is None:
+        elif self._listen_timer is None:
             self._listen()  # which comes back here
 
     # --- discovery --------------------------------------------------------------------
 
     def heard(self, listing: Listing) -> None:
-        """A line of discovery. One older than what is held tells nothing new.
+        """Apply a list of discovery, unless it is older than the one held.
 
-        A whole list of nobody while nodes stood is asked for once more: a fault of it would end all
-        service.
+        An empty list is polled once more before it is believed: it ends all service.
         """
         if listing.version >= self.names.version:
             empty = listing.full and not listing.servers and len(self.names) > 0
-            if empty and not self._doubted:
-                self._doubted = True
+            if empty and not self._is_empty_list_doubted:
+                self._is_empty_list_doubted = True
                 log("empty_endpoint_list_received", version=listing.version, nodes=len(self.names))
                 self.discovery.fetch()
             else:
-                self._doubted = False
+                self._is_empty_list_doubted = False
                 self._take(
                     listing,
                     routing.EndpointListKind.SNAPSHOT
@@ -177,7 +186,7 @@
         self._ready()
 
     def failed(self) -> None:
-        """A call to discovery, or its watch, has ended."""
+        """Tell the policy that a call to discovery, or its watch, has ended."""
         self.discovery_failures += 1
         self.coordinator.loop.handle(routing.EndpointListUpdate(routing.EndpointListKind.FAILED))
         if self.settings.module.polls_discovery:
@@ -203,9 +212,7 @@
     # --- signals ----------------------------------------------------------------------
 
     def reload(self) -> None:
-        """SIGHUP: the new file counts where it can without a restart; a file with faults changes
-        nothing.
-        """
+        """Reload the configuration (SIGHUP); one that cannot be used changes nothing."""
         try:
             new = configuration.load(self.environ)
         except ConfigError as problem:
@@ -220,88 +227,33 @@
         self.discovery.move(*new.discovery)
 
     def terminate(self) -> None:
-        """SIGTERM: go on with what clients hold and still bring for a moment, answer all, leave.
-
-        Danger: to close at once sends every client to a new connection while the next router may be
-        starting.
-        """
-        if self.stopping:
+        """Shut down gracefully (SIGTERM, SIGINT); further signals change nothing."""
+        if self.state in (ProcessState.DRAINING, ProcessState.STOPPED):
             return
-        self.stopping, self.server.ready = True, False
-        self.coordinator.shutdown_deadline = self.coordinator.loop.now + self.settings.stop_within
+        self.state = ProcessState.DRAINING
         log(
             "shutdown_started",
             open=len(self.coordinator.queries),
             within_ms=self.settings.stop_within,
         )
-        self.reactor.callLater(self.settings.stop_taking / 1000, self._stop_taking)
-        self.reactor.callLater(self.settings.stop_within / 1000, self._give_up)
+        self.shutdown.begin()
 
-    def _stop_taking(self) -> None:
-        self.server.draining = True
-        self._leave()
+    def _on_drained(self) -> None:
+        self.state = ProcessState.STOPPED
+        lifecycle = self.coordinator.lifecycle
+        lifecycle.stop(self.coordinator.loop.now)
+        log(
+            "shutdown_completed",
+            **self.coordinator.counts,
+            **lifecycle.figures(),
+            given_up=self.coordinator.failure_log.figures(),
+        )
+        self.coordinator.loop.stop()
+        self.discovery.stop()
+        self.pool.close()
+        self.reactor.stop()
 
-    def _leave(self) -> None:
-        """Danger: what the system accepted and nobody read is reset when the port closes, requests
-        too.
-        """
-        if self.stopped:
-            return
-        self.server.close_idle()
-        if not self._closed and (self.server.port is None or self.server.accept_rest()):
-            self._closed = True
-            if self.server.port is not None:
-                self.server.port.stopListening()
-        if self.coordinator.queries or self.server.connections or not self._closed:
-            self.reactor.callLater(LEAVE_EVERY, self._leave)
-        else:
-            self._stop()
-
-    def _give_up(self) -> None:
-        """Answer what is open. `_leave` stops once all of it was read; this does before the kill."""
-        self.coordinator.reject_all(routing.FailureReason.STOPPING)
-        self.reactor.callLater(configuration.LAST_WORDS / 1000, self._stop)
-
-    def _stop(self) -> None:
-        if not self.stopped:
-            self.stopped = True
-            lifecycle = self.coordinator.lifecycle
-            lifecycle.stop(self.coordinator.loop.now)
-            log(
-                "shutdown_completed",
-                **self.coordinator.counts,
-                **lifecycle.figures(),
-                given_up=self.coordinator.failure_log.figures(),
-            )
-            self.coordinator.loop.stop()
-            self.discovery.stop()
-            self.pool.close()
-            self.reactor.stop()
-
-    # --- now and then -----------------------------------------------------------------
-
-    @staticmethod
-    def _beat() -> None:
-        """Nothing: a timer is always due soon, by which the reactor knows when it has overslept."""
-
-    def _sweep(self) -> None:
-        now = self.reactor.seconds()
-        late, self._swept = now - self._swept - SWEEP, now
-        if step := self._wall_clock.step():
-            log("wall_clock_stepped", seconds=round(step, 3))
-        try:
-            if late > LATE:
-                log("event_loop_stalled", ms=round(late * 1000, 1))
-            # Danger: what came while this process stood still is not read yet, and who sent it
-            # seems silent.
-            self._stood = late > LATE and not self._stood
-            if not self._stood:
-                self.pool.sweep()
-                self.server.close_expired()
-        except Exception as error:  # danger: no further look, for good
-            log("maintenance_failed", error=repr(error), traceback=True)
-
-    def _tell(self) -> None:
+    def _report_state(self) -> None:
         usage = resource.getrusage(resource.RUSAGE_SELF)
         loop = self.coordinator.loop
         log(
--- a/tansycrank/http_router/settings.py
+++ b/tansycrank/http_router/settings.py
@@ -31,10 +31,8 @@
 LONGEST = 3_000.0  # ms: a longer deadline counts as this where the platform times a restart
 KILL_AFTER = 700.0  # ms from SIGTERM, on top of the longest deadline: SIGKILL comes no sooner
 KILL_MARGIN = 100.0  # ms before that: what is still open then is given up
-LAST_WORDS = 80.0  # ms of these for clients to read their answers
 # ms from SIGTERM: new connections keep coming for 400, and those have a request on its way
 NEW_UNTIL = 500.0
-ACCEPTS = 16  # connections taken in one reactor turn at first: so many may be held beyond the bound
 RESERVE = 64  # descriptors for everything but clients and links
 SHARE_UNUSED = (
     1 / 6
--- a/tansycrank/testbed/soak/seeded_bugs.py
+++ b/tansycrank/testbed/soak/seeded_bugs.py
@@ -122,7 +122,7 @@
     def drop(self: daemon.Daemon) -> None:
         for connection in list(self.server.connections):
             connection.close("leaving")
-        self._stop()
+        self.shutdown.complete()
 
     daemon.Daemon.terminate = drop
 
