--- a/tansycrank/routing/concurrency.py
+++ b/tansycrank/routing/concurrency.py
@@ -6,25 +6,13 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
+from tansycrank.routing.endpoint import Endpoint
 from tansycrank.routing.latency import SLOW_OBJECTIVE_SHARE
 
-if TYPE_CHECKING:
-    from tansycrank.routing.endpoint import Endpoint
-
-FLEET_WINDOW = 18.0  # shard requests in flight at an endpoint at first, from all routers together
-MIN_INITIAL_WINDOW = 3.0  # from each router
 DECREASE_FACTOR = 0.8
 REFILL_SIZE = 2  # further shard requests of room before a busy endpoint gets another call
-OPTIONAL_SHARE = (
-    0.5  # of a window, for hedges and optional shard requests: first attempts come first
-)
-
-
-def initial_window(routers: int) -> float:
-    """One router's share of an endpoint of which nothing is known."""
-    return max(FLEET_WINDOW / routers, MIN_INITIAL_WINDOW)
+# For hedges and optional shard requests: first attempts come first.
+OPTIONAL_SHARE = 0.5  # of a window
 
 
 class ConcurrencyLimiter:
--- a/tansycrank/routing/endpoint.py
+++ b/tansycrank/routing/endpoint.py
@@ -4,20 +4,28 @@
 
 from dataclasses import dataclass
 
-from tansycrank.routing.concurrency import initial_window
 from tansycrank.routing.events import (
     EndpointEntry,
     EndpointListKind,
     EndpointListUpdate,
     EndpointStatus,
 )
-from tansycrank.routing.latency import ResponseLatencies
+from tansycrank.routing.latency_window import ResponseLatencies
 from tansycrank.routing.settings import Settings
 from tansycrank.routing.sliding_sum import SlidingSum
 
 NEVER = float("-inf")
 
 
+FLEET_WINDOW = 18.0  # shard requests in flight at an endpoint at first, from all routers together
+MIN_INITIAL_WINDOW = 3.0  # from each router
+
+
+def initial_window(routers: int) -> float:
+    """One router's share of an endpoint of which nothing is known."""
+    return max(FLEET_WINDOW / routers, MIN_INITIAL_WINDOW)
+
+
 @dataclass(slots=True, eq=False)
 class Endpoint:
     """What this router knows of one endpoint. All times are ms of the policy's clock."""
--- a/tansycrank/routing/idle_connections.py
+++ b/tansycrank/routing/idle_connections.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from tansycrank.routing.events import Outcome
-from tansycrank.routing.latency import ROTATION_MS
+from tansycrank.routing.latency_window import ROTATION_MS
 from tansycrank.routing.query import Attempt
 
 IMMEDIATE_SHARE = 0.5  # of the quickest responses: a connection lost sooner had been closed before
--- a/tansycrank/routing/probing.py
+++ b/tansycrank/routing/probing.py
@@ -7,7 +7,8 @@
 from __future__ import annotations
 
 from tansycrank.routing.admission import START_SHARE
-from tansycrank.routing.latency import MANY_LATE_SHARE, ROTATION_MS, LatencyTracker
+from tansycrank.routing.latency import MANY_LATE_SHARE, LatencyTracker
+from tansycrank.routing.latency_window import ROTATION_MS
 from tansycrank.routing.query import Query, ShardRequest
 
 PROBE_INTERVAL = 8  # one in so many shard requests is a probe request
--- a/tansycrank/routing/replica_selection.py
+++ b/tansycrank/routing/replica_selection.py
@@ -14,9 +14,8 @@
 from tansycrank.routing.settings import Settings
 from tansycrank.routing.slow_start import SlowStart
 
-LOCAL_POSITIONS = (
-    4  # of a replica in the router's zone for each of one elsewhere, if crossing costs
-)
+# Round-robin positions of a replica in the router's zone for each of one elsewhere.
+LOCAL_POSITIONS = 4
 POSITION_RANGE = 1 << 16
 
 
@@ -66,7 +65,6 @@
             if is_hedge:
                 return None
             # Attempted replicas may be used again after a pause: at once, all attempts would be
-
             # spent at one full queue; never, the request would fail while that replica has room.
             pause_ms = self._latency.overall.p90_ms(now)
             excluded = {a.endpoint for a in shard_request.attempts if now < a.sent_at + pause_ms}
@@ -102,7 +100,6 @@
         ]
         order = [pair for pair in order if pair[1] not in excluded]
         # Else a request waits for endpoints in slow start beside an ejected one that has room.
-
         order = [pair for pair in order if has_allowance(pair[1], now)]
         # An endpoint with an overdue attempt is better than one that failed.
         order = [pair for pair in order if now >= pair[1].ejected_until] or order
--- a/tests/routing/test_latency_window.py
+++ b/tests/routing/test_latency_window.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tansycrank.routing.latency import LatencyWindow
+from tansycrank.routing.latency_window import LatencyWindow
 from tansycrank.routing.sliding_sum import SlidingSum
 
 
