--- a/tansycrank/testbed/admission_emulator.py
+++ b/tansycrank/testbed/admission_emulator.py
@@ -34,7 +34,7 @@
     manner: str = "patient"  # patient, pushy, never
     shard_requests: int = 1
     clients: int = 3
-    limits: Limits = Limits()
+    limits: Limits = field(default_factory=Limits)
     begins: float = 0.0
     ends: float = 1e9
     remaining: float = GIVE_UP
@@ -81,7 +81,7 @@
     work_ms: float = 40.0
     seed: int = 1
     door: bool = True
-    bounds: Settings = Settings(classes=(1.0,), useful=(AIM,))
+    bounds: Settings = field(default_factory=lambda: Settings(classes=(1.0,), useful=(AIM,)))
     faults: tuple[tuple[float, str, float], ...] = ()
 
     @property
@@ -101,10 +101,20 @@
             for n in range(1, scene.nodes + 1)
         }
         settings = routing.Settings(
-            classes=(routing.QueryClass(latency_objective=AIM, deadline=GIVE_UP, priority_weight=1.0),),
-            routers=scene.routers, shards=scene.shards, cells=scene.nodes, replica_span=scene.replica_span, zones=1,
-            can_retry_after=True, max_retry_after=5000.0, polls_discovery=False, answer_grace=50.0, tick=1.0,
-        )  # fmt: skip
+            classes=(
+                routing.QueryClass(latency_objective=AIM, deadline=GIVE_UP, priority_weight=1.0),
+            ),
+            routers=scene.routers,
+            shards=scene.shards,
+            cells=scene.nodes,
+            replica_span=scene.replica_span,
+            zones=1,
+            can_retry_after=True,
+            max_retry_after=5000.0,
+            polls_discovery=False,
+            answer_grace=50.0,
+            tick=1.0,
+        )
         self.routers = []
         for me in range(scene.routers):
             policy = Policy(scene.bounds) if scene.door else None
--- a/tansycrank/testbed/bulk_cluster.py
+++ b/tansycrank/testbed/bulk_cluster.py
@@ -167,7 +167,9 @@
 
 @dataclass
 class Heard:
-    """What a client got: rows, seconds, the first fault against the closed form, the error if any."""
+    """What a client got: rows, seconds, the first fault against the closed form, the error if
+    any.
+    """
 
     rows: int = 0
     seconds: float = 0.0
--- a/tansycrank/testbed/bulk_data.py
+++ b/tansycrank/testbed/bulk_data.py
@@ -139,10 +139,12 @@
         self.sql, self.source, self.sent = "", None, 0
 
     def connectionMade(self) -> None:
+        """Start once the connection is up."""
         self.setRawMode()
         self.transport.setTcpNoDelay(True)
 
     def rawDataReceived(self, data: bytes) -> None:
+        """Read bytes from the peer."""
         if self.frames is None:
             self.started += data
             size = pg.INT.unpack_from(self.started)[0]
@@ -165,6 +167,7 @@
                 self._start()
 
     def connectionLost(self, reason=None) -> None:
+        """Release what belongs to the connection."""
         self.source = None
         SESSIONS.pop(id(self) & 0x7FFFFFFF, None)
 
@@ -190,6 +193,7 @@
             os._exit(9)
 
     def stopProducing(self) -> None:
+        """Stop writing for good."""
         self.source = None
 
     def _end(self, last: bytes) -> None:
--- a/tansycrank/testbed/checkers.py
+++ b/tansycrank/testbed/checkers.py
@@ -59,7 +59,9 @@
 
 
 def judge(queries: list[dict], journal: list[dict], told: list[Told], figures: Figures) -> Verdict:
-    """Judge a run. `queries` are the clients' notes, `journal` the nodes', both in ms of one clock."""
+    """Judge a run. `queries` are the clients' notes, `journal` the nodes', both in ms of one
+    clock.
+    """
     verdict = Verdict()
     sends: dict[str, list[dict]] = defaultdict(list)
     applied: dict[str, int] = defaultdict(int)
--- a/tansycrank/testbed/demo.py
+++ b/tansycrank/testbed/demo.py
@@ -76,7 +76,9 @@
 
 
 def _kill_one(site: LocalCluster) -> bool:
-    """Eight clients ask for four seconds; a node dies after one, and the roster is a second late."""
+    """Eight clients ask for four seconds; a node dies after one, and the roster is a second
+    late.
+    """
     click.echo(
         "-- eight clients ask; node 2 is killed after a second, the roster learns of it a second later"
     )
--- a/tansycrank/testbed/endpoint_feed.py
+++ b/tansycrank/testbed/endpoint_feed.py
@@ -65,6 +65,7 @@
         self.roster = roster
 
     def lineReceived(self, line: bytes) -> None:
+        """Handle one line from the peer."""
         order, roster = msgspec.json.decode(line), self.roster
         if roster.silent:
             return
@@ -87,6 +88,7 @@
         self.sendLine(msgspec.json.encode(roster.whole()))
 
     def connectionLost(self, reason=None) -> None:
+        """Release what belongs to the connection."""
         self.roster.watchers.discard(self)
 
 
@@ -99,6 +101,7 @@
         self.roster = roster
 
     def lineReceived(self, line: bytes) -> None:
+        """Handle one line from the peer."""
         order, roster = msgspec.json.decode(line), self.roster
         if "set" in order:
             node = msgspec.convert(order["set"], NodeLine)
--- a/tansycrank/testbed/engine.py
+++ b/tansycrank/testbed/engine.py
@@ -161,7 +161,9 @@
 
 
 class Engine:
-    """One embedded database. `shards` of None makes the unsharded reference in the schema `main`."""
+    """One embedded database. `shards` of None makes the unsharded reference in the schema
+    `main`.
+    """
 
     def __init__(
         self, config: Config, seed: int, shards: tuple[int, ...] | None, scale: float = 1.0
@@ -255,7 +257,9 @@
         return Rows(fields, frames, tag)
 
     def describe(self, sql: str, oids: tuple[int, ...]) -> tuple[Field, ...] | None:
-        """The columns of a statement whose parameters have these types; None if it gives no rows."""
+        """The columns of a statement whose parameters have these types; None if it gives no
+        rows.
+        """
 
         def typed(match: re.Match) -> str:
             oid = oids[int(match[1]) - 1]
--- a/tansycrank/testbed/interposer/__init__.py
+++ b/tansycrank/testbed/interposer/__init__.py
@@ -1,4 +1,6 @@
-"""Fault injection below a real process: shared libraries that are loaded into it before all others."""
+"""Fault injection below a real process: shared libraries that are loaded into it before all
+others.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +23,9 @@
 
 
 def build(name: str, folder: Path) -> Path:
-    """Compile `name`.c to a shared library in `folder`, once; returns its path. Raises BuildError."""
+    """Compile `name`.c to a shared library in `folder`, once; returns its path. Raises
+    BuildError.
+    """
     library = folder / f"{name}.so"
     if library.exists():
         return library
@@ -52,7 +56,9 @@
     """
 
     def __init__(self, folder: Path, name: str = "wall-clock", offset: float = 0.0) -> None:
-        """`offset` is the seconds by which the clock is wrong from the start of the processes on."""
+        """`offset` is the seconds by which the clock is wrong from the start of the processes
+        on.
+        """
         self._library = build("wall_clock", folder)
         self._path = folder / f"{name}.offset"
         self._path.write_bytes(_OFFSET.pack(0))
@@ -111,7 +117,9 @@
         return {_PRELOAD: str(self._library), "FAILING_CALLS_FILE": str(self._path)}
 
     def set(self, rates: Mapping[CallFailure, float]) -> None:
-        """From now on so large a share of the calls of each kind fails; of kinds not named, none."""
+        """From now on so large a share of the calls of each kind fails; of kinds not named,
+        none.
+        """
         wanted = (round(rates.get(kind, 0.0) * _MILLION) for kind in CallFailure)
         self._COUNTS.pack_into(self._shared, self._SEED.size, *wanted)
 
--- a/tansycrank/testbed/load.py
+++ b/tansycrank/testbed/load.py
@@ -8,6 +8,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import math
 import random
 import re
@@ -156,10 +157,10 @@
         """Ask until the time is over."""
         await asyncio.sleep(self.rng.random() * self.spec.think_ms / 1000)
         while now() < until:
-            if self.link is None or self.link.closed:
-                if not await self.connect():
-                    await asyncio.sleep(0.1)
-                    continue
+            is_closed = self.link is None or self.link.closed
+            if is_closed and not await self.connect():
+                await asyncio.sleep(0.1)
+                continue
             await self.ask()
             await asyncio.sleep(self.rng.expovariate(1.0) * self.spec.think_ms / 1000)
         await self.close()
@@ -234,10 +235,8 @@
             self.link.pgconn.finish()
         note["done"], note["outcome"] = now(), "left"
         task.cancel()
-        try:
+        with contextlib.suppress(asyncio.CancelledError, psycopg.Error, OSError):
             await task
-        except (asyncio.CancelledError, psycopg.Error, OSError):
-            pass
         await self.close()
 
 
--- a/tansycrank/testbed/local_cluster.py
+++ b/tansycrank/testbed/local_cluster.py
@@ -323,7 +323,8 @@
         line = process.stdout.readline()
         if not line:
             raise RuntimeError(
-                f"router {me} did not start: {(self.folder / f'router-{me}.log').read_text()[-2000:]}"
+                f"router {me} did not start: "
+                f"{(self.folder / f'router-{me}.log').read_text()[-2000:]}"
             )
         self.routers[me] = process
         self.ports[me] = msgspec.json.decode(line)["port"]
--- a/tansycrank/testbed/measure_admission.py
+++ b/tansycrank/testbed/measure_admission.py
@@ -58,7 +58,7 @@
                     ],
                     stdout=subprocess.PIPE,
                     cwd=ROOT,
-                )  # fmt: skip
+                )
             )
         told: dict = {}
         for player in players:
@@ -240,7 +240,8 @@
                 )
             report[name]["limit and drain"] = play.limits[::10]
         say(
-            f"{name}: { {k: v for k, v in report[name].items() if k not in ('errors', 'limit and drain')} }"
+            f"{name}: "
+            f"{ {k: v for k, v in report[name].items() if k not in ('errors', 'limit and drain')} }"
         )
     runs = [v for v in report.values() if isinstance(v, dict) and "errors" in v]
     report["aims"] = {
--- a/tansycrank/testbed/measure_merge.py
+++ b/tansycrank/testbed/measure_merge.py
@@ -54,7 +54,9 @@
 
 
 def direct(site: BulkCluster) -> float:
-    """Rows a second of one connection straight to the large shard, with the same client and check."""
+    """Rows a second of one connection straight to the large shard, with the same client and
+    check.
+    """
     checker = Checker("direct", site.layout)
     heard = ask(site.node_ports[0], "SELECT id, g, v FROM s0000.bulk", checker.feed, timeout=240)
     return heard.rows / heard.seconds
--- a/tansycrank/testbed/mutations.py
+++ b/tansycrank/testbed/mutations.py
@@ -70,6 +70,7 @@
     """Rule 3: a drain is heard as nothing."""
 
     def handle_endpoint_list(self, event) -> None:
+        """Apply the mutated endpoint list."""
         entries = tuple(replace(e, status=routing.EndpointStatus.IN_SERVICE) for e in event.entries)
         super().handle_endpoint_list(routing.EndpointListUpdate(event.kind, entries))
 
@@ -78,6 +79,7 @@
     """Rule 4: cold nodes are taken for warm, and get each part many times."""
 
     def handle_endpoint_list(self, event) -> None:
+        """Apply the mutated endpoint list."""
         self.cold = getattr(self, "cold", set()) | {
             e.endpoint for e in event.entries if e.started_at
         }
--- a/tansycrank/testbed/node.py
+++ b/tansycrank/testbed/node.py
@@ -11,6 +11,7 @@
 import struct
 import sys
 from collections import deque
+from pathlib import Path
 
 import msgspec
 import pglast
@@ -70,6 +71,7 @@
 
     @property
     def now(self) -> float:
+        """Milliseconds of the reactor's clock."""
         return reactor.seconds() * 1000
 
     def note(self, event: str, session: NodeSession | None, **more) -> None:
@@ -146,7 +148,7 @@
         """
         if not self.spec.claims:
             return True
-        path = os.path.join(self.spec.claims, f"key-{xxhash.xxh3_64_hexdigest(key.encode())}")
+        path = Path(self.spec.claims) / f"key-{xxhash.xxh3_64_hexdigest(key.encode())}"
         try:
             file = os.open(path, os.O_CREAT | os.O_EXCL | os.O_RDWR)
         except FileExistsError:
@@ -215,12 +217,14 @@
         self.cancelled = False
 
     def connectionMade(self) -> None:
+        """Start once the connection is up."""
         self.setRawMode()
         self.transport.setTcpNoDelay(True)
         if self.node.model.faults.vanish:
             self.transport.pauseProducing()
 
     def rawDataReceived(self, data: bytes) -> None:
+        """Read bytes from the peer."""
         if self.node.model.faults.vanish:
             return
         if self.frames is None:
@@ -265,6 +269,7 @@
         return b""
 
     def connectionLost(self, reason=None) -> None:
+        """Release what belongs to the connection."""
         self.node.sessions.pop(self.pid, None)
         if self.pid:
             self.node.note("close", self, busy=self.job is not None)
@@ -505,6 +510,7 @@
         self.node = node
 
     def lineReceived(self, line: bytes) -> None:
+        """Handle one line from the peer."""
         order = msgspec.json.decode(line)
         answer: dict = {"ok": True}
         if "faults" in order:
--- a/tansycrank/testbed/process.py
+++ b/tansycrank/testbed/process.py
@@ -25,6 +25,7 @@
         self.make = make
 
     def buildProtocol(self, addr) -> Protocol:
+        """Create the protocol of a new connection."""
         return self.make()
 
 
--- a/tansycrank/testbed/soak/clients.py
+++ b/tansycrank/testbed/soak/clients.py
@@ -155,10 +155,12 @@
             return None
 
     async def ask(self, router: int, kept: dict[int, Connection]) -> None:
-        """One request, sent once more on a new connection where it crossed the end of a kept one."""
-        if connection := kept.pop(router, None):
-            if await self.exchange(router, connection, kept) is not Ending.CROSSED:
-                return
+        """One request, sent once more on a new connection where it crossed the end of a kept
+        one.
+        """
+        connection = kept.pop(router, None)
+        if connection and await self.exchange(router, connection, kept) is not Ending.CROSSED:
+            return
         if connection := await self.connect(router):
             await self.exchange(router, connection, kept)
 
@@ -234,7 +236,8 @@
     body = json.dumps({"shards": shard_requests, "q": "c41e77d0"})
     key = f"Idempotency-Key: key-{id}\r\n" if EFFECTS[name] == "idempotency_key" else ""
     return (
-        f"POST /{name}?obj=7f3a9c21e0b4d655 HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: {id}\r\n"
+        f"POST /{name}?obj=7f3a9c21e0b4d655 HTTP/1.1\r\nHost: api.internal\r\n"
+        f"X-Request-Id: {id}\r\n"
         f"X-Deadline-Ms: {deadline}\r\n{key}Content-Length: {len(body)}\r\n\r\n{body}"
     ).encode()
 
--- a/tansycrank/testbed/soak/discovery.py
+++ b/tansycrank/testbed/soak/discovery.py
@@ -43,6 +43,7 @@
         self.changes: list[tuple[int, dict]] = []
         self.changed = asyncio.Condition()
         self.watches: set[asyncio.StreamWriter] = set()
+        self._changes: set[asyncio.Future] = set()  # tasks that still run
         self.crowded = False
 
     def order(self, order: dict) -> None:
@@ -52,7 +53,9 @@
                 writer.transport.abort()
         self.crowded = order.get("crowded", self.crowded)
         if "entry" in order:
-            asyncio.ensure_future(self.change(order["version"], order["entry"]))
+            change = asyncio.ensure_future(self.change(order["version"], order["entry"]))
+            self._changes.add(change)
+            change.add_done_callback(self._changes.discard)
 
     async def change(self, version: int, entry: dict) -> None:
         """A change is known from now on."""
--- a/tansycrank/testbed/soak/fleet.py
+++ b/tansycrank/testbed/soak/fleet.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import json
 import os
 import selectors
@@ -38,7 +39,7 @@
 SETTLE = 1.0  # s after the last request, for what nodes still have to note
 
 
-class StartFailed(RuntimeError):
+class StartFailedError(RuntimeError):
     """A process of the soak did not come up."""
 
 
@@ -51,10 +52,8 @@
 
     def order(self, **order: object) -> None:
         """Send one; it is lost if the other side is gone."""
-        try:
+        with contextlib.suppress(OSError):
             self._socket.sendall(msgspec.json.encode(order) + b"\n")
-        except OSError:
-            pass
 
     def close(self) -> None:
         """Let go of it."""
@@ -77,12 +76,12 @@
 
 
 def announced(process: subprocess.Popen, what: str) -> dict:
-    """The line of JSON that a process prints once it stands. Raises StartFailed."""
+    """The line of JSON that a process prints once it stands. Raises StartFailedError."""
     with selectors.DefaultSelector() as selector:
         selector.register(process.stdout, selectors.EVENT_READ)
         line = process.stdout.readline() if selector.select(STARTS_WITHIN) else b""
     if not line:
-        raise StartFailed(f"{what} did not come up")
+        raise StartFailedError(f"{what} did not come up")
     return msgspec.json.decode(line)
 
 
@@ -127,7 +126,7 @@
         )
 
     def start(self) -> None:
-        """Start its process and wait until it is ready. Raises StartFailed."""
+        """Start its process and wait until it is ready. Raises StartFailedError."""
         self.write_config()
         states = {id: entry["state"] for id, entry in self.fleet.entries.items()}
         self.fleet.lives.append(
@@ -144,7 +143,7 @@
         until = time.monotonic() + STARTS_WITHIN
         while not self.is_ready():
             if time.monotonic() > until or self.process.poll() is not None:
-                raise StartFailed(f"router {self.number}: {self.log.read_text()[-1500:]}")
+                raise StartFailedError(f"router {self.number}: {self.log.read_text()[-1500:]}")
             time.sleep(0.02)
 
     def is_ready(self) -> bool:
--- a/tansycrank/testbed/soak/oracle.py
+++ b/tansycrank/testbed/soak/oracle.py
@@ -167,7 +167,10 @@
                 )
                 self._violate(Invariant.ANSWERED, text, record.request)
         elif record.ending is Ending.NO_ANSWER:
-            text = f"{record.request}: no answer within {record.ended - record.sent:.0f} ms: {record.detail}"
+            text = (
+                f"{record.request}: no answer within {record.ended - record.sent:.0f} ms: "
+                f"{record.detail}"
+            )
             self._violate(Invariant.ANSWERED, text, record.request)
         elif record.ended - record.sent > record.deadline + LATE:
             text = f"{record.request}: answered after {record.ended - record.sent:.0f} ms"
@@ -353,5 +356,8 @@
                 continue
             self.verdict.exercised[Invariant.HALF_REQUESTS] += 1
             if not half.ended_by_router or half.ended - half.sent > HALF_WITHIN + READING:
-                text = f"router {half.router}: a half request stood for {half.ended - half.sent:.0f} ms"
+                text = (
+                    f"router {half.router}: a half request stood for "
+                    f"{half.ended - half.sent:.0f} ms"
+                )
                 self._violate(Invariant.HALF_REQUESTS, text)
--- a/tests/e2e/test_answers.py
+++ b/tests/e2e/test_answers.py
@@ -72,7 +72,9 @@
     ],
 )
 def test_what_cant_be_merged_exactly_is_refused_by_name(site, sql, construct):
-    with psycopg.connect(site.dsn(), autocommit=True) as link:
-        with pytest.raises(psycopg.errors.FeatureNotSupported) as refusal:
-            link.execute(sql).fetchall()
+    with (
+        psycopg.connect(site.dsn(), autocommit=True) as link,
+        pytest.raises(psycopg.errors.FeatureNotSupported) as refusal,
+    ):
+        link.execute(sql).fetchall()
     assert construct in str(refusal.value)
--- a/tests/e2e/test_hard_cases.py
+++ b/tests/e2e/test_hard_cases.py
@@ -59,7 +59,7 @@
 
 
 def test_the_faults_reset_between_tests_are_all_there_are():
-    assert set(CLEAN) | {"pause_until"} == {name for name in Faults.__dataclass_fields__}
+    assert set(CLEAN) | {"pause_until"} == set(Faults.__dataclass_fields__)
 
 
 def test_all_nodes_of_a_shard_slow_is_refused_in_time_and_never_in_part(site):
--- a/tests/http_router/live.py
+++ b/tests/http_router/live.py
@@ -209,7 +209,8 @@
     if body is None:
         body = json.dumps({"shards": [{"shard": s, "weight": w} for s, w in shards], "q": "c41e"})
     return (
-        f"POST {path} HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: {id}\r\nX-Deadline-Ms: {deadline}\r\n"
+        f"POST {path} HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: {id}\r\n"
+        f"X-Deadline-Ms: {deadline}\r\n"
         f"{more}Content-Length: {len(body)}\r\n\r\n{body}"
     ).encode()
 
--- a/tests/http_router/real.py
+++ b/tests/http_router/real.py
@@ -150,7 +150,9 @@
 
 
 class Program:
-    """One router as a process, its nodes listed under 1, 2, ... `told` replaces settings, by group."""
+    """One router as a process, its nodes listed under 1, 2, ... `told` replaces settings, by
+    group.
+    """
 
     def __init__(
         self,
@@ -250,7 +252,9 @@
                 assert read_answer(probe)[0] == 200
 
     def ended(self):
-        """End the program; all that it has sent has come by then: the ids that reached each node."""
+        """End the program; all that it has sent has come by then: the ids that reached each
+        node.
+        """
         self.process.kill()
         self.process.wait()
         self.reserved.release()
--- a/tests/http_router/test_crossings.py
+++ b/tests/http_router/test_crossings.py
@@ -60,10 +60,8 @@
         client = program.client()
     client.sendall(post(id="gone"))
     client.setblocking(False)
-    try:
+    with contextlib.suppress(BlockingIOError):
         client.send(behind)
-    except BlockingIOError:
-        pass
     leave(client, how)
     program.go_on()
     served(program)
@@ -235,7 +233,7 @@
         where(f"busy{n}.0").got(f"busy{n}.0").sendall(answer(f"busy{n}.0"))
         assert read_answer(clients[n])[0] == 200
     assert read_answer(marker)[0] == 200
-    ids = sum(program.ended(), [])
+    ids = [id for ids in program.ended() for id in ids]
     assert "gone.0" not in ids and ids.count("marker.0") == 1
 
 
--- a/tests/http_router/test_endings.py
+++ b/tests/http_router/test_endings.py
@@ -116,7 +116,7 @@
         peer.held = []
 
     def read(self, client):
-        protocol, transport, requests = client
+        _protocol, transport, requests = client
         written = transport.take()
         while written:
             found = ANSWER.match(written)
--- a/tests/http_router/test_failing_calls.py
+++ b/tests/http_router/test_failing_calls.py
@@ -81,7 +81,9 @@
 
 
 def test_a_router_without_descriptors_closes_no_connection_that_waits(start):
-    """What the system has accepted is owed an answer; it waits until there is a descriptor again."""
+    """What the system has accepted is owed an answer; it waits until there is a descriptor
+    again.
+    """
     program, _ = start(Node())
     assert read_answer(program.client(post(id="first")))[0] == 200
     pid = program.process.pid
--- a/tests/http_router/test_http_server.py
+++ b/tests/http_router/test_http_server.py
@@ -198,7 +198,7 @@
 
 
 def test_who_says_nothing_is_closed_within_three_seconds(live):
-    protocol, transport = live.client()
+    _protocol, transport = live.client()
     half, half_transport = live.client()
     half.dataReceived(post()[:60])
     live.run(2.5)
@@ -280,7 +280,7 @@
 
 def test_what_is_given_up_is_refused_at_once_with_a_time_to_come_back(live):
     transport = live.ask(post(deadline=400))
-    [(peer, id, _)] = live.sent()
+    [(_peer, _id, _)] = live.sent()
     live.run(0.5)
     written = transport.take()
     assert status(written) == 503 and b"Retry-After: " in written
@@ -288,7 +288,7 @@
 
 def test_an_unsafe_query_that_may_have_run_is_failed_not_refused(live):
     transport = live.ask(post(path="/book"))
-    [(peer, id, _)] = live.sent()
+    [(peer, _id, _)] = live.sent()
     peer.transport.end()
     live.run(0)
     assert status(transport.take()) == 504 and not live.sent()
--- a/tests/http_router/test_node_connections.py
+++ b/tests/http_router/test_node_connections.py
@@ -146,7 +146,7 @@
     assert outcomes(node) == {"a.1": [Outcome.TIMED_OUT]}
     node = Node()
     peer = node.up("a.1", "a.2")
-    [sending] = node.send("b.1")
+    [_sending] = node.send("b.1")
     peer.say(answer("a.2"))
     node.reactor.advance(1.0)
     peer.calls()
@@ -182,7 +182,7 @@
 
 def test_a_connection_that_answered_meanwhile_is_kept():
     node = Node()
-    first, second = node.send("a.1", "a.2")
+    first, _second = node.send("a.1", "a.2")
     peer = node.peers[0].accept()
     node.reactor.advance(0.2)
     peer.say(answer("a.2"))
--- a/tests/http_router/test_program.py
+++ b/tests/http_router/test_program.py
@@ -145,7 +145,18 @@
 
 
 def test_it_loads_nothing_of_the_other_fronts():
-    names = "('pglast', 'duckdb', 'numpy', 'click', 'structlog', 'tansycrank.postgres', 'tansycrank.sql')"
-    code = f"import sys, tansycrank.http_router.daemon; print([n for n in {names} if n in sys.modules])"
+    names = (
+        "pglast",
+        "duckdb",
+        "numpy",
+        "click",
+        "structlog",
+        "tansycrank.postgres",
+        "tansycrank.sql",
+    )
+    code = (
+        "import sys, tansycrank.http_router.daemon; "
+        f"print([n for n in {names} if n in sys.modules])"
+    )
     found = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, timeout=60)
     assert found.stdout.strip() == b"[]", found.stderr
--- a/tests/http_router/test_wall_clock.py
+++ b/tests/http_router/test_wall_clock.py
@@ -1,4 +1,6 @@
-"""The wall clock of a running router is stepped; what it owes is measured on the monotonic clock."""
+"""The wall clock of a running router is stepped; what it owes is measured on the monotonic
+clock.
+"""
 
 import contextlib
 import threading
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -29,7 +29,9 @@
 
 
 def back_while_all_wait():
-    """Every router's wall clock goes back by an hour while requests wait for data nodes that hang."""
+    """Every router's wall clock goes back by an hour while requests wait for data nodes that
+    hang.
+    """
     plan = replace(draw(SEED, 6.0), clients=CLIENTS)
     hangs = [Fault(HANG_AT, FaultKind.NODE_HANG, node, HANG) for node in range(plan.nodes)]
     steps = [
--- a/tests/test_sql_node_connection.py
+++ b/tests/test_sql_node_connection.py
@@ -164,8 +164,7 @@
     assert node.outcomes == [Outcome.NOT_SENT]
     link = node.accept()
     assert (
-        link.state is ConnectionState.IDLE
-        and not [d for d in link.transport.value().split(b"SELECT")][1:]
+        link.state is ConnectionState.IDLE and not list(link.transport.value().split(b"SELECT"))[1:]
     )
 
 
