--- a/tansycrank/sql_router/service.py
+++ b/tansycrank/sql_router/service.py
@@ -11,11 +11,9 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-import xxhash
-
 from tansycrank.admission import views
 from tansycrank.admission.controller import AdmissionController, AdmissionEntry
-from tansycrank.admission.identity import Caller, CallerIdentity, Identity
+from tansycrank.admission.identity import Caller, Identity
 from tansycrank.config import Config, admission_policy, caller_identity, split_list
 from tansycrank.merge import pipeline
 from tansycrank.merge.blocks import frames_of
@@ -28,6 +26,7 @@
 from tansycrank.sql.planner import Planner, explain_lines
 from tansycrank.sql_router.coordinator import Coordinator, RoutedQuery, ShardRequest
 from tansycrank.sql_router.node_connection import ShardStatement
+from tansycrank.sql_router.parameters import decode_parameters, query_hash, statement_hash
 from tansycrank.sql_router.session_settings import (
     FORM_LABELS,
     QueryForm,
@@ -38,7 +37,6 @@
     remaining_ms,
 )
 
-LITERAL = re.compile(r"'(?:[^']|'')*'|\b\d+\b")  # statements alike but for these cost alike
 STORE_STATEMENT = re.compile(
     r"\s*(?:select|insert|update|delete|with)\b[^;]*;?\s*$", re.I
 )  # one, for the store
@@ -138,22 +136,7 @@
 
     def decoded(self, prepared: Prepared, values, formats) -> list[object]:
         """The parameters of a statement as values. Raises PgError 08P01, 22P02, 22P03."""
-        if len(values) != len(prepared.oids):
-            raise PgError(
-                "08P01",
-                f"the statement needs {len(prepared.oids)} parameters,"
-                f" the client gave {len(values)}",
-            )
-        codes = formats * len(values) if len(formats) == 1 else formats or (0,) * len(values)
-        decoded = []
-        for oid, code, value in zip(prepared.oids, codes, values, strict=True):
-            if value is None:
-                decoded.append(None)
-            elif oid == 0 and code == 1:
-                decoded.append(value)  # its type is the store's to say
-            else:
-                decoded.append(types.decode(oid or types.TEXT, code, value))
-        return decoded
+        return decode_parameters(prepared, values, formats)
 
     def run(self, request: Request, done: Callable[[Result | PgError], None]) -> Running | None:
         """Run a statement; `done` hears exactly one Result or PgError. None where it was answered
@@ -224,7 +207,7 @@
         if not self.admission.may_reject(caller_id.tenant):
             return None
         index = class_index(self.config.classes, sql, settings)
-        mark, remaining = self._query_hash(caller_id, sql, ()), self._remaining_ms(index, settings)
+        mark, remaining = query_hash(caller_id, sql, ()), self._remaining_ms(index, settings)
         return self.admission.reject_early(
             caller_id,
             3 * index + QueryForm.IDEMPOTENT,
@@ -234,16 +217,6 @@
             caller.session,
         )
 
-    def _query_hash(
-        self, caller_id: CallerIdentity, sql: str, values: tuple[bytes | None, ...]
-    ) -> int:
-        digest = xxhash.xxh3_64(
-            f"{caller_id.tenant}|{caller_id.client}|{sql.rstrip('; ')}".encode()
-        )
-        for value in values:
-            digest.update(b"-" if value is None else b"+" + value)
-        return digest.intdigest() | 1
-
     def _enter(
         self,
         request: Request,
@@ -266,8 +239,8 @@
                 remaining,
                 start,
                 done,
-                statement=xxhash.xxh3_64_intdigest(LITERAL.sub("?", sql).encode()),
-                mark=self._query_hash(caller_id, sql, request.values),
+                statement=statement_hash(sql),
+                mark=query_hash(caller_id, sql, request.values),
                 size=size,
                 repeat=is_repeat(settings),
                 session=request.caller.session,
