--- a/tansycrank/http_router/__init__.py
+++ b/tansycrank/http_router/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' platform: HTTP/1.1 clients in, framed calls to data nodes out, discovery by HTTP."""
+"""The query router for HTTP clients: connections, discovery and data nodes; no decisions."""
--- a/tansycrank/http_router/failure_log.py
+++ b/tansycrank/http_router/failure_log.py
@@ -1,6 +1,4 @@
-"""Why requests were refused or failed: all are counted by reason, some are logged with their
-history.
-"""
+"""Counts rejected and failed queries by reason, and logs some with their history."""
 
 from __future__ import annotations
 
@@ -10,24 +8,22 @@
 from tansycrank.lifecycle import AnswerKind, Request
 from tansycrank.routing import FailureReason
 
-LINES_A_SECOND = (
-    5  # of each kind of answer: an overload refuses hundreds a second, a log must not add to it
-)
+# of each kind of answer: an overload rejects hundreds a second, and a log must not add to it
+LINES_A_SECOND = 5
 SECOND = 1000.0  # ms
 
 
 class FailureLog:
-    """Holds two counters; what is logged and what is not shows in the difference to the counts."""
+    """Counts all; logs at most `LINES_A_SECOND` of each kind of answer. `log` writes one event."""
 
     def __init__(self, log: Callable[..., None]) -> None:
-        """`log` writes one event with its fields."""
         self._log = log
         self.counts: Counter[FailureReason] = Counter()
         self._lines: Counter[AnswerKind] = Counter()
         self._since = float("-inf")  # ms: when the second that `_lines` counts began
 
-    def note(self, request: Request, answer: AnswerKind, reason: FailureReason, now: float) -> None:
-        """A request has got this answer for this reason; `now` is ms of the monotonic clock."""
+    def note(self, query: Request, answer: AnswerKind, reason: FailureReason, now: float) -> None:
+        """Record a rejected or failed query; `now` is ms of the monotonic clock."""
         self.counts[reason] += 1
         if now - self._since >= SECOND:
             self._since = now
@@ -36,12 +32,12 @@
             self._lines[answer] += 1
             self._log(
                 "query_rejected_or_failed",
-                request=request.name,
+                request=query.name,
                 answer=answer.value,
                 reason=reason.value,
-                history=list(request.history),
+                history=list(query.history),
             )
 
     def figures(self) -> dict[str, int]:
-        """For the log: how many were given up, by reason."""
+        """Counts for the log, by reason."""
         return {reason.name.lower(): number for reason, number in self.counts.items()}
--- a/tansycrank/lifecycle.py
+++ b/tansycrank/lifecycle.py
@@ -1,9 +1,8 @@
-"""What may still happen to a request, an attempt, an endpoint, a connection and this process.
+"""What may still happen to a query, an attempt, an endpoint, a connection and this process.
 
-Whoever is about to send, repeat, answer, close or stop asks here, at that moment, and does what it
-is told. This component alone knows the states that the rules are about. It counts what it was
-asked, what it refused and why, and each violation: something that was decided elsewhere and must
-never have been.
+The lifecycle is asked at the moment of each send, retry, answer, close and stop. It alone holds the
+states that the rules are about. It counts each check, each denial with its reason, and each
+violation: a step that must never have been decided on.
 
 Pure decisions: no clock, no I/O. Times are milliseconds of the caller's monotonic clock.
 """
@@ -15,6 +14,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
+from tansycrank.errors import TansycrankError
+from tansycrank.invariants import Invariant, Violation
 from tansycrank.routing import (
     EndpointListKind,
     EndpointListUpdate,
@@ -25,27 +26,13 @@
 )
 from tansycrank.routing.state import SlidingSum
 
-LATE = (
-    500.0  # ms after its deadline up to which an answer is merely worth nothing; later it is lost
-)
-HISTORY = 32  # events kept of one request
-
-
-class Invariant(Enum):
-    """What holds at all times."""
-
-    ONE_ANSWER = "a request gets one final answer"
-    ANSWER_IN_TIME = "a request is answered in its time"
-    ANSWER_OWED = "no connection or process ends while an answer is owed"
-    HONEST_ANSWER = "an answer claims no more than is proven"
-    NO_START_AFTER_END = "nothing starts for a request that has ended"
-    NO_DOUBLE_EFFECT = "nothing is repeated that may take effect twice"
-    NOTHING_TO_DRAINING = "nothing starts at an endpoint that is draining or removed"
-    WITHIN_BUDGET = "hedges and retries stay within their budget"
+# ms after its deadline up to which an answer only loses its worth; later it is a violation
+LATE = 500.0
+HISTORY = 32  # events kept of one query
 
 
 class Reason(Enum):
-    """Why an attempt may not start now."""
+    """Why an attempt may not be made or started now."""
 
     REQUEST_ENDED = "its request has ended"
     ANSWERED = "its sub-request has its answer"
@@ -57,8 +44,7 @@
     STOPPED = "this process has stopped"
 
 
-# Invariants that the policy's choice alone breaks; other reasons may come true before it is carried
-# out.
+# Violations if the policy asks for the attempt; the other reasons may come true in between.
 _BROKEN_BY_CHOOSING = {
     Reason.REQUEST_ENDED: Invariant.NO_START_AFTER_END,
     Reason.ANSWERED: Invariant.NO_START_AFTER_END,
@@ -68,8 +54,8 @@
 }
 
 
-class NotAllowed(Exception):
-    """An attempt that may not be made."""
+class NotAllowed(TansycrankError):
+    """An attempt may not be made, for this reason."""
 
     def __init__(self, reason: Reason) -> None:
         super().__init__(reason.value)
@@ -77,7 +63,7 @@
 
 
 class RequestState(Enum):
-    """The states of a request; the last two are final."""
+    """The states of a query; the last two are final."""
 
     OPEN = "open"
     ANSWERED = "answered"
@@ -93,22 +79,12 @@
     FAILED = "failed"
 
 
-@dataclass(frozen=True, slots=True)
-class Violation:
-    """An invariant that was broken, or would have been; `history` is its request's, oldest first."""
-
-    invariant: Invariant
-    detail: str
-    request: str = ""
-    history: tuple[str, ...] = ()
-
-
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt of a sub-request: started once it has a time, ended once it has an outcome."""
+    """An attempt of a shard request; `started_at` and `outcome` are set once."""
 
     lifecycle: Lifecycle
-    request: Request
+    query: Request
     shard_request: Hashable
     endpoint: int
     deadline: float
@@ -118,32 +94,31 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether it left this process and nothing proves that it never ran."""
+        """Whether it left this process and its outcome does not prove that it never ran."""
         proven = self.outcome is not None and self.outcome.never_executed
         return self.started_at is not None and not proven
 
     def start(self, now: float) -> Reason | None:
-        """Ask whether its bytes may leave at this moment. None: they may, and they do."""
+        """Start it as its bytes leave; the reason if it may not start, else None."""
         return self.lifecycle.start(self, now)
 
     def end(self, outcome: Outcome, now: float) -> None:
-        """Its one outcome."""
+        """Record its one outcome."""
         self.lifecycle.end(self, outcome, now)
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One request and all attempts for it. `window` is the ms in which a keyed one may be repeated."""
+    """One query and its attempts. With a key it may be retried for `window` ms."""
 
     name: str
     idempotency: Idempotency
     window: float
     deadline: float
     state: RequestState = RequestState.OPEN
-    attempts: dict[Hashable, list[Attempt]] = field(
-        default_factory=dict
-    )  # by sub-request, in order
-    answered: set[Hashable] = field(default_factory=set)  # sub-requests that have their answer
+    # by shard request, in order
+    attempts: dict[Hashable, list[Attempt]] = field(default_factory=dict)
+    answered: set[Hashable] = field(default_factory=set)  # shard requests
     history: deque[str] = field(default_factory=lambda: deque(maxlen=HISTORY))
 
     @property
@@ -159,15 +134,14 @@
         )
 
     def note(self, now: float, event: str) -> None:
-        """Keep this for the case of a violation."""
+        """Add an event to the history, which a violation reports."""
         self.history.append(f"{now:.1f} {event}")
 
 
 class Lifecycle:
-    """The states of one router. It holds what the open requests hold, and one number per endpoint."""
+    """The states of one router; `report` gets each violation. Memory is bounded by open queries."""
 
     def __init__(self, settings: Settings, report: Callable[[Violation], None]) -> None:
-        """`report` hears each violation, for the log."""
         self._settings, self._report = settings, report
         span = settings.budget_window or 0.0
         self._taken = SlidingSum(span)
@@ -182,9 +156,7 @@
     # --- endpoints and process ----------------------------------------------------------
 
     def listed(self, event: EndpointListUpdate) -> None:
-        """Service discovery spoke: from now on nothing starts at an endpoint that is not in
-        service.
-        """
+        """Apply an endpoint list: nothing starts any more at an endpoint that is not in service."""
         if event.kind is EndpointListKind.FAILED:
             return
         if event.kind is not EndpointListKind.DELTA:
@@ -196,11 +168,11 @@
                 self._in_service.discard(entry.endpoint)
 
     def stop(self, now: float) -> None:
-        """The process ends now."""
+        """Stop the process: no answer may be owed then."""
         self._stopped = True
         self.checked[Invariant.ANSWER_OWED] += 1
-        for request in self._open:
-            self._violate(Invariant.ANSWER_OWED, "the process ends", request, now)
+        for query in self._open:
+            self._violate(Invariant.ANSWER_OWED, "the process ends", query, now)
 
     # --- requests -----------------------------------------------------------------------
 
@@ -213,96 +185,94 @@
         shard_requests: int,
         now: float,
     ) -> Request:
-        """A request is taken: from now on its final answer is owed, until `deadline`."""
-        request = Request(name, idempotency, window, deadline)
-        request.note(now, f"taken, {shard_requests} sub-requests, until {deadline:.1f}")
-        self._open.add(request)
+        """Accept a query: its final answer is owed from now on, by `deadline`."""
+        query = Request(name, idempotency, window, deadline)
+        query.note(now, f"taken, {shard_requests} sub-requests, until {deadline:.1f}")
+        self._open.add(query)
         self._taken.add(now, 1 + shard_requests)
-        return request
+        return query
 
     def answer(
-        self, request: Request, kind: AnswerKind, now: float, missing: int = 0
+        self, query: Request, kind: AnswerKind, now: float, missing: int = 0
     ) -> AnswerKind | None:
-        """Which answer may go out: this one, a weaker one, or None, since it has had its answer.
+        """Return the answer to send: this one, a weaker one, or None if it was answered before.
 
-        `missing` is the number of sub-requests without a value, where the answer claims to have
-        all.
+        `missing` is the number of shard requests without a value, if the answer claims to be
+        complete.
         """
         self.checked[Invariant.ONE_ANSWER] += 1
-        if not request.open:
+        if not query.open:
             self._violate(
-                Invariant.ONE_ANSWER, f"{kind.value} after {request.state.value}", request, now
+                Invariant.ONE_ANSWER, f"{kind.value} after {query.state.value}", query, now
             )
             return None
         self.checked[Invariant.ANSWER_IN_TIME] += 1
-        if now > request.deadline + LATE:
-            late = f"{kind.value} {now - request.deadline:.0f} ms after its deadline"
-            self._violate(Invariant.ANSWER_IN_TIME, late, request, now)
+        if now > query.deadline + LATE:
+            late = f"{kind.value} {now - query.deadline:.0f} ms after its deadline"
+            self._violate(Invariant.ANSWER_IN_TIME, late, query, now)
         self.checked[Invariant.HONEST_ANSWER] += 1
         if missing:
-            self._violate(Invariant.HONEST_ANSWER, f"whole with {missing} missing", request, now)
+            self._violate(Invariant.HONEST_ANSWER, f"whole with {missing} missing", query, now)
             kind = AnswerKind.FAILED
         if (
             kind is AnswerKind.REJECTED
-            and request.idempotency is not Idempotency.IDEMPOTENT
-            and request.may_have_run
+            and query.idempotency is not Idempotency.IDEMPOTENT
+            and query.may_have_run
         ):
-            self._violate(Invariant.HONEST_ANSWER, "refused although it may have run", request, now)
+            self._violate(Invariant.HONEST_ANSWER, "refused although it may have run", query, now)
             kind = AnswerKind.FAILED
-        self._close(request, RequestState.ANSWERED, kind.value, now)
+        self._close(query, RequestState.ANSWERED, kind.value, now)
         return kind
 
-    def abandon(self, request: Request, now: float) -> None:
-        """Its client has left, or has cancelled it: nothing is owed any more."""
-        if request.open:
-            self._close(request, RequestState.ABANDONED, "its client left", now)
+    def abandon(self, query: Request, now: float) -> None:
+        """End a query whose client has left or cancelled it: nothing is owed any more."""
+        if query.open:
+            self._close(query, RequestState.ABANDONED, "its client left", now)
 
-    def close_connection(self, requests: Iterable[Request], reason: str, now: float) -> None:
-        """This process ends a client's connection: no answer may be owed on it."""
+    def close_connection(self, queries: Iterable[Request], reason: str, now: float) -> None:
+        """Check that no answer is owed on a connection that this process ends."""
         self.checked[Invariant.ANSWER_OWED] += 1
-        for request in requests:
-            if request.open:
-                self._violate(
-                    Invariant.ANSWER_OWED, f"its connection closes: {reason}", request, now
-                )
+        for query in queries:
+            if query.open:
+                self._violate(Invariant.ANSWER_OWED, f"its connection closes: {reason}", query, now)
 
-    def _close(self, request: Request, state: RequestState, event: str, now: float) -> None:
-        request.state = state
-        request.note(now, event)
-        self._open.discard(request)
+    def _close(self, query: Request, state: RequestState, event: str, now: float) -> None:
+        query.state = state
+        query.note(now, event)
+        self._open.discard(query)
 
     # --- attempts -----------------------------------------------------------------------
 
     def choose(
         self,
-        request: Request,
+        query: Request,
         shard_request: Hashable,
         endpoint: int,
         time_out: float,
         start_within: float,
         now: float,
     ) -> Attempt:
-        """The policy wants an attempt; raises NotAllowed where none may be made.
+        """Prepare an attempt that the policy chose; raises NotAllowed if none may be made.
 
-        It is waited for during `time_out`, and to the request's deadline at most; its bytes leave
-        within `start_within`, where that is above 0.
+        It times out after `time_out`, at the query's deadline at the latest; its bytes leave within
+        `start_within` if that is above 0.
         """
         start_by = now + start_within if start_within else float("inf")
-        deadline = min(now + time_out, request.deadline)
-        attempt = Attempt(self, request, shard_request, endpoint, deadline, start_by)
+        deadline = min(now + time_out, query.deadline)
+        attempt = Attempt(self, query, shard_request, endpoint, deadline, start_by)
         self.checked[Invariant.NO_START_AFTER_END] += 1
         if reason := self._forbids(attempt, now):
             self.refused[reason] += 1
             if invariant := _BROKEN_BY_CHOOSING.get(reason):
-                self._violate(invariant, f"chosen for {endpoint}: {reason.value}", request, now)
+                self._violate(invariant, f"chosen for {endpoint}: {reason.value}", query, now)
             raise NotAllowed(reason)
-        request.attempts.setdefault(shard_request, []).append(attempt)
-        request.note(now, f"{shard_request}: chosen for {endpoint}")
+        query.attempts.setdefault(shard_request, []).append(attempt)
+        query.note(now, f"{shard_request}: chosen for {endpoint}")
         return attempt
 
     def start(self, attempt: Attempt, now: float) -> Reason | None:
-        """Whether an attempt's bytes may leave now. If so, they count as gone."""
-        request = attempt.request
+        """Start an attempt; the reason if it may not start, else None."""
+        query = attempt.query
         reason = self._forbids(attempt, now)
         if reason is None and self._is_repeat(attempt):
             self.checked[Invariant.WITHIN_BUDGET] += 1
@@ -312,61 +282,61 @@
                 self._repeated.add(now)
         if reason is not None:
             self.refused[reason] += 1
-            request.note(
+            query.note(
                 now, f"{attempt.shard_request}: not started at {attempt.endpoint}, {reason.value}"
             )
             return reason
         attempt.started_at = now
-        request.note(now, f"{attempt.shard_request}: started at {attempt.endpoint}")
+        query.note(now, f"{attempt.shard_request}: started at {attempt.endpoint}")
         return None
 
     def end(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
-        """The one outcome of an attempt."""
+        """Record the one outcome of an attempt."""
         attempt.outcome = outcome
         if outcome is Outcome.SUCCEEDED:
-            attempt.request.answered.add(attempt.shard_request)
-        attempt.request.note(now, f"{attempt.shard_request}: {outcome.value} at {attempt.endpoint}")
+            attempt.query.answered.add(attempt.shard_request)
+        attempt.query.note(now, f"{attempt.shard_request}: {outcome.value} at {attempt.endpoint}")
 
     def _forbids(self, attempt: Attempt, now: float) -> Reason | None:
-        request = attempt.request
+        query = attempt.query
         if self._stopped:
             return Reason.STOPPED
-        if not request.open:
+        if not query.open:
             return Reason.REQUEST_ENDED
-        if attempt.shard_request in request.answered:
+        if attempt.shard_request in query.answered:
             return Reason.ANSWERED
         self.checked[Invariant.NOTHING_TO_DRAINING] += 1
         if attempt.endpoint not in self._in_service:
             return Reason.ENDPOINT
-        if now >= request.deadline:
+        if now >= query.deadline:
             return Reason.DEADLINE
         if now > attempt.start_by:
             return Reason.REPEAT_WINDOW
         return self._forbids_repeat(attempt, now)
 
     def _forbids_repeat(self, attempt: Attempt, now: float) -> Reason | None:
-        """A repeat is free where nothing ran before it, or where it has no effect."""
-        if attempt.request.idempotency is Idempotency.IDEMPOTENT:
+        """Deny a retry that could take effect twice."""
+        if attempt.query.idempotency is Idempotency.IDEMPOTENT:
             return None
         self.checked[Invariant.NO_DOUBLE_EFFECT] += 1
         ran = [one for one in self._others(attempt) if one.may_have_run]
         if not ran:
             return None
-        if attempt.request.idempotency is Idempotency.NOT_IDEMPOTENT:
+        if attempt.query.idempotency is Idempotency.NOT_IDEMPOTENT:
             return Reason.MAY_HAVE_RUN
         first = min(one.started_at for one in ran)
-        return Reason.REPEAT_WINDOW if now > first + attempt.request.window else None
+        return Reason.REPEAT_WINDOW if now > first + attempt.query.window else None
 
     @staticmethod
     def _others(attempt: Attempt) -> list[Attempt]:
         return [
             one
-            for one in attempt.request.attempts.get(attempt.shard_request, ())
+            for one in attempt.query.attempts.get(attempt.shard_request, ())
             if one is not attempt
         ]
 
     def _is_repeat(self, attempt: Attempt) -> bool:
-        """Whether another attempt of the same sub-request has left this process before."""
+        """Whether another attempt of the same shard request has left this process before."""
         return any(one.started_at is not None for one in self._others(attempt))
 
     def _budget_spent(self, now: float) -> bool:
@@ -388,7 +358,7 @@
 
     # --- violations ---------------------------------------------------------------------
 
-    def _violate(self, invariant: Invariant, detail: str, request: Request, now: float) -> None:
+    def _violate(self, invariant: Invariant, detail: str, query: Request, now: float) -> None:
         self.violated[invariant] += 1
-        request.note(now, f"VIOLATION: {detail}")
-        self._report(Violation(invariant, detail, request.name, tuple(request.history)))
+        query.note(now, f"VIOLATION: {detail}")
+        self._report(Violation(invariant, detail, query.name, tuple(query.history)))
