--- a/tansycrank/policy_event_loop.py
+++ b/tansycrank/policy_event_loop.py
@@ -1,7 +1,6 @@
-"""The step loop around a `RoutingPolicy`: events gathered, one `step` a reactor turn, actions
-carried out in order.
+"""Runs a `RoutingPolicy`: gathers events, takes one step a reactor turn, carries out the actions.
 
-It alone holds the decision module, knows no protocol, and decides nothing.
+It is the only holder of the policy, knows no protocol, and decides nothing.
 """
 
 from __future__ import annotations
@@ -13,7 +12,11 @@
 
 
 class PolicyEventLoop:
-    """Times are milliseconds of the reactor's clock, which is monotonic."""
+    """Times are milliseconds of the reactor's clock, which is monotonic.
+
+    `acts` carries out one kind of action each; `after` is called once a step's actions were carried
+    out. `on_broken` gets whatever the policy raised: open queries have to be answered then.
+    """
 
     def __init__(
         self,
@@ -24,18 +27,15 @@
         on_broken: Callable[[Exception], None],
         after: Callable[[], None] = lambda: None,
     ) -> None:
-        """`acts` carries out one action each; `after` is called once a step's actions were carried
-        out.
-
-        `on_broken` hears whatever the module raised: nobody may be left without an answer then.
-        """
-        self.reactor, self.on_broken, self.after = reactor, on_broken, after
+        self.reactor = reactor
+        self.on_broken = on_broken
+        self.after = after
         self.policy = RoutingPolicy(settings, seed)
         self.steps = 0
-        self.latest = 0.0  # ms: the most that a wake-up came too late since this was last read
-        self._acts = {**acts, routing.SetTimer: self._set_wake}
+        self.latest = 0.0  # ms: largest lateness of a timer since this was last read
+        self._acts = {**acts, routing.SetTimer: self._set_timer}
         self._events: list[routing.Event] = []
-        self._turn = self._wake = None
+        self._pending_step = self._timer = None
 
     @property
     def now(self) -> float:
@@ -43,20 +43,20 @@
         return self.reactor.seconds() * 1000
 
     def handle(self, *events: routing.Event) -> None:
-        """Something happened: the next reactor turn takes a step."""
+        """Queue events for the step that the next reactor turn takes."""
         self._events.extend(events)
-        if self._turn is None:
-            self._turn = self.reactor.callLater(0, self._step)
+        if self._pending_step is None:
+            self._pending_step = self.reactor.callLater(0, self._step)
 
     def stop(self) -> None:
-        """No more steps; open queries have been answered before."""
-        for call in (self._turn, self._wake):
+        """Take no more steps; open queries have been answered before."""
+        for call in (self._pending_step, self._timer):
             if call is not None and call.active():
                 call.cancel()
-        self._turn = self._wake = None
+        self._pending_step = self._timer = None
 
     def _step(self) -> None:
-        self._turn = None
+        self._pending_step = None
         events, self._events = self._events, []
         self.steps += 1
         try:
@@ -68,13 +68,13 @@
             self.on_broken(error)
         self.after()
 
-    def _set_wake(self, action: routing.SetTimer) -> None:
-        if self._wake is not None and self._wake.active():
-            self._wake.cancel()
+    def _set_timer(self, action: routing.SetTimer) -> None:
+        if self._timer is not None and self._timer.active():
+            self._timer.cancel()
         due = self.now + action.after
-        self._wake = self.reactor.callLater(action.after / 1000, self._woken, action.token, due)
+        self._timer = self.reactor.callLater(action.after / 1000, self._on_timer, action.token, due)
 
-    def _woken(self, token: int, due: float) -> None:
-        self._wake = None
+    def _on_timer(self, token: int, due: float) -> None:
+        self._timer = None
         self.latest = max(self.latest, self.now - due)
         self.handle(routing.TimerExpired(token))
