--- a/tansycrank/testbed/node/journal.py
+++ b/tansycrank/testbed/node/journal.py
@@ -27,7 +27,7 @@
         self._node_id = node_id
         self._clock_ms = clock_ms
         self._size_bytes = 0
-        self._file = Path(path).open("ab", buffering=0) if path else None  # noqa: SIM115
+        self._file = Path(path).open("ab", buffering=0) if path else None
 
     def record(self, event: str, session: JournalSession | None, **fields: object) -> None:
         """Write one event."""
