--- a/tansycrank/admission/controller.py
+++ b/tansycrank/admission/controller.py
@@ -25,7 +25,7 @@
 from tansycrank.postgres.errors import (
     FAILED,
     QUERY_CANCELED,
-    REFUSED,
+    QUERY_REJECTED,
     PgError,
     cancelled,
     retry_after,
@@ -47,7 +47,7 @@
     """The error of a rejected query, which was never executed."""
     later = ", and an earlier time could not be held" if corrected else ""
     return PgError(
-        REFUSED,
+        QUERY_REJECTED,
         f"refused: {REASON_TEXTS[reason]}{later}; trying again is harmless",
         detail=f"retry_after_ms={math.ceil(max(wait, 0))} reason={reason}"
         f" corrected={int(corrected)}",
@@ -239,7 +239,7 @@
             return
         kind, retry_after_ms = "answered", 0.0
         if isinstance(outcome, PgError):
-            kind = {REFUSED: "refused", FAILED: "failed", QUERY_CANCELED: "cancelled"}.get(
+            kind = {QUERY_REJECTED: "refused", FAILED: "failed", QUERY_CANCELED: "cancelled"}.get(
                 outcome.state, "failed"
             )
             if kind == "refused":
--- a/tansycrank/admission/identity.py
+++ b/tansycrank/admission/identity.py
@@ -142,7 +142,7 @@
             found = []
         return False not in found if found else not self._allowing
 
-    def who(self, caller: Caller, claimed: str = "") -> CallerIdentity:
+    def identify(self, caller: Caller, claimed: str = "") -> CallerIdentity:
         """The tenant of a session, which sets `tansycrank.tenant` to what it claims. Kept for a
         while.
         """
@@ -150,10 +150,10 @@
         if key not in self._known:
             if len(self._known) >= KNOWN:
                 self._known.clear()
-            self._known[key] = self._who(caller, claimed)
+            self._known[key] = self._identify(caller, claimed)
         return self._known[key]
 
-    def _who(self, caller: Caller, claimed: str) -> CallerIdentity:
+    def _identify(self, caller: Caller, claimed: str) -> CallerIdentity:
         try:
             peer = read_address(caller.address)
         except (AddrFormatError, ValueError):
--- a/tansycrank/admission/reader_scheduler.py
+++ b/tansycrank/admission/reader_scheduler.py
@@ -20,11 +20,11 @@
 
     id: int
 
-    def look(self) -> None:
+    def read_pending(self) -> None:
         """Read the messages that are pending."""
 
 
-class Turns:
+class ReaderScheduler:
     """Schedules the sessions of all tenants.
 
     `call_soon(f)` calls f in the next reactor turn; `clock()` returns seconds.
@@ -57,7 +57,7 @@
     def _read_timed(self, reader: Reader) -> float:
         """Let the session read; returns the seconds used."""
         began = self._clock()
-        reader.look()
+        reader.read_pending()
         return max(self._clock() - began, 0.0)
 
     def forget(self, reader: Reader, tenant: str) -> None:
--- a/tansycrank/daemon.py
+++ b/tansycrank/daemon.py
@@ -174,7 +174,7 @@
         for query in list(self.coordinator.queries.values()):
             self.coordinator.abandon(query, PgError(SHUTTING_DOWN, "the router is shutting down"))
         for session in list(self.front.sessions):
-            session.shut()
+            session.shut_down()
         self.coordinator.lifecycle.stop(self.coordinator.now)
         self.coordinator.stop()
         self.roster.stop()
--- a/tansycrank/http_router/active_query.py
+++ b/tansycrank/http_router/active_query.py
@@ -7,7 +7,7 @@
 
 from tansycrank.http_router.outgoing_call import OutgoingCall
 from tansycrank.http_router.request_codec import QueryRequest, Response
-from tansycrank.lifecycle import Request
+from tansycrank.lifecycle import Query
 
 
 @dataclass(slots=True, eq=False)
@@ -36,13 +36,13 @@
     id: int
     request: QueryRequest
     on_response: Callable[[Response], None]
-    life: Request
+    life: Query
     shard_requests: list[ActiveShardRequest] = field(default_factory=list)
 
     @property
     def has_ended(self) -> bool:
         """Whether nothing is owed to its client any more."""
-        return not self.life.open
+        return not self.life.is_open
 
     @property
     def size(self) -> int:
--- a/tansycrank/http_router/connection_pool.py
+++ b/tansycrank/http_router/connection_pool.py
@@ -46,30 +46,32 @@
             revoked_frame=min(REVOKED_FRAME_LIMIT_SECONDS, drain_grace_ms / 2000),
             idle=IDLE_SHARE * (idle_ms / 1000),
         )
-        self.nodes: dict[int, EndpointConnections] = {}
-        self.links: set[NodeConnection] = set()  # those of removed endpoints included
-        self.opened = 0
+        self.endpoints: dict[int, EndpointConnections] = {}
+        self.connections: set[NodeConnection] = set()  # those of removed endpoints included
+        self.connections_opened = 0
         self._unflushed: list[EndpointConnections] = []
 
     @property
-    def count(self) -> int:
+    def connection_count(self) -> int:
         """Connections held."""
-        return len(self.links)
+        return len(self.connections)
 
     # --- endpoints --------------------------------------------------------------------
 
-    def place(self, endpoint: int, host: str, port: int) -> None:
+    def set_address(self, endpoint: int, host: str, port: int) -> None:
         """Set the address of an endpoint; connections to its old address finish their calls."""
-        known = self.nodes.get(endpoint)
+        known = self.endpoints.get(endpoint)
         if known is not None and not known.has_address(host, port):
-            self.forget(endpoint)
-        if endpoint not in self.nodes:
-            self.nodes[endpoint] = EndpointConnections(endpoint, host, port, self.links.discard)
+            self.remove_endpoint(endpoint)
+        if endpoint not in self.endpoints:
+            self.endpoints[endpoint] = EndpointConnections(
+                endpoint, host, port, self.connections.discard
+            )
 
-    def forget(self, endpoint: int) -> None:
+    def remove_endpoint(self, endpoint: int) -> None:
         """Remove an endpoint: its connections close once the calls sent on them are ended."""
         self.revoke_unsent(endpoint)
-        if removed := self.nodes.pop(endpoint, None):
+        if removed := self.endpoints.pop(endpoint, None):
             for connection in list(removed.connections):
                 connection.retire()
 
@@ -78,13 +80,13 @@
 
         Without this they start there when a pending connection comes up, or a hung node reads on.
         """
-        if draining := self.nodes.get(endpoint):
+        if draining := self.endpoints.get(endpoint):
             for connection in list(draining.connections):
                 connection.revoke_unsent()
 
     def close_idle(self, endpoint: int) -> None:
         """Close the unused connections of an endpoint."""
-        if known := self.nodes.get(endpoint):
+        if known := self.endpoints.get(endpoint):
             for connection in known.idle():
                 connection.retire()
 
@@ -120,7 +122,7 @@
             connect_limit=connect_within / 1000,
             transmit_limit=leave_within / 1000,
         )
-        target = self.nodes.get(endpoint)
+        target = self.endpoints.get(endpoint)
         if target is None:
             self.reactor.callLater(0, call.finish, Outcome.CONNECT_FAILED)
             return call
@@ -169,17 +171,17 @@
         return connection
 
     def _has_quota(self, target: EndpointConnections) -> bool:
-        return len(target.connections) < max(self.max_connections // len(self.nodes), 1)
+        return len(target.connections) < max(self.max_connections // len(self.endpoints), 1)
 
     # --- connections ------------------------------------------------------------------
 
     def _open(self, target: EndpointConnections) -> NodeConnection | None:
-        if self.count >= self.max_connections and not self._close_least_recently_used():
+        if self.connection_count >= self.max_connections and not self._close_least_recently_used():
             return None
         connection = NodeConnection(self.reactor, target.endpoint, self._limits, target, self.log)
         target.connections.add(connection)
-        self.links.add(connection)
-        self.opened += 1
+        self.connections.add(connection)
+        self.connections_opened += 1
         factory = OneConnection(connection, connection.on_closed)
         connection.connector = self.reactor.connectTCP(
             target.host, target.port, factory, timeout=self._limits.connect_timeout
@@ -188,17 +190,17 @@
 
     def _close_least_recently_used(self) -> bool:
         """Close the connection that was idle longest; return whether there was one."""
-        idle = (connection for known in self.nodes.values() for connection in known.idle())
+        idle = (connection for known in self.endpoints.values() for connection in known.idle())
         oldest = min(idle, key=lambda connection: connection.last_used, default=None)
         if oldest is None:
             return False
         oldest.close()
         return True
 
-    def sweep(self) -> None:
+    def run_maintenance(self) -> None:
         """Close connections that were idle too long or that stalled within a frame."""
         now = self.reactor.seconds()
-        for connection in list(self.links):
+        for connection in list(self.connections):
             if connection.has_expired(now):
                 connection.close()
             elif connection.has_stalled_frame(now):
@@ -206,5 +208,5 @@
 
     def close(self) -> None:
         """Close all connections."""
-        for connection in list(self.links):
+        for connection in list(self.connections):
             connection.close()
--- a/tansycrank/http_router/coordinator.py
+++ b/tansycrank/http_router/coordinator.py
@@ -15,7 +15,7 @@
 from tansycrank.http_router.failure_log import FailureLog
 from tansycrank.http_router.outgoing_call import OutgoingCall
 from tansycrank.http_router.request_codec import QueryRequest, RequestRejectedError, Response
-from tansycrank.lifecycle import AnswerKind, Lifecycle, NotAllowed, Violation
+from tansycrank.lifecycle import AnswerKind, AttemptDeniedError, Lifecycle, Violation
 from tansycrank.policy_event_loop import PolicyEventLoop
 from tansycrank.routing import FailureReason
 
@@ -41,7 +41,7 @@
         self._by_number: dict[int, ActiveQuery] = {}
         self._parts: dict[int, tuple[ActiveQuery, ActiveShardRequest]] = {}
         self._ids = 0
-        self.held = 0  # queries and shard requests in flight
+        self.in_flight = 0  # queries and shard requests in flight
         self.shutdown_deadline = float("inf")  # ms: everything has to be answered before
         self.counts = dict.fromkeys(
             ("taken", "answered", "refused", "failed", "left", "turned_away", "sends", "cancels"), 0
@@ -81,7 +81,7 @@
         self._ids += 1
         now = self.loop.now
         query_class = self.settings.classes[request.query_class]
-        life = self.lifecycle.take(
+        life = self.lifecycle.accept(
             request.id.decode(),
             query_class.idempotency,
             query_class.dedup_window,
@@ -92,7 +92,7 @@
         query = ActiveQuery(self._ids, request, on_response, life)
         events = [self._query_arrived(query, remaining), *self._add_shard_requests(query)]
         self.queries[request.id] = self._by_number[query.id] = query
-        self.held += query.size
+        self.in_flight += query.size
         self.counts["taken"] += 1
         self.loop.handle(*events)
         return query
@@ -100,7 +100,7 @@
     def _check_may_accept(self, request: QueryRequest) -> None:
         if request.id in self.queries:
             raise RequestRejectedError(409, "X-Request-Id: a request of that id is open")
-        if self.held + 1 + len(request.shard_requests) > self.settings.max_in_flight:
+        if self.in_flight + 1 + len(request.shard_requests) > self.settings.max_in_flight:
             self.counts["turned_away"] += 1
             raise RequestRejectedError(503, "too many requests are open")
         idempotency = self.settings.classes[request.query_class].idempotency
@@ -200,7 +200,7 @@
         number, started_at = len(shard_request.attempts), self.loop.now
         self.counts["sends"] += 1
         try:
-            attempt = self.lifecycle.choose(
+            attempt = self.lifecycle.prepare_attempt(
                 query.life,
                 shard_request.shard,
                 action.endpoint,
@@ -208,7 +208,7 @@
                 action.leave_within,
                 started_at,
             )
-        except NotAllowed as denied:
+        except AttemptDeniedError as denied:
             self.log("attempt_not_allowed", request=query.life.name, reason=denied.reason.value)
             self._never_sent(action, shard_request)
             return
@@ -268,7 +268,7 @@
         if shard_request is not None:
             number = len(shard_request.attempts)
             shard_request.attempts.append(
-                OutgoingCall.never(shard_request.name, shard_request.shard)
+                OutgoingCall.never_sent(shard_request.name, shard_request.shard)
             )
         self.outcomes[routing.Outcome.NOT_SENT.value] += 1
         self.loop.handle(
@@ -343,7 +343,7 @@
 
     def handle_endpoint_list(self, event: routing.EndpointListUpdate) -> None:
         """Apply an endpoint list: nothing starts any more at an endpoint out of service."""
-        self.lifecycle.listed(event)
+        self.lifecycle.update_endpoints(event)
         for entry in event.entries:
             if entry.status is routing.EndpointStatus.DRAINING:
                 self.pool.revoke_unsent(entry.endpoint)
@@ -360,7 +360,7 @@
 
     def _end(self, query: ActiveQuery) -> None:
         del self.queries[query.request.id], self._by_number[query.id]
-        self.held -= query.size
+        self.in_flight -= query.size
         for shard_request in query.shard_requests:
             self._revoke(shard_request)
             self._forget(shard_request)
--- a/tansycrank/http_router/daemon.py
+++ b/tansycrank/http_router/daemon.py
@@ -85,7 +85,7 @@
             self.pool,
             log,
             self.discovery.set_watch,
-            self.discovery.fetch,
+            self.discovery.poll_once,
         )
         self.server = HttpServer(reactor, settings, self.coordinator, log, overslept)
         self.shutdown = GracefulShutdown(
@@ -164,7 +164,7 @@
 
     def on_unchanged(self) -> None:
         """Note that discovery reported no change."""
-        self.names.unchanged(self.coordinator.loop.now)
+        self.names.confirm_unchanged(self.coordinator.loop.now)
 
     def on_listing(self, listing: Listing) -> None:
         """Apply a list of discovery, unless it is older than the one held.
@@ -176,7 +176,7 @@
             if empty and not self._is_empty_list_doubted:
                 self._is_empty_list_doubted = True
                 log("empty_endpoint_list_received", version=listing.version, nodes=len(self.names))
-                self.discovery.fetch()
+                self.discovery.poll_once()
             else:
                 self._is_empty_list_doubted = False
                 self._take(
@@ -195,16 +195,16 @@
             self._ready()
 
     def _take(self, listing: Listing, kind: routing.EndpointListKind) -> None:
-        if odd := self.names.oddities(listing):
+        if odd := self.names.find_problems(listing):
             log("unknown_endpoint_list_content_received", version=listing.version, **odd)
-        event, places = self.names.heard(listing, kind, self.coordinator.loop.now)
+        event, places = self.names.apply(listing, kind, self.coordinator.loop.now)
         unusable = []
         for server, place in places.items():
             try:
                 if place:
-                    self.pool.place(server, *configuration.address(place, "addr"))
+                    self.pool.set_address(server, *configuration.address(place, "addr"))
                 else:
-                    self.pool.forget(server)
+                    self.pool.remove_endpoint(server)
             except ConfigError as problem:
                 unusable.append(str(problem))
         if unusable:
@@ -226,7 +226,7 @@
             if getattr(new, what) != getattr(self.settings, what)
         ]
         log("configuration_reloaded", discovery=list(new.discovery), only_after_a_restart=kept)
-        self.discovery.move(*new.discovery)
+        self.discovery.set_address(*new.discovery)
 
     def terminate(self) -> None:
         """Shut down gracefully (SIGTERM, SIGINT); further signals change nothing."""
@@ -268,8 +268,8 @@
             given_up=self.coordinator.failure_log.figures(),
             open=len(self.coordinator.queries),
             clients=len(self.server.connections),
-            links=self.pool.count,
-            links_opened=self.pool.opened,
+            links=self.pool.connection_count,
+            links_opened=self.pool.connections_opened,
             nodes=len(self.names),
             steps=loop.steps,
             discovery_failures=self.discovery_failures,
--- a/tansycrank/http_router/discovery_client.py
+++ b/tansycrank/http_router/discovery_client.py
@@ -52,12 +52,12 @@
         if on and self.watch is None:
             self.watch = self._start(ExchangeKind.WATCH)
 
-    def fetch(self) -> None:
+    def poll_once(self) -> None:
         """Poll the whole list, unless a poll is open."""
         if self.poll is None:
             self.poll = self._start(ExchangeKind.POLL)
 
-    def move(self, host: str, port: int) -> None:
+    def set_address(self, host: str, port: int) -> None:
         """Use a new address: restart the open poll and the wanted watch there, at once.
 
         Without this, a watch that has just failed at the old address is reopened only after its
@@ -67,7 +67,7 @@
             return
         self.host, self.port = host, port
         if self._end_poll():
-            self.fetch()
+            self.poll_once()
         if self._watch_wanted:
             self.set_watch(False)
             self.set_watch(True)
--- a/tansycrank/http_router/endpoint_directory.py
+++ b/tansycrank/http_router/endpoint_directory.py
@@ -13,7 +13,7 @@
     EndpointListUpdate,
     EndpointStatus,
 )
-from tansycrank.routing.start_times import FIRST, LONG_AGO, Start, StartTimes
+from tansycrank.routing.start_times import FIRST_INCARNATION, LONG_AGO, Start, StartTimes
 
 TERMINATED = "terminated"
 STATUSES = {
@@ -22,7 +22,7 @@
     TERMINATED: EndpointStatus.REMOVED,
 }
 STATUS_OF_UNKNOWN_STATE = EndpointStatus.DRAINING  # it may not want anything new
-START_OF_REMOVED = Start(LONG_AGO, FIRST)
+START_OF_REMOVED = Start(LONG_AGO, FIRST_INCARNATION)
 REMOVED_RETENTION_MS = 60_000.0  # within which a node that comes back keeps its number
 MAX_EXAMPLE_LENGTH = 40  # characters of a word shown in the log
 
@@ -68,11 +68,11 @@
     def __len__(self) -> int:
         return len(self._nodes)
 
-    def unchanged(self, now: float) -> None:
+    def confirm_unchanged(self, now: float) -> None:
         """Note that discovery reported no change on its watch."""
         self._starts.heard(now)
 
-    def oddities(self, listing: Listing) -> dict[str, str]:
+    def find_problems(self, listing: Listing) -> dict[str, str]:
         """Return what the protocol does not foresee in a listing: how often, and an example."""
         seen: set[str] = set()
         twice = [entry.id for entry in listing.servers if entry.id in seen or seen.add(entry.id)]
@@ -84,7 +84,7 @@
             problems["named_twice"] = _count_and_example(twice)
         return problems
 
-    def heard(self, listing: Listing, kind: EndpointListKind, now: float) -> DirectoryUpdate:
+    def apply(self, listing: Listing, kind: EndpointListKind, now: float) -> DirectoryUpdate:
         """Apply a listing."""
         entries = self._complete_entries(listing, kind)
         started = {entry.id: entry.started_ms for entry in entries if entry.state != TERMINATED}
--- a/tansycrank/http_router/failure_log.py
+++ b/tansycrank/http_router/failure_log.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from tansycrank.lifecycle import AnswerKind, Request
+from tansycrank.lifecycle import AnswerKind, Query
 from tansycrank.routing import FailureReason
 
 # of each kind of answer: an overload rejects hundreds a second, and a log must not add to it
@@ -22,7 +22,7 @@
         self._lines: Counter[AnswerKind] = Counter()
         self._since = float("-inf")  # ms: when the second that `_lines` counts began
 
-    def note(self, query: Request, answer: AnswerKind, reason: FailureReason, now: float) -> None:
+    def note(self, query: Query, answer: AnswerKind, reason: FailureReason, now: float) -> None:
         """Record a rejected or failed query; `now` is ms of the monotonic clock."""
         self.counts[reason] += 1
         if now - self._since >= SECOND:
--- a/tansycrank/http_router/frames.py
+++ b/tansycrank/http_router/frames.py
@@ -52,17 +52,17 @@
     reason: str
 
 
-def call(shard_calls: Iterable[ShardCall]) -> bytes:
+def encode_call(shard_calls: Iterable[ShardCall]) -> bytes:
     """Encode one call frame."""
     return _frame(b"Q", b"".join(_encode(*shard_call) for shard_call in shard_calls))
 
 
-def give_up(id: bytes) -> bytes:
+def encode_cancel(id: bytes) -> bytes:
     """Encode the frame that cancels a shard request."""
     return _frame(b"X", id)
 
 
-class Reader:
+class FrameReader:
     """Cuts a stream into records. It holds the bytes of one frame at most."""
 
     def __init__(self) -> None:
--- a/tansycrank/http_router/http_server.py
+++ b/tansycrank/http_router/http_server.py
@@ -41,7 +41,9 @@
         self.log = log
         self.overslept = overslept
         self.connections: dict[ClientConnection, None] = {}  # oldest first
-        self.unused: dict[ClientConnection, None] = {}  # idle after a query, longest idle first
+        self.idle_after_query: dict[
+            ClientConnection, None
+        ] = {}  # idle after a query, longest idle first
         self.delayed_admission = DelayedAdmission(reactor)
         self.ready = False
         self.draining = False
@@ -78,17 +80,17 @@
 
     def on_request_started(self, connection: ClientConnection) -> None:
         """Note that it is in use again."""
-        self.unused.pop(connection, None)
+        self.idle_after_query.pop(connection, None)
 
     def on_query_answered(self, connection: ClientConnection) -> None:
         """Note that it is idle after a query, and close the longest idle one beyond the bound.
 
         Without the bound, clients that ask once and keep their connections shut out all others.
         """
-        self.unused[connection] = None
-        if len(self.unused) > self.settings.max_unused:
-            longest = next(iter(self.unused))
-            del self.unused[longest]
+        self.idle_after_query[connection] = None
+        if len(self.idle_after_query) > self.settings.max_unused:
+            longest = next(iter(self.idle_after_query))
+            del self.idle_after_query[longest]
             longest.close("unused longest")
 
     def on_request_unusable(self, problem: str) -> None:
@@ -107,7 +109,7 @@
     def on_closed(self, connection: ClientConnection) -> None:
         """Forget a connection that has ended."""
         self.connections.pop(connection, None)
-        self.unused.pop(connection, None)
+        self.idle_after_query.pop(connection, None)
         self.delayed_admission.cancel(connection)
 
     # --- bounds -----------------------------------------------------------------------
--- a/tansycrank/http_router/maintenance.py
+++ b/tansycrank/http_router/maintenance.py
@@ -71,5 +71,5 @@
             self._log("event_loop_stalled", ms=round(late * 1000, 1))
         self._has_skipped = is_late and not self._has_skipped
         if not self._has_skipped:
-            self._pool.sweep()
+            self._pool.run_maintenance()
             self._server.close_expired()
--- a/tansycrank/http_router/node_connection.py
+++ b/tansycrank/http_router/node_connection.py
@@ -77,7 +77,7 @@
         self._queued: deque[list[OutgoingCall]] = deque()
         self._may_write = False  # whether the system has taken all that the socket was given
         self._revocation_timer = None
-        self._reader = frames.Reader()
+        self._reader = frames.FrameReader()
         self._partial_since = self.last_used
         self._last_received = float("-inf")
 
@@ -196,7 +196,7 @@
                 if not calls:
                     continue
                 self.sent_calls.update((call.id, call) for call in calls)
-                data = frames.call(_to_shard_call(call, now) for call in calls)
+                data = frames.encode_call(_to_shard_call(call, now) for call in calls)
             self.last_used, self._may_write, self.calls_in_transmission = now, False, calls
             self.transport.write(data)
 
@@ -205,7 +205,7 @@
 
     def _take_cancel_frames(self) -> bytes:
         ids, self.unsent_cancels = self.unsent_cancels, []
-        return b"".join(frames.give_up(id) for id in ids)
+        return b"".join(frames.encode_cancel(id) for id in ids)
 
     def _close_stalled(self) -> None:
         self._revocation_timer = None
--- a/tansycrank/http_router/outgoing_call.py
+++ b/tansycrank/http_router/outgoing_call.py
@@ -60,7 +60,7 @@
     _timers: list = field(default_factory=list)
 
     @classmethod
-    def never(cls, id: bytes, shard: int) -> OutgoingCall:
+    def never_sent(cls, id: bytes, shard: int) -> OutgoingCall:
         """Return an ended call that stands for an attempt that was not allowed."""
         return cls(id, shard, b"", 0.0, None, None, state=CallState.ENDED)
 
--- a/tansycrank/lifecycle.py
+++ b/tansycrank/lifecycle.py
@@ -31,7 +31,7 @@
 HISTORY = 32  # events kept of one query
 
 
-class Reason(Enum):
+class DenialReason(Enum):
     """Why an attempt may not be made or started now."""
 
     REQUEST_ENDED = "its request has ended"
@@ -46,23 +46,23 @@
 
 # Violations if the policy asks for the attempt; the other reasons may come true in between.
 _BROKEN_BY_CHOOSING = {
-    Reason.REQUEST_ENDED: Invariant.NO_START_AFTER_END,
-    Reason.ANSWERED: Invariant.NO_START_AFTER_END,
-    Reason.MAY_HAVE_RUN: Invariant.NO_DOUBLE_EFFECT,
-    Reason.ENDPOINT: Invariant.NOTHING_TO_DRAINING,
-    Reason.STOPPED: Invariant.NO_START_AFTER_END,
+    DenialReason.REQUEST_ENDED: Invariant.NO_START_AFTER_END,
+    DenialReason.ANSWERED: Invariant.NO_START_AFTER_END,
+    DenialReason.MAY_HAVE_RUN: Invariant.NO_DOUBLE_EFFECT,
+    DenialReason.ENDPOINT: Invariant.NOTHING_TO_DRAINING,
+    DenialReason.STOPPED: Invariant.NO_START_AFTER_END,
 }
 
 
-class NotAllowed(TansycrankError):
+class AttemptDeniedError(TansycrankError):
     """An attempt may not be made, for this reason."""
 
-    def __init__(self, reason: Reason) -> None:
+    def __init__(self, reason: DenialReason) -> None:
         super().__init__(reason.value)
         self.reason = reason
 
 
-class RequestState(Enum):
+class QueryState(Enum):
     """The states of a query; the last two are final."""
 
     OPEN = "open"
@@ -84,7 +84,7 @@
     """An attempt of a shard request; `started_at` and `outcome` are set once."""
 
     lifecycle: Lifecycle
-    query: Request
+    query: Query
     shard_request: Hashable
     endpoint: int
     deadline: float
@@ -98,7 +98,7 @@
         proven = self.outcome is not None and self.outcome.never_executed
         return self.started_at is not None and not proven
 
-    def start(self, now: float) -> Reason | None:
+    def start(self, now: float) -> DenialReason | None:
         """Start it as its bytes leave; the reason if it may not start, else None."""
         return self.lifecycle.start(self, now)
 
@@ -108,23 +108,23 @@
 
 
 @dataclass(slots=True, eq=False)
-class Request:
+class Query:
     """One query and its attempts. With a key it may be retried for `window` ms."""
 
     name: str
     idempotency: Idempotency
     window: float
     deadline: float
-    state: RequestState = RequestState.OPEN
+    state: QueryState = QueryState.OPEN
     # by shard request, in order
     attempts: dict[Hashable, list[Attempt]] = field(default_factory=dict)
     answered: set[Hashable] = field(default_factory=set)  # shard requests
     history: deque[str] = field(default_factory=lambda: deque(maxlen=HISTORY))
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         """Whether its final answer is still owed."""
-        return self.state is RequestState.OPEN
+        return self.state is QueryState.OPEN
 
     @property
     def may_have_run(self) -> bool:
@@ -147,15 +147,15 @@
         self._taken = SlidingSum(span)
         self._repeated = SlidingSum(span)
         self._in_service: set[int] = set()
-        self._open: set[Request] = set()
+        self._open: set[Query] = set()
         self._stopped = False
         self.checked: Counter[Invariant] = Counter()
-        self.refused: Counter[Reason] = Counter()
+        self.refused: Counter[DenialReason] = Counter()
         self.violated: Counter[Invariant] = Counter()
 
     # --- endpoints and process ----------------------------------------------------------
 
-    def listed(self, event: EndpointListUpdate) -> None:
+    def update_endpoints(self, event: EndpointListUpdate) -> None:
         """Apply an endpoint list: nothing starts any more at an endpoint that is not in service."""
         if event.kind is EndpointListKind.FAILED:
             return
@@ -176,7 +176,7 @@
 
     # --- requests -----------------------------------------------------------------------
 
-    def take(
+    def accept(
         self,
         name: str,
         idempotency: Idempotency,
@@ -184,16 +184,16 @@
         deadline: float,
         shard_requests: int,
         now: float,
-    ) -> Request:
+    ) -> Query:
         """Accept a query: its final answer is owed from now on, by `deadline`."""
-        query = Request(name, idempotency, window, deadline)
+        query = Query(name, idempotency, window, deadline)
         query.note(now, f"taken, {shard_requests} sub-requests, until {deadline:.1f}")
         self._open.add(query)
         self._taken.add(now, 1 + shard_requests)
         return query
 
     def answer(
-        self, query: Request, kind: AnswerKind, now: float, missing: int = 0
+        self, query: Query, kind: AnswerKind, now: float, missing: int = 0
     ) -> AnswerKind | None:
         """Return the answer to send: this one, a weaker one, or None if it was answered before.
 
@@ -201,7 +201,7 @@
         complete.
         """
         self.checked[Invariant.ONE_ANSWER] += 1
-        if not query.open:
+        if not query.is_open:
             self._violate(
                 Invariant.ONE_ANSWER, f"{kind.value} after {query.state.value}", query, now
             )
@@ -221,31 +221,31 @@
         ):
             self._violate(Invariant.HONEST_ANSWER, "refused although it may have run", query, now)
             kind = AnswerKind.FAILED
-        self._close(query, RequestState.ANSWERED, kind.value, now)
+        self._close(query, QueryState.ANSWERED, kind.value, now)
         return kind
 
-    def abandon(self, query: Request, now: float) -> None:
+    def abandon(self, query: Query, now: float) -> None:
         """End a query whose client has left or cancelled it: nothing is owed any more."""
-        if query.open:
-            self._close(query, RequestState.ABANDONED, "its client left", now)
+        if query.is_open:
+            self._close(query, QueryState.ABANDONED, "its client left", now)
 
-    def close_connection(self, queries: Iterable[Request], reason: str, now: float) -> None:
+    def close_connection(self, queries: Iterable[Query], reason: str, now: float) -> None:
         """Check that no answer is owed on a connection that this process ends."""
         self.checked[Invariant.ANSWER_OWED] += 1
         for query in queries:
-            if query.open:
+            if query.is_open:
                 self._violate(Invariant.ANSWER_OWED, f"its connection closes: {reason}", query, now)
 
-    def _close(self, query: Request, state: RequestState, event: str, now: float) -> None:
+    def _close(self, query: Query, state: QueryState, event: str, now: float) -> None:
         query.state = state
         query.note(now, event)
         self._open.discard(query)
 
     # --- attempts -----------------------------------------------------------------------
 
-    def choose(
+    def prepare_attempt(
         self,
-        query: Request,
+        query: Query,
         shard_request: Hashable,
         endpoint: int,
         time_out: float,
@@ -265,19 +265,19 @@
             self.refused[reason] += 1
             if invariant := _BROKEN_BY_CHOOSING.get(reason):
                 self._violate(invariant, f"chosen for {endpoint}: {reason.value}", query, now)
-            raise NotAllowed(reason)
+            raise AttemptDeniedError(reason)
         query.attempts.setdefault(shard_request, []).append(attempt)
         query.note(now, f"{shard_request}: chosen for {endpoint}")
         return attempt
 
-    def start(self, attempt: Attempt, now: float) -> Reason | None:
+    def start(self, attempt: Attempt, now: float) -> DenialReason | None:
         """Start an attempt; the reason if it may not start, else None."""
         query = attempt.query
         reason = self._forbids(attempt, now)
         if reason is None and self._is_repeat(attempt):
             self.checked[Invariant.WITHIN_BUDGET] += 1
             if self._budget_spent(now):
-                reason = Reason.BUDGET
+                reason = DenialReason.BUDGET
             else:
                 self._repeated.add(now)
         if reason is not None:
@@ -297,24 +297,24 @@
             attempt.query.answered.add(attempt.shard_request)
         attempt.query.note(now, f"{attempt.shard_request}: {outcome.value} at {attempt.endpoint}")
 
-    def _forbids(self, attempt: Attempt, now: float) -> Reason | None:
+    def _forbids(self, attempt: Attempt, now: float) -> DenialReason | None:
         query = attempt.query
         if self._stopped:
-            return Reason.STOPPED
-        if not query.open:
-            return Reason.REQUEST_ENDED
+            return DenialReason.STOPPED
+        if not query.is_open:
+            return DenialReason.REQUEST_ENDED
         if attempt.shard_request in query.answered:
-            return Reason.ANSWERED
+            return DenialReason.ANSWERED
         self.checked[Invariant.NOTHING_TO_DRAINING] += 1
         if attempt.endpoint not in self._in_service:
-            return Reason.ENDPOINT
+            return DenialReason.ENDPOINT
         if now >= query.deadline:
-            return Reason.DEADLINE
+            return DenialReason.DEADLINE
         if now > attempt.start_by:
-            return Reason.REPEAT_WINDOW
+            return DenialReason.REPEAT_WINDOW
         return self._forbids_repeat(attempt, now)
 
-    def _forbids_repeat(self, attempt: Attempt, now: float) -> Reason | None:
+    def _forbids_repeat(self, attempt: Attempt, now: float) -> DenialReason | None:
         """Deny a retry that could take effect twice."""
         if attempt.query.idempotency is Idempotency.IDEMPOTENT:
             return None
@@ -323,9 +323,9 @@
         if not ran:
             return None
         if attempt.query.idempotency is Idempotency.NOT_IDEMPOTENT:
-            return Reason.MAY_HAVE_RUN
+            return DenialReason.MAY_HAVE_RUN
         first = min(one.started_at for one in ran)
-        return Reason.REPEAT_WINDOW if now > first + attempt.query.window else None
+        return DenialReason.REPEAT_WINDOW if now > first + attempt.query.window else None
 
     @staticmethod
     def _others(attempt: Attempt) -> list[Attempt]:
@@ -358,7 +358,7 @@
 
     # --- violations ---------------------------------------------------------------------
 
-    def _violate(self, invariant: Invariant, detail: str, query: Request, now: float) -> None:
+    def _violate(self, invariant: Invariant, detail: str, query: Query, now: float) -> None:
         self.violated[invariant] += 1
         query.note(now, f"VIOLATION: {detail}")
         self._report(Violation(invariant, detail, query.name, tuple(query.history)))
--- a/tansycrank/merge/rows.py
+++ b/tansycrank/merge/rows.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True)
-class PartRows:
+class ShardRows:
     """What one part brought: its columns, its rows as frames, its command tag."""
 
     fields: tuple[Field, ...]
@@ -40,7 +40,7 @@
     memory: object = None  # what is held for it until it has been written out
 
 
-def part_formats(plan: MergePlan | None, results: tuple[int, ...]) -> tuple[int, ...]:
+def shard_formats(plan: MergePlan | None, results: tuple[int, ...]) -> tuple[int, ...]:
     """The formats to ask of the nodes, for those the client wants."""
     if plan is None:
         return results
@@ -65,7 +65,7 @@
 
 def merge(
     plan: MergePlan,
-    shard_results: Sequence[PartRows],
+    shard_results: Sequence[ShardRows],
     params: Sequence[object],
     oids: Sequence[int],
     results: tuple[int, ...],
@@ -112,7 +112,7 @@
 
 
 def _plain(
-    plan: MergePlan, shard_results: Sequence[PartRows], limit: int | None, offset: int
+    plan: MergePlan, shard_results: Sequence[ShardRows], limit: int | None, offset: int
 ) -> Result:
     fields = shard_results[0].fields
     visible = fields[: len(fields) - plan.hidden] if plan.hidden else fields
@@ -298,7 +298,7 @@
 
 def _grouped(
     plan: MergePlan,
-    shard_results: Sequence[PartRows],
+    shard_results: Sequence[ShardRows],
     params: Sequence[object],
     oids: Sequence[int],
     results: tuple[int, ...],
--- a/tansycrank/postgres/errors.py
+++ b/tansycrank/postgres/errors.py
@@ -32,12 +32,12 @@
 CANNOT_CONNECT_NOW = "57P03"
 INTERNAL = "XX000"
 
-REFUSED = "53T01"  # own: the router rejected the query before it ran; a retry is harmless
+QUERY_REJECTED = "53T01"  # own: the router rejected the query before it ran; a retry is harmless
 FAILED = "58T01"  # own: the router ended the query; it may or may not have had an effect
-BROKE_OFF = "58T02"  # own: an answer ended after some of its rows were sent
+ANSWER_BROKEN_OFF = "58T02"  # own: an answer ended after some of its rows were sent
 
-QUERYS_OWN_FAULT = ("0A", "21", "22", "23", "42", "P0")  # SQLSTATE classes: the node is healthy
-REFUSED_BEFORE_RUN = (TOO_MANY_CONNECTIONS, CANNOT_CONNECT_NOW)  # a node did not start the query
+QUERY_FAULT_CLASSES = ("0A", "21", "22", "23", "42", "P0")  # SQLSTATE classes: the node is healthy
+REJECTED_BEFORE_RUN = (TOO_MANY_CONNECTIONS, CANNOT_CONNECT_NOW)  # a node did not start the query
 
 
 class PgError(TansycrankError):
@@ -56,9 +56,9 @@
         return self.severity in ("FATAL", "PANIC")
 
     @property
-    def querys_own_fault(self) -> bool:
+    def is_query_fault(self) -> bool:
         """Whether the statement, not the node, is to blame (the table on the operators' page)."""
-        return self.state[:2] in QUERYS_OWN_FAULT
+        return self.state[:2] in QUERY_FAULT_CLASSES
 
 
 def cancelled() -> PgError:
--- a/tansycrank/postgres/server/context.py
+++ b/tansycrank/postgres/server/context.py
@@ -14,7 +14,7 @@
 from tansycrank.postgres.server.transaction import TransactionBlock
 from tansycrank.sql.plan import Prepared
 from tansycrank.sql.planner import split_comment
-from tansycrank.sql_router.service import NOBODY, Request, Service
+from tansycrank.sql_router.service import UNKNOWN_CALLER, Request, Service
 
 
 class SessionConnection(Protocol):
@@ -47,7 +47,7 @@
     statements: StatementTable
     portals: PortalTable
     cursors: CursorTable
-    caller: Caller = NOBODY
+    caller: Caller = UNKNOWN_CALLER
 
     def release_portals_and_cursors(self) -> None:
         """Remove what ends with a transaction."""
--- a/tansycrank/postgres/server/factory.py
+++ b/tansycrank/postgres/server/factory.py
@@ -6,7 +6,7 @@
 
 from twisted.internet.protocol import ServerFactory
 
-from tansycrank.admission.reader_scheduler import Turns
+from tansycrank.admission.reader_scheduler import ReaderScheduler
 from tansycrank.config import ListenSection
 from tansycrank.postgres.errors import CANNOT_CONNECT_NOW, TOO_MANY_CONNECTIONS, PgError
 from tansycrank.postgres.server.session import ClientSession
@@ -30,7 +30,7 @@
         self.sessions: set[ClientSession] = set()
         self.stopping = False
         self.accepted = 0  # connections
-        self.turns = Turns(lambda call: reactor.callLater(0, call), reactor.seconds)
+        self.turns = ReaderScheduler(lambda call: reactor.callLater(0, call), reactor.seconds)
         self._sessions_by_pid: dict[int, ClientSession] = {}
         self._random = random.Random(seed)
         self._last_pid = 0
--- a/tansycrank/postgres/server/session.py
+++ b/tansycrank/postgres/server/session.py
@@ -234,9 +234,9 @@
 
     def _tenant(self) -> str:
         name = self._context.settings.get("tansycrank.tenant", "")
-        return self.service.identity.who(self._context.caller, name).tenant
+        return self.service.identity.identify(self._context.caller, name).tenant
 
-    def look(self) -> None:
+    def read_pending(self) -> None:
         """The scheduler gives this session its turn."""
         self.process_messages()
 
@@ -251,7 +251,7 @@
                     continue
                 if not self._queue:
                     if self.factory.stopping and self._context.transaction.is_idle:
-                        self.shut()
+                        self.shut_down()
                     break
                 self._handle(self._queue.pop())
         except PgError as error:
@@ -309,7 +309,7 @@
             self._context.cursors.close_unused_since(last_used)
         return bool(self._context.cursors)
 
-    def shut(self) -> None:
+    def shut_down(self) -> None:
         """End the session at once because the router stops."""
         self._end_with(PgError(SHUTTING_DOWN, "the router is shutting down", severity="FATAL"))
 
--- a/tansycrank/postgres/server/simple_query.py
+++ b/tansycrank/postgres/server/simple_query.py
@@ -41,7 +41,7 @@
         """(leading comment, statements). Raises PgError."""
         context = self._context
         comment, rest = context.split_statement(sql)
-        rejection = context.service.glance(rest, context.caller, context.settings)
+        rejection = context.service.reject_early(rest, context.caller, context.settings)
         if rejection is not None:
             raise rejection
         statements = context.service.prepare(rest)
--- a/tansycrank/routing/start_times.py
+++ b/tansycrank/routing/start_times.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass
 
 LONG_AGO = 0.0  # as Unix time and as monotonic time: the endpoint is warm
-FIRST = 0  # the incarnation of an endpoint when it is first reported
+FIRST_INCARNATION = 0  # the incarnation of an endpoint when it is first reported
 REQUIRED_AGREEMENT = 2  # endpoints that have to agree on the offset between the clocks
 MIN_IMPROVEMENT_MS = 100.0  # by which a start has to be older before it is dated again
 
@@ -97,7 +97,7 @@
         known = self._records.get(endpoint)
         if known is not None and known.reported == reported:
             return
-        incarnation = FIRST if known is None else known.start.incarnation
+        incarnation = FIRST_INCARNATION if known is None else known.start.incarnation
         if (
             known is not None and reported != LONG_AGO
         ):  # a start that is no longer reported is merely old
--- a/tansycrank/sql_router/coordinator.py
+++ b/tansycrank/sql_router/coordinator.py
@@ -11,10 +11,24 @@
 from dataclasses import dataclass, field
 
 from tansycrank import routing
-from tansycrank.lifecycle import AnswerKind, Attempt, Lifecycle, NotAllowed, Request, Violation
+from tansycrank.lifecycle import (
+    AnswerKind,
+    Attempt,
+    AttemptDeniedError,
+    Lifecycle,
+    Query,
+    Violation,
+)
 from tansycrank.merge.blocks import Keeper, Memory, ShardRowStream
 from tansycrank.policy_event_loop import PolicyEventLoop
-from tansycrank.postgres.errors import BROKE_OFF, FAILED, INTERNAL, REFUSED, PgError, cancelled
+from tansycrank.postgres.errors import (
+    ANSWER_BROKEN_OFF,
+    FAILED,
+    INTERNAL,
+    QUERY_REJECTED,
+    PgError,
+    cancelled,
+)
 from tansycrank.routing import FailureReason
 from tansycrank.sql_router.connection_pool import ConnectionPool, OutgoingCall
 from tansycrank.sql_router.node_connection import AttemptResult, ShardStatement
@@ -49,7 +63,7 @@
     memory: Memory
     done: Callable[[list[ShardRequest] | PgError], None]
     began: float
-    lifecycle_request: Request
+    lifecycle_request: Query
     attempt_history: list[tuple] = field(default_factory=list)  # (shard, endpoint, outcome, ms)
     given_up: FailureReason | None = None
 
@@ -77,7 +91,7 @@
         self.lifecycle = Lifecycle(settings, lambda violation: self.on_violation(violation))
         self.on_watch, self.on_broken = on_watch, on_broken
         self.queries: dict[int, RoutedQuery] = {}
-        self._parts: dict[int, tuple[RoutedQuery, ShardRequest]] = {}
+        self._shard_requests: dict[int, tuple[RoutedQuery, ShardRequest]] = {}
         self._ids = 0
         self.counts = {
             "taken": 0,
@@ -141,7 +155,7 @@
             )
         )
         cls, now = self.settings.classes[query_class], self.now
-        lifecycle_request = self.lifecycle.take(
+        lifecycle_request = self.lifecycle.accept(
             str(query_id), cls.idempotency, cls.dedup_window, now + remaining, len(requests), now
         )
         query = RoutedQuery(
@@ -160,7 +174,7 @@
             self._ids += 1
             shard_request = ShardRequest(self._ids, request)
             shard_requests.append(shard_request)
-            self._parts[shard_request.id] = query, shard_request
+            self._shard_requests[shard_request.id] = query, shard_request
             self.loop.handle(
                 routing.ShardRequestArrived(
                     shard_request.id, number, request.shard, 1 / len(requests)
@@ -181,7 +195,7 @@
 
     def handle_endpoint_list(self, event: routing.EndpointListUpdate) -> None:
         """Apply an endpoint list: nothing starts any more at an endpoint that is not in service."""
-        self.lifecycle.listed(event)
+        self.lifecycle.update_endpoints(event)
         self.loop.handle(event)
 
     def _broken(self, error: Exception) -> None:
@@ -193,13 +207,13 @@
     # --- out --------------------------------------------------------------------------
 
     def _send(self, action: routing.Send) -> None:
-        query, shard_request = self._parts[action.shard_request]
+        query, shard_request = self._shard_requests[action.shard_request]
         number = len(shard_request.attempts)
         now = self.now
         shard_request.sent_at.append(now)
         self.counts["sends"] += 1
         try:
-            lifecycle_attempt = self.lifecycle.choose(
+            lifecycle_attempt = self.lifecycle.prepare_attempt(
                 query.lifecycle_request,
                 shard_request.id,
                 action.endpoint,
@@ -207,7 +221,7 @@
                 action.leave_within,
                 now,
             )
-        except NotAllowed:
+        except AttemptDeniedError:
             self._never_sent(action, shard_request, number)
             return
         shard_request.lifecycle_attempts.append(lifecycle_attempt)
@@ -286,7 +300,7 @@
         elif stream is not None:
             stream.close()
         if query.ended and all(s.ended for s in shard_request.attempts):
-            self._parts.pop(shard_request.id, None)
+            self._shard_requests.pop(shard_request.id, None)
 
     def _stream_ended(
         self, query: RoutedQuery, stream: ShardRowStream, result: AttemptResult
@@ -296,7 +310,7 @@
             stream.finish(result.error)
             return
         problem = PgError(
-            BROKE_OFF,
+            ANSWER_BROKEN_OFF,
             "the answer broke off: the rows before this error are not the whole",
             hint="ask again; a replica was lost while its rows were on their way",
         )
@@ -317,8 +331,8 @@
                         self.pools.cancel(call)
 
     def _cancel(self, action: routing.Cancel) -> None:
-        if action.shard_request in self._parts:
-            _, shard_request = self._parts[action.shard_request]
+        if action.shard_request in self._shard_requests:
+            _, shard_request = self._shard_requests[action.shard_request]
             self.pools.cancel(shard_request.attempts[action.attempt])
 
     def _answer(self, action: routing.Answer) -> None:
@@ -344,7 +358,7 @@
         query = self.queries.get(action.query)
         if query is not None:
             refused = PgError(
-                REFUSED,
+                QUERY_REJECTED,
                 "refused: not answerable in time now; trying again is harmless",
                 detail=f"retry_after_ms={action.retry_after:.0f}",
                 hint="come back after the time in the detail field",
@@ -376,7 +390,7 @@
         self.queries.pop(query.id, None)
         for shard_request in query.shard_requests:
             if all(s.ended for s in shard_request.attempts):
-                self._parts.pop(shard_request.id, None)
+                self._shard_requests.pop(shard_request.id, None)
         if isinstance(answer, PgError):
             query.memory.close()
         query.done(answer)
--- a/tansycrank/sql_router/node_connection.py
+++ b/tansycrank/sql_router/node_connection.py
@@ -19,7 +19,7 @@
 from tansycrank.postgres import messages as pg
 from tansycrank.postgres.errors import (
     FEATURE_NOT_SUPPORTED,
-    REFUSED_BEFORE_RUN,
+    REJECTED_BEFORE_RUN,
     PgError,
     ProtocolError,
 )
@@ -342,7 +342,7 @@
         elif self.state is ConnectionState.BUSY:
             ended, self.state = self._ended, ConnectionState.IDLE
             problem = ended.error
-            if problem is not None and not problem.querys_own_fault:
+            if problem is not None and not problem.is_query_fault:
                 ended.outcome = Outcome.ERROR
             self._finish(ended)
             if self.state is ConnectionState.IDLE:
@@ -353,7 +353,7 @@
     """The outcome of a connection that never became ready: rejected, or not connected."""
     return (
         Outcome.REJECTED
-        if refusal is not None and refusal.state in REFUSED_BEFORE_RUN
+        if refusal is not None and refusal.state in REJECTED_BEFORE_RUN
         else Outcome.CONNECT_FAILED
     )
 
--- a/tansycrank/sql_router/service.py
+++ b/tansycrank/sql_router/service.py
@@ -17,7 +17,7 @@
 from tansycrank.config import Config, admission_policy, caller_identity, split_list
 from tansycrank.merge import pipeline
 from tansycrank.merge.blocks import frames_of
-from tansycrank.merge.rows import PartRows, Result, merge, part_formats
+from tansycrank.merge.rows import Result, ShardRows, merge, shard_formats
 from tansycrank.merge.work import RowStream, Worker
 from tansycrank.postgres import types
 from tansycrank.postgres.errors import INTERNAL, PgError
@@ -40,7 +40,7 @@
 STORE_STATEMENT = re.compile(
     r"\s*(?:select|insert|update|delete|with)\b[^;]*;?\s*$", re.I
 )  # one, for the store
-NOBODY = Caller("", "", "")  # who asks where no session does
+UNKNOWN_CALLER = Caller("", "", "")  # who asks where no session does
 MERGE_AT_ONCE_BYTES = (
     192 * 1024
 )  # bytes of parts that are merged in one go; more is merged in slices
@@ -56,7 +56,7 @@
     results: tuple[int, ...] = ()
     comment: str = ""
     settings: Mapping[str, str] | None = None
-    caller: Caller = NOBODY
+    caller: Caller = UNKNOWN_CALLER
 
 
 @dataclass(slots=True)
@@ -78,9 +78,9 @@
             lambda: bool(coordinator.queries),
         )
         coordinator.pools.later = self.worker.wake
-        self.open_door(coordinator.reactor)
+        self.start_admission(coordinator.reactor)
 
-    def open_door(self, reactor) -> None:
+    def start_admission(self, reactor) -> None:
         """Set up admission control from the settings."""
         config = self.config
         self.identity = caller_identity(config)
@@ -160,7 +160,7 @@
             return None
         plan = shard_requests.merge
         oids = tuple(oid or (types.TEXT if plan is not None else 0) for oid in prepared.oids)
-        results = part_formats(plan, request.results)
+        results = shard_formats(plan, request.results)
         key = settings.get("tansycrank.request_key", "") if form == QueryForm.WITH_KEY else ""
         requests = [
             ShardStatement(
@@ -194,7 +194,7 @@
             request, settings, 3 * index + form, len(requests), remaining, start, done
         )
 
-    def glance(self, sql: str, caller: Caller, settings: Mapping[str, str]) -> PgError | None:
+    def reject_early(self, sql: str, caller: Caller, settings: Mapping[str, str]) -> PgError | None:
         """A refusal without understanding the statement, where its tenant's turn is too far off
         anyway.
 
@@ -203,7 +203,7 @@
         """
         if not STORE_STATEMENT.match(sql):
             return None
-        caller_id = self.identity.who(caller, settings.get("tansycrank.tenant", ""))
+        caller_id = self.identity.identify(caller, settings.get("tansycrank.tenant", ""))
         if not self.admission.may_reject(caller_id.tenant):
             return None
         index = class_index(self.config.classes, sql, settings)
@@ -228,7 +228,7 @@
         done,
     ) -> Running:
         """Pass a query to admission control."""
-        caller_id = self.identity.who(request.caller, settings.get("tansycrank.tenant", ""))
+        caller_id = self.identity.identify(request.caller, settings.get("tansycrank.tenant", ""))
         sql = request.prepared.sql
         size = len(sql) + sum(len(value) for value in request.values if value is not None)
         return Running(
@@ -269,7 +269,7 @@
                     result = Result(shard_requests[0].fields, frames[0], shard_requests[0].tag)
                 else:
                     rows = [
-                        PartRows(p.fields or (), f, p.tag)
+                        ShardRows(p.fields or (), f, p.tag)
                         for p, f in zip(shard_requests, frames, strict=True)
                     ]
                     result = merge(
@@ -319,7 +319,7 @@
         prepared: Prepared,
         settings: Mapping[str, str],
         done: Callable[[tuple[tuple[int, ...], tuple[Field, ...] | None] | PgError], None],
-        caller: Caller = NOBODY,
+        caller: Caller = UNKNOWN_CALLER,
     ) -> Running | None:
         """(types of parameters, columns or None) of a statement, asked of a node once and kept."""
         target = prepared.explain or prepared
--- a/tansycrank/testbed/admission_emulator.py
+++ b/tansycrank/testbed/admission_emulator.py
@@ -17,7 +17,7 @@
 from tansycrank.admission.identity import CallerIdentity
 from tansycrank.admission.policy import Policy
 from tansycrank.admission.settings import Limits, Settings
-from tansycrank.postgres.errors import REFUSED, PgError, retry_after
+from tansycrank.postgres.errors import QUERY_REJECTED, PgError, retry_after
 from tansycrank.testbed.simulated import SimClock, SimNode, SimRouter
 
 TRIES = 6  # times a patient client comes back for one query
@@ -184,7 +184,7 @@
                 tally.in_aim += (now - sent) * 1000 <= AIM
                 tally.cost += load.shard_requests
                 tally.latency.append((now - sent) * 1000)
-            elif isinstance(outcome, PgError) and outcome.state == REFUSED:
+            elif isinstance(outcome, PgError) and outcome.state == QUERY_REJECTED:
                 wait = retry_after(outcome.detail)
                 self._turned_away(load, router, asker, mark, promise, tries, wait)
                 return
--- a/tansycrank/testbed/mutations.py
+++ b/tansycrank/testbed/mutations.py
@@ -92,7 +92,7 @@
     def _send(self, action) -> None:
         super()._send(action)
         if action.endpoint in getattr(self, "cold", ()):
-            _, shard_request = self._parts[action.shard_request]
+            _, shard_request = self._shard_requests[action.shard_request]
             self.pools.store = msgspec.structs.replace(self.pools.store, max_links=2000)
             for _ in range(200):
                 self.extra(action.endpoint, shard_request.request, 2000.0)
@@ -103,7 +103,7 @@
 
     def _send(self, action) -> None:
         super()._send(action)
-        _, shard_request = self._parts[action.shard_request]
+        _, shard_request = self._shard_requests[action.shard_request]
         self.extra(action.endpoint, shard_request.request, 500.0)
 
 
--- a/tansycrank/testbed/soak/seeded_bugs.py
+++ b/tansycrank/testbed/soak/seeded_bugs.py
@@ -35,7 +35,7 @@
         conclude(self, query, kind, **more)
         shard_request = query.shard_requests[0]
         if shard_request.attempts:
-            server = next(iter(self.pool.nodes))
+            server = next(iter(self.pool.endpoints))
             self.loop.reactor.callLater(
                 0.8,
                 self.pool.send,
@@ -131,8 +131,8 @@
     """Nodes are told to work on for long after their client is served or gone."""
     from tansycrank.http_router import frames
 
-    call = frames.call
-    frames.call = lambda shard_requests: call(
+    call = frames.encode_call
+    frames.encode_call = lambda shard_requests: call(
         (id, shard, wait + 5_000, *rest) for id, shard, wait, *rest in shard_requests
     )
 
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -6,7 +6,7 @@
 from tansycrank.admission.identity import CallerIdentity
 from tansycrank.admission.policy import Policy
 from tansycrank.admission.settings import Limits, Settings
-from tansycrank.postgres.errors import REFUSED, PgError
+from tansycrank.postgres.errors import QUERY_REJECTED, PgError
 
 ASKER = CallerIdentity("a", "a/x", Limits())
 
@@ -60,7 +60,7 @@
     problem = site.gate.reject_early(CallerIdentity("b", "b/x", Limits()), 0, 1.0, 7, False)
     problem = problem or site.gate.reject_early(ASKER, 0, 1.0, 9, False)
     site.gate.policy.in_flight.shard_requests += 2
-    assert problem is None or problem.state == REFUSED
+    assert problem is None or problem.state == QUERY_REJECTED
     assert len(site.gate.entries) == len(site.gate.policy.queue.queries) + len(
         site.gate.policy.in_flight.queries
     )
@@ -76,7 +76,7 @@
     problem = site.gate.reject_early(ASKER, 0, 5.0, 9, False)
     assert (
         isinstance(problem, PgError)
-        and problem.state == REFUSED
+        and problem.state == QUERY_REJECTED
         and "retry_after_ms=" in problem.detail
     )
     assert site.gate.reject_early(ASKER, 0, 1e9, 11, False) is None
@@ -88,7 +88,7 @@
 def test_the_modules_refusal_leaves_with_the_doors_wait():
     site = LocalCluster()
     site.ask("q", mark=3)
-    site.end("q", PgError(REFUSED, "no", "retry_after_ms=900"))
+    site.end("q", PgError(QUERY_REJECTED, "no", "retry_after_ms=900"))
     (answer,) = site.heard["q"]
     assert int(answer.detail.split("=")[1].split()[0]) >= 900 and "reason=module" in answer.detail
 
@@ -117,7 +117,7 @@
     site.ask("hurried", remaining=200.0)
     assert "hurried" not in site.heard
     site.clock.pump([0.01] * 25)
-    assert site.heard["hurried"][0].state == REFUSED
+    assert site.heard["hurried"][0].state == QUERY_REJECTED
 
 
 def test_with_the_door_off_everyone_goes_straight_in():
--- a/tests/admission/test_identity.py
+++ b/tests/admission/test_identity.py
@@ -18,7 +18,7 @@
 
 
 def who(identity, address="10.1.2.3", user="u", database="d", claimed=""):
-    return identity.who(Caller(address, user, database), claimed).tenant
+    return identity.identify(Caller(address, user, database), claimed).tenant
 
 
 def test_the_longest_network_wins_then_the_order_of_the_file():
--- a/tests/admission/test_reader_scheduler.py
+++ b/tests/admission/test_reader_scheduler.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from tansycrank.admission.reader_scheduler import SLICE_SECONDS, Turns
+from tansycrank.admission.reader_scheduler import SLICE_SECONDS, ReaderScheduler
 
 
 class Reactor:
@@ -27,7 +27,7 @@
         self.id, self.clock, self.looks, self.takes, self.name = number, clock, looks, takes, name
         self.seen = 0
 
-    def look(self):
+    def read_pending(self):
         self.clock.rightNow += self.takes
         self.seen += 1
         self.looks.append(self.name)
@@ -36,7 +36,7 @@
 
 def test_with_time_left_in_the_turn_a_session_is_looked_at_at_once():
     clock, looks = Reactor(), []
-    turns = Turns(lambda f: clock.calls.append(f), clock.seconds)
+    turns = ReaderScheduler(lambda f: clock.calls.append(f), clock.seconds)
     reader = Reader(1, clock, looks)
     turns.wake(reader, "a")
     assert reader.seen == 1
@@ -44,7 +44,7 @@
 
 def test_a_turn_is_bounded_and_nobody_is_forgotten():
     clock, looks = Reactor(), []
-    turns = Turns(lambda f: clock.calls.append(f), clock.seconds)
+    turns = ReaderScheduler(lambda f: clock.calls.append(f), clock.seconds)
     readers = [Reader(n, clock, looks) for n in range(100)]
     for reader in readers:
         turns.wake(reader, "a")
@@ -61,7 +61,7 @@
 
 def test_tenants_share_the_time_however_many_sessions_they_have():
     clock, looks = Reactor(), []
-    turns = Turns(lambda f: clock.calls.append(f), clock.seconds)
+    turns = ReaderScheduler(lambda f: clock.calls.append(f), clock.seconds)
     many = [Reader(n, clock, looks, name="many") for n in range(200)]
     few = [Reader(1000 + n, clock, looks, name="few") for n in range(3)]
     for _ in range(200):
@@ -76,7 +76,7 @@
 
 def test_a_session_that_ended_is_not_looked_at_again():
     clock, looks = Reactor(), []
-    turns = Turns(lambda f: clock.calls.append(f), clock.seconds)
+    turns = ReaderScheduler(lambda f: clock.calls.append(f), clock.seconds)
     readers = [Reader(n, clock, looks) for n in range(20)]
     for reader in readers:
         turns.wake(reader, "a")
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -19,7 +19,7 @@
         self._class_index = {c.name: i for i, c in enumerate(found.classes)}
         self.held, self.asked, self.cancelled, self.answers, self.released = [], [], [], [], 0
         self.at_once, self.rows, self.log = True, 3, None
-        self.open_door(Clock())
+        self.start_admission(Clock())
 
     def run(self, request, done):
         if request.prepared.local is None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -125,7 +125,7 @@
         )
         self.violations = []
         self.lifecycle = Lifecycle(settings, self.violations.append)
-        self.lifecycle.listed(
+        self.lifecycle.update_endpoints(
             routing.EndpointListUpdate(
                 routing.EndpointListKind.SNAPSHOT, tuple(map(listed, endpoints))
             )
@@ -133,7 +133,7 @@
 
     def attempt(self, now, endpoint=1, time_out=1000.0, start_within=0.0, name="q"):
         """`now` is ms of the clock of the connections."""
-        request = self.lifecycle.take(
+        request = self.lifecycle.accept(
             name, routing.Idempotency.IDEMPOTENT, 0.0, now + 60_000.0, 1, now
         )
-        return self.lifecycle.choose(request, 0, endpoint, time_out, start_within, now)
+        return self.lifecycle.prepare_attempt(request, 0, endpoint, time_out, start_within, now)
--- a/tests/http_router/test_belief.py
+++ b/tests/http_router/test_belief.py
@@ -18,7 +18,7 @@
     pools = live.daemon.pool
     held = {
         n.endpoint: sum(connection.load for connection in n.connections)
-        for n in pools.nodes.values()
+        for n in pools.endpoints.values()
     }
     return believed, {server: load for server, load in held.items() if load}
 
@@ -93,7 +93,7 @@
         and not router.queries.shard_requests
         and not router.queries.attempts_in_flight
     )
-    assert not live.daemon.server.connections and not live.daemon.server.unused
+    assert not live.daemon.server.connections and not live.daemon.server.idle_after_query
     assert len(router.endpoints) <= 6 and len(live.daemon.names) < 100
-    assert len(live.daemon.pool.nodes) == 3 and live.daemon.pool.count <= 6
+    assert len(live.daemon.pool.endpoints) == 3 and live.daemon.pool.connection_count <= 6
     assert len(router.timers) < 100 and len(router._budget._accepted._entries) < 100
--- a/tests/http_router/test_discovery.py
+++ b/tests/http_router/test_discovery.py
@@ -97,7 +97,7 @@
 
 
 def test_the_whole_list_once_may_be_written_over_several_lines(live):
-    live.daemon.discovery.fetch()
+    live.daemon.discovery.poll_once()
     live.run(0)
     call = live.discovery[1].accept()
     assert call.transport.take().startswith(b"GET /api/targets HTTP/1.1\r\n")
@@ -142,7 +142,7 @@
 
     def heard(now, *entries):
         listing = msgspec.convert({"version": 1, "servers": list(entries)}, Listing)
-        return names.heard(listing, routing.EndpointListKind.DELTA, now)
+        return names.apply(listing, routing.EndpointListKind.DELTA, now)
 
     heard(0, entry(1), entry(2))
     heard(10, entry(1, "terminated"))
@@ -319,7 +319,7 @@
 
 def test_a_whole_list_of_nobody_that_was_asked_for_is_asked_for_again(live):
     """The poll that brought the list no longer counts as open."""
-    live.daemon.discovery.fetch()
+    live.daemon.discovery.poll_once()
     live.run(0)
     nobody = b'{"version":9,"full":true,"servers":[]}'
     complete = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(nobody) + nobody
@@ -352,10 +352,10 @@
 
 
 def test_a_call_to_the_old_address_is_asked_at_the_new_one_and_its_late_answer_is_nobodys(live):
-    live.daemon.discovery.fetch()
+    live.daemon.discovery.poll_once()
     live.run(0)
     old = live.discovery[1].accept()
-    live.daemon.discovery.move("127.0.0.9", 8600)
+    live.daemon.discovery.set_address("127.0.0.9", 8600)
     live.run(0)
     assert [peer.port for peer in live.discovery] == [8500, 8500, 8600, 8600]
     late = b'{"version":9,"full":true,"servers":[]}'
@@ -366,7 +366,7 @@
 
 @pytest.mark.parametrize("end, believed", [(ConnectionDone, True), (ConnectionLost, False)])
 def test_a_whole_list_without_a_length_counts_at_its_end_and_a_reset_is_no_end(live, end, believed):
-    live.daemon.discovery.fetch()
+    live.daemon.discovery.poll_once()
     live.run(0)
     call = live.discovery[1].accept()
     call.say(
@@ -381,7 +381,7 @@
 
 
 def test_a_list_of_a_stated_length_that_ends_too_soon_is_none(live):
-    live.daemon.discovery.fetch()
+    live.daemon.discovery.poll_once()
     live.run(0)
     call = live.discovery[1].accept()
     call.say(b'HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{"version":9,"full":true,"servers":[]}')
@@ -399,7 +399,7 @@
         servers = [
             Entry(id, "in_service", "10.0.0.1:70", started_ms=start) for id, start in starts.items()
         ]
-        event, _ = names.heard(Listing(version, servers), kind, now)
+        event, _ = names.apply(Listing(version, servers), kind, now)
         return {entry.endpoint: entry for entry in event.entries}
 
     first = told(
@@ -411,7 +411,7 @@
         two=nodes_clock + 49_000,
     )
     assert first[1].started_at == 0.0 and first[2].started_at == first[3].started_at == 50_000.0
-    names.unchanged(60_000.0)
+    names.confirm_unchanged(60_000.0)
     second = told(
         routing.EndpointListKind.DELTA,
         60_500.0,
--- a/tests/http_router/test_endings.py
+++ b/tests/http_router/test_endings.py
@@ -349,7 +349,7 @@
         daemon = self.live.daemon
         coordinator, router = daemon.coordinator, daemon.coordinator.loop.policy
         assert not coordinator.queries and not coordinator._parts and not coordinator._by_number
-        assert coordinator.held == 0 and not daemon.server.delayed_admission
+        assert coordinator.in_flight == 0 and not daemon.server.delayed_admission
         assert not coordinator.lifecycle.violated and not coordinator.lifecycle._open
         if not daemon.stopped:
             assert sum(coordinator.outcomes.values()) == coordinator.counts["sends"]
@@ -360,10 +360,10 @@
             )
             assert not any(
                 link.sent_calls or link.calls_in_transmission or link.unsent_cancels
-                for link in daemon.pool.links
+                for link in daemon.pool.connections
                 if link.is_established
             )
-        assert len(daemon.pool.links) <= daemon.settings.max_links
+        assert len(daemon.pool.connections) <= daemon.settings.max_links
         left = {
             getattr(call.func, "__qualname__", "") for call in self.live.reactor.getDelayedCalls()
         }
--- a/tests/http_router/test_http_server.py
+++ b/tests/http_router/test_http_server.py
@@ -194,7 +194,7 @@
         live.ask(post(id=f"r{n}"))
     written = live.ask(post(id="more")).take()
     assert status(written) == 503 and b"Retry-After: 0." in written
-    assert live.daemon.coordinator.held <= 60
+    assert live.daemon.coordinator.in_flight <= 60
 
 
 def test_who_says_nothing_is_closed_within_three_seconds(live):
--- a/tests/http_router/test_node_connections.py
+++ b/tests/http_router/test_node_connections.py
@@ -29,7 +29,7 @@
             max_links,
             lambda *a, **k: self.log.append(a),
         )
-        self.pool.place(1, "127.0.0.1", 7070)
+        self.pool.set_address(1, "127.0.0.1", 7070)
         self.lives = Lives()
         self.ends = {}
 
@@ -135,7 +135,7 @@
     node = Node()
     node.up("a.1", "a.2").transport.end()
     assert outcomes(node) == {"a.1": [Outcome.CONNECTION_LOST], "a.2": [Outcome.CONNECTION_LOST]}
-    assert node.pool.count == 0
+    assert node.pool.connection_count == 0
 
 
 def test_a_call_times_out_and_its_late_answer_is_ignored():
@@ -238,7 +238,7 @@
     peer = node.up("a.1")
     peer.say(answer("a.1")[:-3])
     node.reactor.advance(0.6)
-    node.pool.sweep()
+    node.pool.run_maintenance()
     assert outcomes(node) == {"a.1": [Outcome.CONNECTION_LOST]} and peer.transport.over
 
 
@@ -280,17 +280,17 @@
     peer = node.up("a.1")
     peer.say(answer("a.1"))
     node.reactor.advance(7.9)
-    node.pool.sweep()
+    node.pool.run_maintenance()
     assert not peer.transport.over
     node.reactor.advance(0.2)
-    node.pool.sweep()
+    node.pool.run_maintenance()
     assert peer.transport.over
 
 
 def test_a_removed_endpoint_finishes_its_calls_and_gets_no_new_one():
     node = Node()
     peer = node.up("a.1")
-    node.pool.forget(1)
+    node.pool.remove_endpoint(1)
     node.send("b.1")
     node.reactor.advance(0)
     assert outcomes(node) == {"b.1": [Outcome.CONNECT_FAILED]}
@@ -301,7 +301,7 @@
 def test_an_endpoint_with_a_new_address_is_called_there():
     node = Node()
     node.up("a.1")
-    node.pool.place(1, "127.0.0.2", 7070)
+    node.pool.set_address(1, "127.0.0.2", 7070)
     node.send("b.1")
     assert node.peers[-1].host == "127.0.0.2"
 
@@ -309,7 +309,7 @@
 @given(st.binary(max_size=300), st.lists(st.integers(1, 60), max_size=8))
 def test_no_bytes_break_the_reader_or_grow_it(noise, cuts):
     data = answer("a.1") + noise
-    reader, found = frames.Reader(), []
+    reader, found = frames.FrameReader(), []
     try:
         for cut in [*cuts, len(data)]:
             found += reader.feed(data[:cut])
@@ -333,7 +333,7 @@
     live.run(3)
     coordinator = live.daemon.coordinator
     assert sum(coordinator.outcomes.values()) == coordinator.counts["sends"]
-    assert not coordinator.queries and not coordinator._parts and coordinator.held == 0
+    assert not coordinator.queries and not coordinator._parts and coordinator.in_flight == 0
     assert not coordinator.loop.policy.queries.attempts_in_flight
 
 
@@ -394,8 +394,8 @@
 def test_a_removed_endpoint_gets_no_call_that_waits_for_its_connection():
     node = Node()
     node.send("a.1")
-    node.pool.forget(1)
-    assert outcomes(node) == {"a.1": [Outcome.NOT_SENT]} and node.pool.count == 0
+    node.pool.remove_endpoint(1)
+    assert outcomes(node) == {"a.1": [Outcome.NOT_SENT]} and node.pool.connection_count == 0
 
 
 def test_a_frame_waits_for_the_one_before_and_can_be_revoked():
--- a/tests/test_edge_forms.py
+++ b/tests/test_edge_forms.py
@@ -158,15 +158,15 @@
 
 
 def test_frames_to_data_nodes_keep_their_bytes():
-    sent = frames.call([(b"q.7", 7, 120, b"text", b""), (b"r.0", 0, 5, b"", b"once~1")])
+    sent = frames.encode_call([(b"q.7", 7, 120, b"text", b""), (b"r.0", 0, 5, b"", b"once~1")])
     assert sent == b"\x28\0\0\0Qq.7 7 d=120 4\ntextr.0 0 d=5,k=once~1 0\n"
-    assert frames.give_up(b"q.7") == b"\x04\0\0\0Xq.7"
+    assert frames.encode_cancel(b"q.7") == b"\x04\0\0\0Xq.7"
 
 
 @pytest.mark.parametrize("word", ["ok", "err", "busy"])
 def test_frames_of_data_nodes_are_read(word):
     body = b"Aq.7 %b 12 u=0.5,q=3\nvalue" % word.encode()
-    [read] = frames.Reader().feed(len(body).to_bytes(4, "little") + body)
+    [read] = frames.FrameReader().feed(len(body).to_bytes(4, "little") + body)
     assert (read.id, read.load) == (b"q.7", (0.5, 3.0))
 
 
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -6,7 +6,14 @@
 from helpers import listed
 
 from tansycrank import routing
-from tansycrank.lifecycle import LATE, AnswerKind, Invariant, Lifecycle, NotAllowed, Reason
+from tansycrank.lifecycle import (
+    LATE,
+    AnswerKind,
+    AttemptDeniedError,
+    DenialReason,
+    Invariant,
+    Lifecycle,
+)
 from tansycrank.routing import Idempotency, Outcome
 
 WINDOW = 250.0  # ms in which a keyed sub-request may be repeated
@@ -27,15 +34,15 @@
         self.tell(routing.EndpointListKind.SNAPSHOT, *map(listed, (1, 2, 3, 4)))
 
     def tell(self, kind, *entries):
-        self.lifecycle.listed(routing.EndpointListUpdate(kind, entries))
+        self.lifecycle.update_endpoints(routing.EndpointListUpdate(kind, entries))
 
     def take(self, idempotency=Idempotency.IDEMPOTENT, shard_requests=1):
-        return self.lifecycle.take(
+        return self.lifecycle.accept(
             "r1", idempotency, WINDOW, self.now + 1000.0, shard_requests, self.now
         )
 
     def choose(self, request, endpoint=1, shard_request=0, start_within=0.0):
-        return self.lifecycle.choose(
+        return self.lifecycle.prepare_attempt(
             request, shard_request, endpoint, 800.0, start_within, self.now
         )
 
@@ -55,7 +62,7 @@
 
 
 def refused(router, request, **more):
-    with pytest.raises(NotAllowed) as caught:
+    with pytest.raises(AttemptDeniedError) as caught:
         router.choose(request, **more)
     return caught.value.reason
 
@@ -77,8 +84,8 @@
         router.lifecycle.answer(request, AnswerKind.REJECTED, 5.0)
     else:
         router.lifecycle.abandon(request, 5.0)
-    assert waiting.start(6.0) is Reason.REQUEST_ENDED and not router.found  # revoked in time
-    assert refused(router, request) is Reason.REQUEST_ENDED
+    assert waiting.start(6.0) is DenialReason.REQUEST_ENDED and not router.found  # revoked in time
+    assert refused(router, request) is DenialReason.REQUEST_ENDED
     assert router.broken == [Invariant.NO_START_AFTER_END]  # the policy wanted it all the same
 
 
@@ -86,14 +93,14 @@
     request = router.take()
     first, hedge = router.started(request), router.choose(request, 2)
     first.end(Outcome.SUCCEEDED, 5.0)
-    assert hedge.start(5.0) is Reason.ANSWERED
+    assert hedge.start(5.0) is DenialReason.ANSWERED
 
 
 def test_nothing_starts_at_or_after_the_deadline(router):
     waiting = router.choose(router.take())
     assert waiting.start(999.9) is None
     late = router.choose(router.take())
-    assert late.start(1000.0) is Reason.DEADLINE
+    assert late.start(1000.0) is DenialReason.DEADLINE
 
 
 @pytest.mark.parametrize(
@@ -103,8 +110,8 @@
     request = router.take()
     waiting = router.choose(request)
     router.tell(routing.EndpointListKind.DELTA, listed(1, status=status))
-    assert waiting.start(1.0) is Reason.ENDPOINT and not router.found
-    assert refused(router, request) is Reason.ENDPOINT
+    assert waiting.start(1.0) is DenialReason.ENDPOINT and not router.found
+    assert refused(router, request) is DenialReason.ENDPOINT
     assert router.broken == [Invariant.NOTHING_TO_DRAINING]
 
 
@@ -112,7 +119,7 @@
     router.tell(routing.EndpointListKind.FAILED)
     router.started(router.take())
     router.tell(routing.EndpointListKind.SNAPSHOT, listed(2))
-    assert refused(router, router.take(), endpoint=1) is Reason.ENDPOINT
+    assert refused(router, router.take(), endpoint=1) is DenialReason.ENDPOINT
     router.started(router.take(), endpoint=2)
 
 
@@ -138,7 +145,7 @@
         router.started(request, endpoint=2)
         assert not router.found
     else:
-        assert refused(router, request, endpoint=2) is Reason.MAY_HAVE_RUN
+        assert refused(router, request, endpoint=2) is DenialReason.MAY_HAVE_RUN
         assert router.broken == [Invariant.NO_DOUBLE_EFFECT]
 
 
@@ -155,12 +162,12 @@
     router.now = 10.0
     in_time, late = router.choose(request, 2), router.choose(request, 3)
     assert in_time.start(WINDOW) is None
-    assert late.start(WINDOW + 0.1) is Reason.REPEAT_WINDOW
+    assert late.start(WINDOW + 0.1) is DenialReason.REPEAT_WINDOW
 
 
 def test_an_attempt_starts_within_the_time_that_the_policy_gave_it(router):
     attempt = router.choose(router.take(), start_within=30.0)
-    assert attempt.start(30.1) is Reason.REPEAT_WINDOW
+    assert attempt.start(30.1) is DenialReason.REPEAT_WINDOW
 
 
 def test_repeats_stay_within_the_budget_when_they_start_not_only_when_they_are_chosen():
@@ -170,7 +177,11 @@
         request = router.take()
         router.started(request).end(Outcome.CONNECTION_LOST, 1.0)
         starts.append(router.choose(request, 2))
-    assert [attempt.start(20.0) for attempt in starts] == [None, Reason.BUDGET, Reason.BUDGET]
+    assert [attempt.start(20.0) for attempt in starts] == [
+        None,
+        DenialReason.BUDGET,
+        DenialReason.BUDGET,
+    ]
     router.now = 1021.0
     request = router.take()
     router.started(request).end(Outcome.CONNECTION_LOST, 1022.0)
@@ -224,7 +235,7 @@
 def test_nothing_starts_once_the_process_has_stopped(router):
     waiting = router.choose(router.take())
     router.lifecycle.stop(5.0)
-    assert waiting.start(6.0) is Reason.STOPPED
+    assert waiting.start(6.0) is DenialReason.STOPPED
 
 
 def test_a_violation_tells_its_request_and_what_went_before(router):
@@ -263,5 +274,5 @@
 
 def test_an_attempt_is_waited_for_until_its_requests_deadline_at_most(router):
     router.now = 700.0
-    request = router.lifecycle.take("r1", Idempotency.IDEMPOTENT, WINDOW, 1000.0, 1, router.now)
+    request = router.lifecycle.accept("r1", Idempotency.IDEMPOTENT, WINDOW, 1000.0, 1, router.now)
     assert router.choose(request).deadline == 1000.0
--- a/tests/test_merge.py
+++ b/tests/test_merge.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tansycrank.merge.rows import PartRows, merge
+from tansycrank.merge.rows import ShardRows, merge
 from tansycrank.merge.values import divide, evaluate, spread_of
 from tansycrank.postgres import types
 from tansycrank.postgres.errors import PgError
@@ -16,7 +16,7 @@
 
 def rows(fields, *values):
     frames = [data_row([None if v is None else str(v).encode() for v in row]) for row in values]
-    return PartRows(fields, frames)
+    return ShardRows(fields, frames)
 
 
 def texts(result):
