--- a/tansycrank/postgres/server/session.py
+++ b/tansycrank/postgres/server/session.py
@@ -8,7 +8,6 @@
 
 from dataclasses import replace
 from enum import Enum
-from typing import TYPE_CHECKING
 
 from twisted.internet.interfaces import IDelayedCall
 from twisted.protocols.basic import LineReceiver
@@ -19,6 +18,7 @@
 from tansycrank.postgres.server.context import SessionContext
 from tansycrank.postgres.server.cursors import CursorTable
 from tansycrank.postgres.server.extended_query import ExtendedQuery
+from tansycrank.postgres.server.interfaces import SessionOwner
 from tansycrank.postgres.server.message_queue import MessageQueue
 from tansycrank.postgres.server.pending_operation import PendingOperation
 from tansycrank.postgres.server.prepared import PortalTable, StatementTable
@@ -31,9 +31,6 @@
 from tansycrank.postgres.server.statement_execution import StatementExecution
 from tansycrank.postgres.server.transaction import TransactionBlock
 
-if TYPE_CHECKING:
-    from tansycrank.postgres.server.factory import PostgresServerFactory
-
 ENCRYPTION_DECLINED = b"N"
 
 
@@ -49,7 +46,7 @@
 class ClientSession(LineReceiver):
     """Protocol of one connection, in raw mode: messages carry their own lengths."""
 
-    def __init__(self, factory: PostgresServerFactory) -> None:
+    def __init__(self, factory: SessionOwner) -> None:
         self.factory = factory
         self.service, self.limits = factory.service, factory.limits
         self.state = SessionState.STARTUP
