--- a/tansycrank/lifecycle.py
+++ b/tansycrank/lifecycle.py
@@ -252,7 +252,7 @@
         start_within: float,
         now: float,
     ) -> Attempt:
-        """Prepare an attempt that the policy chose; raises NotAllowed if none may be made.
+        """Prepare an attempt that the policy chose; raises AttemptDeniedError if none may be made.
 
         It times out after `time_out`, at the query's deadline at the latest; its bytes leave within
         `start_within` if that is above 0.
--- a/tansycrank/sql_router/coordinator.py
+++ b/tansycrank/sql_router/coordinator.py
@@ -70,7 +70,7 @@
     @property
     def ended(self) -> bool:
         """Whether nothing is owed to its client any more."""
-        return not self.lifecycle_request.open
+        return not self.lifecycle_request.is_open
 
 
 class Coordinator:
