--- a/tansycrank/testbed/node/batch.py
+++ b/tansycrank/testbed/node/batch.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, NamedTuple
+from typing import NamedTuple
 
 import pglast
 
@@ -13,11 +13,9 @@
 from tansycrank.sql.planner import split_comment
 from tansycrank.sql_router.node_connection import REQUEST_KEY
 from tansycrank.testbed.engine import Rows, to_engine
+from tansycrank.testbed.node.interfaces import JournaledSession
 from tansycrank.testbed.node.node import Node
 
-if TYPE_CHECKING:
-    from tansycrank.testbed.node.session import NodeSession
-
 MAX_CACHED_ANSWERS = 1000
 WRITE_VERBS = ("INSERT", "UPDATE", "DELETE")
 SET_KEY_PREFIX = f"SET LOCAL {REQUEST_KEY} = "
@@ -33,7 +31,7 @@
     tag: str
 
 
-def answer(node: Node, session: NodeSession, batch: list) -> BatchAnswer:
+def answer(node: Node, session: JournaledSession, batch: list) -> BatchAnswer:
     """The answer to a batch, from the cache where the node has one."""
     if not node.model.nature.cached:
         return BatchExecution(node, session).run(batch)
@@ -48,7 +46,7 @@
 class BatchExecution:
     """State of one batch: its statement, parameters and the messages of its answer."""
 
-    def __init__(self, node: Node, session: NodeSession) -> None:
+    def __init__(self, node: Node, session: JournaledSession) -> None:
         self._node = node
         self._session = session
         self._messages: list[bytes | None] = []  # None: a description that Execute fills in
--- a/tansycrank/testbed/node/node.py
+++ b/tansycrank/testbed/node/node.py
@@ -3,19 +3,16 @@
 from __future__ import annotations
 
 import os
-from typing import TYPE_CHECKING
 
 from tansycrank import config as settings
 from tansycrank.testbed.engine import Engine
+from tansycrank.testbed.node.interfaces import JournaledSession
 from tansycrank.testbed.node.journal import Journal
 from tansycrank.testbed.node.spec import Spec
 from tansycrank.testbed.node.write_store import WriteStore
 from tansycrank.testbed.process import reactor
 from tansycrank.testbed.reference_model import Job, Nature, ServiceModel
 
-if TYPE_CHECKING:
-    from tansycrank.testbed.node.session import NodeSession
-
 EXIT_OVERLOADED = 4
 MODEL_SEEDS_PER_SEED = 1000
 
@@ -29,7 +26,7 @@
         self.model = ServiceModel(
             Nature(**spec.nature), spec.seed * MODEL_SEEDS_PER_SEED + spec.id, spec.came_up
         )
-        self.sessions: dict[int, NodeSession] = {}
+        self.sessions: dict[int, JournaledSession] = {}
         self.journal = Journal(spec.journal, spec.id, self.now_ms)
         self.write_store = WriteStore(spec, self.engine, self.now_ms)
         self.cached_answers: dict = {}
