--- a/tansycrank/daemon.py
+++ b/tansycrank/daemon.py
@@ -17,7 +17,7 @@
 from tansycrank.discovery.endpoint_file import EndpointFile
 from tansycrank.discovery.feed_client import FeedClient
 from tansycrank.lifecycle import Violation
-from tansycrank.merge.blocks import Keeper
+from tansycrank.merge.blocks import MemoryReservations
 from tansycrank.merge.spill import SpillSpace
 from tansycrank.postgres.errors import SHUTTING_DOWN, PgError
 from tansycrank.postgres.server import PostgresServerFactory
@@ -73,7 +73,7 @@
         )
         merge = config.merge
         self.space = SpillSpace(merge.spill_dir, merge.spill_quota)
-        keeper = Keeper(
+        memory_reservations = MemoryReservations(
             merge.process_bytes, merge.query_bytes, self.space, lambda: reactor.seconds() * 1000
         )
         self.coordinator = Coordinator(
@@ -81,7 +81,7 @@
             routing_settings(config),
             config.router.seed,
             self.pools,
-            keeper,
+            memory_reservations,
             self._on_watch_endpoints,
             self._on_policy_failed,
         )
--- a/tansycrank/http_router/connection_pool.py
+++ b/tansycrank/http_router/connection_pool.py
@@ -102,13 +102,13 @@
         done: Done,
         attempt: Attempt,
         connect_within: float = 0.0,
-        once: bytes = b"",
+        idempotency_key: bytes = b"",
         leave_within: float = 0.0,
     ) -> OutgoingCall:
         """Send a shard request at the next `flush`; spans are ms, 0 for no limit.
 
         A call ends as never executed if it waits longer than `connect_within` for its connection
-        or behind other frames, or if its last byte has not left after `leave_within`. `once` is
+        or behind other frames, or if its last byte has not left after `leave_within`. The key is
         the idempotency key. `done` is never called before this returns.
         """
         call = OutgoingCall(
@@ -118,7 +118,7 @@
             self.reactor.seconds() + time_out / 1000,
             done,
             attempt,
-            idempotency_key=once,
+            idempotency_key=idempotency_key,
             connect_limit=connect_within / 1000,
             transmit_limit=leave_within / 1000,
         )
--- a/tansycrank/http_router/coordinator.py
+++ b/tansycrank/http_router/coordinator.py
@@ -104,7 +104,7 @@
             self.counts["turned_away"] += 1
             raise RequestRejectedError(503, "too many requests are open")
         idempotency = self.settings.classes[request.query_class].idempotency
-        if idempotency is routing.Idempotency.WITH_KEY and not request.once:
+        if idempotency is routing.Idempotency.WITH_KEY and not request.idempotency_key:
             raise RequestRejectedError(
                 400, "Idempotency-Key: this class needs one, by which nodes know a repeat"
             )
@@ -242,7 +242,7 @@
                 on_ended,
                 attempt,
                 action.connect_within,
-                query.request.once,
+                query.request.idempotency_key,
                 action.leave_within,
             )
         )
--- a/tansycrank/http_router/daemon.py
+++ b/tansycrank/http_router/daemon.py
@@ -24,7 +24,7 @@
 from tansycrank.http_router.graceful_shutdown import GracefulShutdown
 from tansycrank.http_router.http_server import HttpServer
 from tansycrank.http_router.maintenance import Maintenance
-from tansycrank.http_router.settings import ConfigError, Listing, Settings
+from tansycrank.http_router.settings import ConfigError, EndpointListDocument, Settings
 
 # s until discovery's first list; without one a router that polls serves from its configuration
 READY_WITHIN = 2.0
@@ -166,23 +166,23 @@
         """Note that discovery reported no change."""
         self.names.confirm_unchanged(self.coordinator.loop.now)
 
-    def on_listing(self, listing: Listing) -> None:
+    def on_endpoint_list(self, document: EndpointListDocument) -> None:
         """Apply a list of discovery, unless it is older than the one held.
 
         An empty list is polled once more before it is believed: it ends all service.
         """
-        if listing.version >= self.names.version:
-            empty = listing.full and not listing.servers and len(self.names) > 0
+        if document.version >= self.names.version:
+            empty = document.full and not document.servers and len(self.names) > 0
             if empty and not self._is_empty_list_doubted:
                 self._is_empty_list_doubted = True
-                log("empty_endpoint_list_received", version=listing.version, nodes=len(self.names))
+                log("empty_endpoint_list_received", version=document.version, nodes=len(self.names))
                 self.discovery.poll_once()
             else:
                 self._is_empty_list_doubted = False
                 self._take(
-                    listing,
+                    document,
                     routing.EndpointListKind.SNAPSHOT
-                    if listing.full
+                    if document.full
                     else routing.EndpointListKind.DELTA,
                 )
         self._ready()
@@ -194,10 +194,10 @@
         if self.settings.module.polls_discovery:
             self._ready()
 
-    def _take(self, listing: Listing, kind: routing.EndpointListKind) -> None:
-        if odd := self.names.find_problems(listing):
-            log("unknown_endpoint_list_content_received", version=listing.version, **odd)
-        event, places = self.names.apply(listing, kind, self.coordinator.loop.now)
+    def _take(self, document: EndpointListDocument, kind: routing.EndpointListKind) -> None:
+        if odd := self.names.find_problems(document):
+            log("unknown_endpoint_list_content_received", version=document.version, **odd)
+        event, places = self.names.apply(document, kind, self.coordinator.loop.now)
         unusable = []
         for server, place in places.items():
             try:
--- a/tansycrank/http_router/discovery_client.py
+++ b/tansycrank/http_router/discovery_client.py
@@ -9,7 +9,7 @@
     DiscoveryExchange,
     ExchangeKind,
 )
-from tansycrank.http_router.settings import Listing
+from tansycrank.http_router.settings import EndpointListDocument
 from tansycrank.single_connection import OneConnection
 
 POLL_PATH = "/api/targets"
@@ -23,7 +23,7 @@
     def known_version(self) -> int:
         """The version of the endpoint list held, from which a watch starts."""
 
-    def on_listing(self, listing: Listing) -> None:
+    def on_endpoint_list(self, document: EndpointListDocument) -> None:
         """A list or change arrived."""
 
     def on_unchanged(self) -> None:
@@ -81,13 +81,13 @@
 
     # --- ExchangeListener -----------------------------------------------------------------
 
-    def on_listing(self, exchange: DiscoveryExchange, listing: Listing) -> None:
+    def on_endpoint_list(self, exchange: DiscoveryExchange, document: EndpointListDocument) -> None:
         """Pass a listing on; a poll that brought its list makes way for another."""
         if not self._is_current(exchange):
             return
         if exchange is self.poll:
             self.poll = None
-        self._listener.on_listing(listing)
+        self._listener.on_endpoint_list(document)
 
     def on_heartbeat(self, exchange: DiscoveryExchange) -> None:
         """Pass on that nothing changed."""
--- a/tansycrank/http_router/discovery_exchange.py
+++ b/tansycrank/http_router/discovery_exchange.py
@@ -11,13 +11,13 @@
 from twisted.internet.protocol import Protocol as TwistedProtocol
 from twisted.internet.protocol import connectionDone
 
-from tansycrank.http_router.listing_reader import (
+from tansycrank.http_router.document_reader import (
     MAX_LISTING_BYTES,
-    ListingError,
-    ListingReader,
-    decode_listing,
+    DocumentError,
+    DocumentReader,
+    decode_document,
 )
-from tansycrank.http_router.settings import Listing
+from tansycrank.http_router.settings import EndpointListDocument
 
 EXCHANGE_TIMEOUT_SECONDS = 2.0  # for a poll, and for a watch to begin
 HEARTBEAT_TIMEOUT_SECONDS = 3.0  # without a line on a watch, which has a heartbeat every 2 s
@@ -35,7 +35,7 @@
 class ExchangeListener(Protocol):
     """Who is notified of an exchange."""
 
-    def on_listing(self, exchange: DiscoveryExchange, listing: Listing) -> None:
+    def on_endpoint_list(self, exchange: DiscoveryExchange, document: EndpointListDocument) -> None:
         """A list or change arrived."""
 
     def on_heartbeat(self, exchange: DiscoveryExchange) -> None:
@@ -55,7 +55,7 @@
         self._request, self._listener = request, listener
         self._parser = httptools.HttpResponseParser(self)
         self._buffer = bytearray()
-        self._reader = ListingReader()
+        self._reader = DocumentReader()
         self._is_ok = False  # whether the response has status 200
         self._has_length = False  # else its end is the end of the connection
         self._timer = reactor.callLater(EXCHANGE_TIMEOUT_SECONDS, self.end, False)
@@ -124,7 +124,7 @@
         """Read the body of a poll; a watch must not end."""
         is_poll = self._is_ok and not self.is_watch
         if is_poll and not self.ended:
-            self._notify(self._buffer, decode_listing)
+            self._notify(self._buffer, decode_document)
         self.end(is_poll)
 
     def _read_line(self, line: bytes) -> None:
@@ -133,13 +133,13 @@
             self._timer.reset(HEARTBEAT_TIMEOUT_SECONDS)
             self._notify(line, self._reader.feed)
 
-    def _notify(self, data: bytes, read: Callable[[bytes], Listing | None]) -> None:
+    def _notify(self, data: bytes, read: Callable[[bytes], EndpointListDocument | None]) -> None:
         try:
-            listing = read(data)
-        except ListingError:
+            document = read(data)
+        except DocumentError:
             self.end(False)
             return
-        if listing is not None:
-            self._listener.on_listing(self, listing)
+        if document is not None:
+            self._listener.on_endpoint_list(self, document)
         elif not data.strip():
             self._listener.on_heartbeat(self)
--- a/tansycrank/http_router/listing_reader.py
+++ b/tansycrank/http_router/document_reader.py
@@ -7,27 +7,27 @@
 import msgspec
 
 from tansycrank.errors import TansycrankError
-from tansycrank.http_router.settings import Listing
+from tansycrank.http_router.settings import EndpointListDocument
 
 MAX_LISTING_BYTES = 4 * 1024 * 1024
 
-_DECODER = msgspec.json.Decoder(Listing)
+_DECODER = msgspec.json.Decoder(EndpointListDocument)
 _STRING_OR_BRACKET = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')  # brackets in strings don't count
 
 
-class ListingError(TansycrankError):
+class DocumentError(TansycrankError):
     """The bytes are no listing."""
 
 
-def decode_listing(data: bytes) -> Listing:
+def decode_document(data: bytes) -> EndpointListDocument:
     """Decode one complete JSON object; ListingError if it is no listing."""
     try:
         return _DECODER.decode(data)
     except ValueError as error:
-        raise ListingError(str(error)) from error
+        raise DocumentError(str(error)) from error
 
 
-class ListingReader:
+class DocumentReader:
     """Joins lines into listings: an object may take one line or, indented, several."""
 
     def __init__(self) -> None:
@@ -35,7 +35,7 @@
         self._depth = 0  # of open brackets
         self._size = 0  # bytes
 
-    def feed(self, line: bytes) -> Listing | None:
+    def feed(self, line: bytes) -> EndpointListDocument | None:
         """Return the listing that this line completes, if it does.
 
         Raise ListingError for a line that cannot belong to one. An empty line between objects is a
@@ -44,7 +44,7 @@
         line = line.strip()
         if not line:
             if self._lines:
-                raise ListingError("an empty line within an object")
+                raise DocumentError("an empty line within an object")
             return None
         self._append(line)
         if self._depth > 0:
@@ -52,7 +52,7 @@
             return None
         complete = b"\n".join(self._lines)
         self._lines, self._depth, self._size = [], 0, 0
-        return decode_listing(complete)
+        return decode_document(complete)
 
     def _append(self, line: bytes) -> None:
         for token in _STRING_OR_BRACKET.findall(line):
@@ -62,7 +62,7 @@
 
     def _check_unfinished(self) -> None:
         if self._size > MAX_LISTING_BYTES:
-            raise ListingError("an object without an end")
+            raise DocumentError("an object without an end")
         if len(self._lines) == 1:
             _check_beginning(self._lines[0])
 
@@ -73,7 +73,7 @@
         _DECODER.decode(line)
     except ValueError as error:
         if isinstance(error, msgspec.ValidationError) or not _is_truncated(error):
-            raise ListingError(str(error)) from error
+            raise DocumentError(str(error)) from error
 
 
 def _is_truncated(error: ValueError) -> bool:
--- a/tansycrank/http_router/endpoint_directory.py
+++ b/tansycrank/http_router/endpoint_directory.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 from typing import NamedTuple
 
-from tansycrank.http_router.settings import Entry, Listing
+from tansycrank.http_router.settings import EndpointDocument, EndpointListDocument
 from tansycrank.routing import (
     EndpointEntry,
     EndpointListKind,
@@ -72,11 +72,11 @@
         """Note that discovery reported no change on its watch."""
         self._starts.heard(now)
 
-    def find_problems(self, listing: Listing) -> dict[str, str]:
+    def find_problems(self, document: EndpointListDocument) -> dict[str, str]:
         """Return what the protocol does not foresee in a listing: how often, and an example."""
         seen: set[str] = set()
-        twice = [entry.id for entry in listing.servers if entry.id in seen or seen.add(entry.id)]
-        unknown = [entry.state for entry in listing.servers if entry.state not in STATUSES]
+        twice = [entry.id for entry in document.servers if entry.id in seen or seen.add(entry.id)]
+        unknown = [entry.state for entry in document.servers if entry.state not in STATUSES]
         problems: dict[str, str] = {}
         if unknown:
             problems["unknown_states"] = _count_and_example(unknown)
@@ -84,9 +84,11 @@
             problems["named_twice"] = _count_and_example(twice)
         return problems
 
-    def apply(self, listing: Listing, kind: EndpointListKind, now: float) -> DirectoryUpdate:
+    def apply(
+        self, document: EndpointListDocument, kind: EndpointListKind, now: float
+    ) -> DirectoryUpdate:
         """Apply a listing."""
-        entries = self._complete_entries(listing, kind)
+        entries = self._complete_entries(document, kind)
         started = {entry.id: entry.started_ms for entry in entries if entry.state != TERMINATED}
         is_cached = kind is EndpointListKind.CACHED
         starts = self._starts.listed(started, now, cached=is_cached)
@@ -100,15 +102,17 @@
             addresses[node.number] = "" if node.is_removed else entry.addr
             updated.append(node.entry)
         self._forget_expired(now)
-        self.version = listing.version
+        self.version = document.version
         return DirectoryUpdate(EndpointListUpdate(kind, tuple(updated)), addresses)
 
-    def _complete_entries(self, listing: Listing, kind: EndpointListKind) -> list[Entry]:
+    def _complete_entries(
+        self, document: EndpointListDocument, kind: EndpointListKind
+    ) -> list[EndpointDocument]:
         """Return one entry a node, the last of each id; a whole list removes those it lacks."""
-        by_id = {entry.id: entry for entry in listing.servers}
+        by_id = {entry.id: entry for entry in document.servers}
         entries = list(by_id.values())
         if kind is not EndpointListKind.DELTA:
-            entries += [Entry(id, TERMINATED) for id in self._nodes if id not in by_id]
+            entries += [EndpointDocument(id, TERMINATED) for id in self._nodes if id not in by_id]
         return entries
 
     def _redate_unlisted(
@@ -124,7 +128,7 @@
             redated.append(node.entry)
         return redated
 
-    def _update_node(self, entry: Entry, now: float) -> _Node | None:
+    def _update_node(self, entry: EndpointDocument, now: float) -> _Node | None:
         """Return the record of an entry; None for a removed node that was never known."""
         is_removed = _status(entry) is EndpointStatus.REMOVED
         node = self._nodes.get(entry.id)
@@ -140,7 +144,7 @@
         return node
 
     def _to_endpoint_entry(
-        self, entry: Entry, number: int, starts: Mapping[str, Start]
+        self, entry: EndpointDocument, number: int, starts: Mapping[str, Start]
     ) -> EndpointEntry:
         zone = self._zones.get(entry.zone, len(self._zones))
         start = starts.get(entry.id, START_OF_REMOVED)
@@ -155,7 +159,7 @@
         self._starts.forget(expired)
 
 
-def _status(entry: Entry) -> EndpointStatus:
+def _status(entry: EndpointDocument) -> EndpointStatus:
     return STATUSES.get(entry.state, STATUS_OF_UNKNOWN_STATE)
 
 
--- a/tansycrank/http_router/request_codec.py
+++ b/tansycrank/http_router/request_codec.py
@@ -13,7 +13,7 @@
 from tansycrank.errors import TansycrankError
 
 ID = re.compile(r"[0-9A-Za-z_-]{1,64}")
-ONCE = re.compile(
+IDEMPOTENCY_KEY = re.compile(
     r"[0-9A-Za-z._~+/=-]{1,128}"
 )  # no comma, no blank: it becomes an entry of a part's list
 KEY = re.compile(r"[0-9a-fA-F]{16}")
@@ -68,7 +68,7 @@
 class QueryRequest:
     """A query as its client sent it. `deadline` is ms from now on.
 
-    Weights are scaled to add up to 1. `once` is the client's Idempotency-Key, by which nodes
+    Weights are scaled to add up to 1. The idempotency key is the client's, by which nodes
     recognize a retry.
     """
 
@@ -79,7 +79,7 @@
     repeat: bool
     shard_requests: tuple[ShardRequestSpec, ...]
     text: bytes
-    once: bytes = b""
+    idempotency_key: bytes = b""
 
 
 def read(
@@ -103,24 +103,24 @@
     repeat = headers.get(b"x-retry", b"0")
     if repeat not in (b"0", b"1"):
         raise RequestRejectedError(400, "X-Retry: 0 or 1")
-    once = headers.get(b"idempotency-key", b"").decode("ascii", "replace")
-    if once and not ONCE.fullmatch(once):
+    idempotency_key = headers.get(b"idempotency-key", b"").decode("ascii", "replace")
+    if idempotency_key and not IDEMPOTENCY_KEY.fullmatch(idempotency_key):
         raise RequestRejectedError(
             400, "Idempotency-Key: 1 to 128 letters, digits or ._~+/=- are needed"
         )
     keys = parse_qs(query.decode("ascii", "replace")).get("obj", [""])
     try:
-        told = _BODY.decode(body)
-        text = told.q.encode()
+        decoded = _BODY.decode(body)
+        text = decoded.q.encode()
     except ValueError as problem:  # msgspec's faults name the place
         raise RequestRejectedError(400, f"body: {problem}") from problem
-    total = _check_parts(told.shards, shards)
+    total = _check_parts(decoded.shards, shards)
     # Unscaled, 44 weights of 0.022727 add up to 0.999988: the answer would never be complete.
     shard_requests = tuple(
         ShardRequestSpec(
             shard_request.shard, shard_request.weight / total, int(shard_request.key, 16)
         )
-        for shard_request in told.shards
+        for shard_request in decoded.shards
     )
     key = int(keys[0], 16) if KEY.fullmatch(keys[0]) else 0
     return QueryRequest(
@@ -131,7 +131,7 @@
         repeat == b"1",
         shard_requests,
         text,
-        once.encode(),
+        idempotency_key.encode(),
     )
 
 
--- a/tansycrank/http_router/settings.py
+++ b/tansycrank/http_router/settings.py
@@ -44,7 +44,7 @@
     """A configuration that cannot be used; says what and where."""
 
 
-class Entry(msgspec.Struct, frozen=True):
+class EndpointDocument(msgspec.Struct, frozen=True):
     """One data node as discovery writes it."""
 
     id: str
@@ -56,11 +56,11 @@
     started_ms: float = 0.0
 
 
-class Listing(msgspec.Struct, frozen=True):
+class EndpointListDocument(msgspec.Struct, frozen=True):
     """One list or change of discovery."""
 
     version: int
-    servers: list[Entry]
+    servers: list[EndpointDocument]
     full: bool = False
 
 
@@ -80,7 +80,7 @@
     discovery: str = ""
     seed: str = "0"
     limits: _Limits = msgspec.field(default_factory=_Limits)
-    known: Listing = Listing(0, [], True)
+    known: EndpointListDocument = EndpointListDocument(0, [], True)
 
 
 class _Class(msgspec.Struct):
@@ -110,7 +110,7 @@
     cores: float
     memory_mb: float
     sockets: int
-    known: Listing
+    known: EndpointListDocument
     module: routing.Settings
     classes: dict[str, int]
     zones: tuple[str, ...]
--- a/tansycrank/merge/blocks.py
+++ b/tansycrank/merge/blocks.py
@@ -2,7 +2,7 @@
 
 `ShardRowStream` is the line between a link, which adds blocks as they come, and a merge, which
 takes them. What is held where is the governor's to say; `Memory` carries it out for one query,
-`Keeper` for all.
+`MemoryReservations` for all.
 """
 
 from __future__ import annotations
@@ -104,7 +104,7 @@
         if not self.blocks:
             return
         if self.run is None:
-            self.run = self.memory.keeper.space.run()
+            self.run = self.memory.memory_reservations.space.run()
         pieces, size = [], 0
         while self.blocks:
             block = self.blocks.popleft()
@@ -136,8 +136,8 @@
 class Memory:
     """What one query holds, under its share. `mode`: small, stream, spill or wait."""
 
-    def __init__(self, keeper: Keeper, number: int, streams: bool) -> None:
-        self.keeper, self.number = keeper, number
+    def __init__(self, memory_reservations: MemoryReservations, number: int, streams: bool) -> None:
+        self.memory_reservations, self.number = memory_reservations, number
         self.streams: list[ShardRowStream] = []
         self.mode, self.limit, self.held, self.peak, self.spilled = "small", gov.SMALL, 0, 0, 0
         self.tables = 0  # bytes of hash tables and runs being sorted
@@ -146,19 +146,21 @@
         self.on_refused: Callable[[PgError], None] = lambda problem: None
         self.closed = False
         self._reported = 0
-        keeper.play(gov.Opened(number, streams))
+        memory_reservations.play(gov.Opened(number, streams))
 
     def grew(self, stream: ShardRowStream, size: int) -> None:
         """Bytes have come in; see what that means."""
         self.held += size
         self.peak = max(self.peak, self.held + self.tables)
-        self.keeper.total += size
-        self.keeper.peak = max(self.keeper.peak, self.keeper.total)
+        self.memory_reservations.total += size
+        self.memory_reservations.peak = max(
+            self.memory_reservations.peak, self.memory_reservations.total
+        )
         if self.held + self.tables - self._reported >= REPORT:
             self._reported = self.held + self.tables
-            self.keeper.play(gov.Holds(self.number, self._reported))
-        if self.keeper.total > self.keeper.governor.process:
-            self.keeper.play(gov.Full(self.number))
+            self.memory_reservations.play(gov.Holds(self.number, self._reported))
+        if self.memory_reservations.total > self.memory_reservations.governor.process:
+            self.memory_reservations.play(gov.Full(self.number))
         self.settle(stream)
 
     def settle(self, stream: ShardRowStream | None = None) -> None:
@@ -196,18 +198,20 @@
     def shrank(self, size: int) -> None:
         """Bytes have gone."""
         self.held -= size
-        self.keeper.total -= size
+        self.memory_reservations.total -= size
         self._reported = min(self._reported, self.held + self.tables)
 
     def table(self, size: int) -> None:
         """Bytes that the merge builds (negative: gives back)."""
         self.tables += size
-        self.keeper.total += size
+        self.memory_reservations.total += size
         if not self.closed and self.held + self.tables - self._reported >= REPORT:
             self._reported = self.held + self.tables
-            self.keeper.play(gov.Holds(self.number, self._reported))
+            self.memory_reservations.play(gov.Holds(self.number, self._reported))
         self.peak = max(self.peak, self.held + self.tables)
-        self.keeper.peak = max(self.keeper.peak, self.keeper.total)
+        self.memory_reservations.peak = max(
+            self.memory_reservations.peak, self.memory_reservations.total
+        )
 
     @property
     def room(self) -> int:
@@ -222,10 +226,10 @@
         for stream in list(self.streams):
             stream.close()
         self.table(-self.tables)
-        self.keeper.forget(self)
+        self.memory_reservations.forget(self)
 
 
-class Keeper:
+class MemoryReservations:
     """All queries' memory: hears the governor and carries out what it says."""
 
     def __init__(
--- a/tansycrank/merge/operators.py
+++ b/tansycrank/merge/operators.py
@@ -311,7 +311,7 @@
 
 def _spilled(runs: list[Run], pulled: Pulled, memory: Memory) -> Pulled:
     """Write sorted rows to a new run, a block a turn."""
-    run = memory.keeper.space.run()
+    run = memory.memory_reservations.space.run()
     runs.append(run)
     for block in pulled:
         if block is not None and block[0]:
@@ -366,7 +366,7 @@
 
     def _flush(self, index: int) -> None:
         if self.runs[index] is None:
-            self.runs[index] = self.memory.keeper.space.run()
+            self.runs[index] = self.memory.memory_reservations.space.run()
         data = b"".join(self.pending[index])
         self.runs[index].append(data)
         self.memory.spilled += len(data)
--- a/tansycrank/sql_router/coordinator.py
+++ b/tansycrank/sql_router/coordinator.py
@@ -19,7 +19,7 @@
     Query,
     Violation,
 )
-from tansycrank.merge.blocks import Keeper, Memory, ShardRowStream
+from tansycrank.merge.blocks import Memory, MemoryReservations, ShardRowStream
 from tansycrank.policy_event_loop import PolicyEventLoop
 from tansycrank.postgres.errors import (
     ANSWER_BROKEN_OFF,
@@ -82,11 +82,16 @@
         settings: routing.Settings,
         seed: int,
         pools: ConnectionPool,
-        keeper: Keeper,
+        memory_reservations: MemoryReservations,
         on_watch: Callable[[bool], None],
         on_broken: Callable[[BaseException], None],
     ) -> None:
-        self.reactor, self.pools, self.keeper, self.settings = reactor, pools, keeper, settings
+        self.reactor, self.pools, self.memory_reservations, self.settings = (
+            reactor,
+            pools,
+            memory_reservations,
+            settings,
+        )
         self.on_violation: Callable[[Violation], None] = lambda violation: None  # for the log
         self.lifecycle = Lifecycle(settings, lambda violation: self.on_violation(violation))
         self.on_watch, self.on_broken = on_watch, on_broken
@@ -163,7 +168,7 @@
             number,
             query_class,
             shard_requests,
-            self.keeper.open(streams),
+            self.memory_reservations.open(streams),
             done,
             now,
             lifecycle_request,
--- a/tansycrank/sql_router/service.py
+++ b/tansycrank/sql_router/service.py
@@ -308,7 +308,9 @@
 
     def _explain_memory(self, plan) -> list[str]:
         merge = self.config.merge
-        return pipeline.explain(plan, self.coordinator.keeper.governor.share, merge.spill_quota)
+        return pipeline.explain(
+            plan, self.coordinator.memory_reservations.governor.share, merge.spill_quota
+        )
 
     def cancel(self, running: Running, left: bool = False) -> None:
         """The client cancels, or has left."""
--- a/tansycrank/testbed/fleet.py
+++ b/tansycrank/testbed/fleet.py
@@ -228,8 +228,8 @@
                 work = self.work * self.rng.uniform(0.7, 1.3) / self.warmth(node, self.now)
                 self.at(self.now + work, self._done, node, node.started_at, key)
 
-    def _done(self, node: Node, came_up: float, key: tuple[int, int, int]) -> None:
-        if node.started_at == came_up:
+    def _done(self, node: Node, started_at: float, key: tuple[int, int, int]) -> None:
+        if node.started_at == started_at:
             node.free += 1
             self.at(self.now + TRIP, self._end, *key, routing.Outcome.SUCCEEDED)
             self._begin(node)
--- a/tansycrank/testbed/local_cluster.py
+++ b/tansycrank/testbed/local_cluster.py
@@ -188,7 +188,7 @@
     port: int = 0
     control: int = 0
     started: float = 0.0  # ms of Unix time, as the roster tells it; 0 for long ago
-    came_up: float = 0.0  # the same instant in ms of the monotonic clock
+    started_at: float = 0.0  # the same instant in ms of the monotonic clock
 
 
 class LocalCluster:
@@ -270,7 +270,7 @@
             "port": node.port,
             "control": node.control,
             "journal": str(self.folder / f"node-{node.id}.jsonl"),
-            "came_up": node.came_up,
+            "started_at": node.started_at,
             "scale": layout.scale,
             "dedup_ms": layout.dedup_ms,
             "peers": peers,
@@ -366,7 +366,7 @@
     def revive(self, node: int, told_after_ms: float = 0.0) -> None:
         """It comes back cold, on its old ports; the roster tells so later."""
         one = self.nodes[node]
-        one.started, one.came_up = clock.unix_ms(), clock.monotonic_ms()
+        one.started, one.started_at = clock.unix_ms(), clock.monotonic_ms()
         self._launch(one)
         self._ports(one)
         for peer in self.nodes.values():  # what was written while it was away
@@ -386,7 +386,7 @@
         for node in ids:
             if self.nodes[node].process.poll() is not None:
                 self.revive(node)
-                self.nodes[node].started = self.nodes[node].came_up = 0.0
+                self.nodes[node].started = self.nodes[node].started_at = 0.0
             self.tell(node, "ready")
 
     def tell(self, node: int, status: str, delay_ms: float = 0.0, **changes) -> None:
--- a/tansycrank/testbed/mutations.py
+++ b/tansycrank/testbed/mutations.py
@@ -29,7 +29,7 @@
 
     def extra(self, endpoint: int, request, time_out: float) -> None:
         """One of them; its rows are dropped."""
-        memory = self.keeper.open(False)
+        memory = self.memory_reservations.open(False)
         stream = ShardRowStream(memory, request.shard)
         self.pools.send(
             endpoint, request, stream, time_out, lambda ended: memory.close(), _Unchecked()
--- a/tansycrank/testbed/node/node.py
+++ b/tansycrank/testbed/node/node.py
@@ -24,7 +24,7 @@
         self.spec, self.config = spec, settings.load(spec.config)
         self.engine = Engine(self.config, spec.seed, spec.shards, spec.scale)
         self.model = ServiceModel(
-            Nature(**spec.nature), spec.seed * MODEL_SEEDS_PER_SEED + spec.id, spec.came_up
+            Nature(**spec.nature), spec.seed * MODEL_SEEDS_PER_SEED + spec.id, spec.started_at
         )
         self.sessions: dict[int, JournaledSession] = {}
         self.journal = Journal(spec.journal, spec.id, self.now_ms)
--- a/tansycrank/testbed/node/spec.py
+++ b/tansycrank/testbed/node/spec.py
@@ -15,7 +15,7 @@
     port: int = 0
     control: int = 0
     journal: str = ""
-    came_up: float = 0.0  # ms of the monotonic clock; 0 for long ago
+    started_at: float = 0.0  # ms of the monotonic clock; 0 for long ago
     scale: float = 1.0
     nature: dict = {}
     peers: dict[int, list[int]] = {}  # by shard: control ports of the other replicas
--- a/tansycrank/testbed/reference_model.py
+++ b/tansycrank/testbed/reference_model.py
@@ -64,7 +64,7 @@
 
     nature: Nature
     seed: int
-    came_up: float = 0.0  # ms; 0 for long ago
+    started_at: float = 0.0  # ms; 0 for long ago
     faults: Faults = field(default_factory=Faults)
     waiting: deque = field(default_factory=deque)
     running: set = field(default_factory=set)
@@ -78,9 +78,9 @@
 
     def capacity(self, now: float) -> float:
         """Share of its warm capacity."""
-        if not self.came_up:
+        if not self.started_at:
             return 1.0
-        age = max(now - self.came_up, 0.0) / self.nature.cold_ms
+        age = max(now - self.started_at, 0.0) / self.nature.cold_ms
         return min(self.nature.cold_from + (1 - self.nature.cold_from) * age, 1.0)
 
     def draw_work(self, weight: float = 1.0) -> float:
--- a/tansycrank/testbed/simulated.py
+++ b/tansycrank/testbed/simulated.py
@@ -19,7 +19,7 @@
 from tansycrank.admission.controller import AdmissionController
 from tansycrank.admission.policy import Policy
 from tansycrank.lifecycle import Attempt
-from tansycrank.merge.blocks import Keeper
+from tansycrank.merge.blocks import MemoryReservations
 from tansycrank.merge.spill import SpillSpace
 from tansycrank.sql_router.coordinator import Coordinator
 from tansycrank.sql_router.node_connection import AttemptResult, ShardStatement
@@ -206,9 +206,11 @@
     coordinator: Coordinator = field(init=False)
 
     def __post_init__(self) -> None:
-        keeper = Keeper(1 << 30, 1 << 28, SpillSpace("", 0), lambda: self.clock.seconds() * 1000)
+        memory_reservations = MemoryReservations(
+            1 << 30, 1 << 28, SpillSpace("", 0), lambda: self.clock.seconds() * 1000
+        )
         self.coordinator = Coordinator(
-            self.clock, self.settings, self.seed, SimPools(self.clock, self.nodes), keeper,
+            self.clock, self.settings, self.seed, SimPools(self.clock, self.nodes), memory_reservations,
             lambda on: None, self._broken,
         )  # fmt: skip
         self.gate = AdmissionController(self.clock, self.policy)
--- a/tansycrank/testbed/soak/node.py
+++ b/tansycrank/testbed/soak/node.py
@@ -28,7 +28,7 @@
 
 
 class NodeSpec(msgspec.Struct):
-    """How to start a node. Times are ms; `came_up` is 0 for long ago."""
+    """How to start a node. Times are ms; `started_at` is 0 for long ago."""
 
     name: str
     journal: str
--- a/tests/http_router/test_discovery.py
+++ b/tests/http_router/test_discovery.py
@@ -11,7 +11,7 @@
 from tansycrank import routing
 from tansycrank.http_router import settings as configuration
 from tansycrank.http_router.endpoint_directory import REMOVED_RETENTION_MS, EndpointDirectory
-from tansycrank.http_router.settings import Entry, Listing
+from tansycrank.http_router.settings import EndpointDocument, EndpointListDocument
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -141,8 +141,8 @@
     names = EndpointDirectory(("a", "b"))
 
     def heard(now, *entries):
-        listing = msgspec.convert({"version": 1, "servers": list(entries)}, Listing)
-        return names.apply(listing, routing.EndpointListKind.DELTA, now)
+        document = msgspec.convert({"version": 1, "servers": list(entries)}, EndpointListDocument)
+        return names.apply(document, routing.EndpointListKind.DELTA, now)
 
     heard(0, entry(1), entry(2))
     heard(10, entry(1, "terminated"))
@@ -397,9 +397,10 @@
 
     def told(kind, now, version, **starts):
         servers = [
-            Entry(id, "in_service", "10.0.0.1:70", started_ms=start) for id, start in starts.items()
+            EndpointDocument(id, "in_service", "10.0.0.1:70", started_ms=start)
+            for id, start in starts.items()
         ]
-        event, _ = names.apply(Listing(version, servers), kind, now)
+        event, _ = names.apply(EndpointListDocument(version, servers), kind, now)
         return {entry.endpoint: entry for entry in event.entries}
 
     first = told(
--- a/tests/recorded_streams.py
+++ b/tests/recorded_streams.py
@@ -249,8 +249,8 @@
     recorder.step(2.0, [routing.QueryCancelled(11)])
     recorder.step(30.0, [routing.AttemptEnded(12, 0, 1, routing.Outcome.SUCCEEDED, 29.0)])
     recorder.step(31.0, [routing.ResponseStarted(99, 0, 1, 1.0)])
-    for time, came_up in ((100.0, 90.0), (110.0, 50.0)):
-        entry = routing.EndpointEntry(1, 0, 0, routing.EndpointStatus.IN_SERVICE, came_up)
+    for time, started_at in ((100.0, 90.0), (110.0, 50.0)):
+        entry = routing.EndpointEntry(1, 0, 0, routing.EndpointStatus.IN_SERVICE, started_at)
         recorder.step(time, [routing.EndpointListUpdate(routing.EndpointListKind.DELTA, (entry,))])
     recorder.step(900.0, [routing.TimerExpired(1)])
     return recorder.stream
--- a/tests/test_edge_forms.py
+++ b/tests/test_edge_forms.py
@@ -199,7 +199,7 @@
     told = b"""{"version":3,"full":true,"servers":[{"id":"n1","state":"in_service","addr":
     "10.0.0.1:7",
     "zone":"z",    "cell":2,"weight":0.5,"started_ms":8.0}]}"""
-    read = msgspec.json.decode(told, type=settings.Listing)
+    read = msgspec.json.decode(told, type=settings.EndpointListDocument)
     assert msgspec.json.decode(msgspec.json.encode(read)) == msgspec.json.decode(told)
     assert "/api/targets?watch=1&after=" in Path(discovery_client.__file__).read_text()
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -8,7 +8,7 @@
 
 from tansycrank.merge import governor as gov
 from tansycrank.merge import operators as op
-from tansycrank.merge.blocks import Keeper, ShardRowStream, frames_of
+from tansycrank.merge.blocks import MemoryReservations, ShardRowStream, frames_of
 from tansycrank.merge.pipeline import build
 from tansycrank.merge.spill import SpillSpace
 from tansycrank.merge.work import RowStream, Worker
@@ -38,8 +38,8 @@
 
 
 @pytest.fixture
-def keeper(space):
-    return Keeper(16 * MIB, 8 * MIB, space, lambda: 0.0)
+def memory_reservations(space):
+    return MemoryReservations(16 * MIB, 8 * MIB, space, lambda: 0.0)
 
 
 def tight(memory, room=1500):
@@ -69,8 +69,10 @@
 @given(st.lists(ROWS, min_size=1, max_size=4), st.booleans())
 def test_external_sort_is_the_sort_however_little_room(tmp_path_factory, split, little):
     space = SpillSpace(str(tmp_path_factory.mktemp("spill")), 64 * MIB)
-    keeper = Keeper(16 * MIB, 8 * MIB, space, lambda: 0.0)
-    memory = tight(keeper.open(False), 700) if little else keeper.open(False)
+    memory_reservations = MemoryReservations(16 * MIB, 8 * MIB, space, lambda: 0.0)
+    memory = (
+        tight(memory_reservations.open(False), 700) if little else memory_reservations.open(False)
+    )
     key = op.key_maker((SortKey(0), SortKey(1)), FIELDS)
     got = drain(
         op.external_sort(op.concat([shard_result(memory, rows) for rows in split]), key, memory)
@@ -78,15 +80,15 @@
     wanted = sorted((r for rows in split for r in rows), key=pg_key)
     assert got == [(None if a is None else str(a), b) for a, b in wanted]
     memory.close()
-    assert space.used == 0 and keeper.total == 0
+    assert space.used == 0 and memory_reservations.total == 0
 
 
 @given(st.lists(ROWS, min_size=1, max_size=5), st.booleans(), st.booleans())
 def test_a_k_way_merge_of_sorted_parts(tmp_path_factory, split, descending, nulls_first):
-    keeper = Keeper(
+    memory_reservations = MemoryReservations(
         16 * MIB, 8 * MIB, SpillSpace(str(tmp_path_factory.mktemp("s")), 0), lambda: 0.0
     )
-    memory = keeper.open(True)
+    memory = memory_reservations.open(True)
     key = op.key_maker((SortKey(0, descending, nulls_first),), FIELDS)
 
     def rank(values):
@@ -107,9 +109,9 @@
     assert got == [(None if a is None else str(a), b) for a, b in wanted]
 
 
-def test_a_part_in_another_order_is_an_error_not_a_wrong_answer(keeper):
+def test_a_part_in_another_order_is_an_error_not_a_wrong_answer(memory_reservations):
     key = op.key_maker((SortKey(0),), FIELDS)
-    stream = shard_result(keeper.open(True), [(n, "x") for n in (1, 2, 5, 4)], cut=2)
+    stream = shard_result(memory_reservations.open(True), [(n, "x") for n in (1, 2, 5, 4)], cut=2)
     with pytest.raises(PgError) as problem:
         drain(op.merge_sorted([op.shard_source(stream, key)]))
     assert "another order" in str(problem.value)
@@ -117,10 +119,10 @@
 
 @given(st.lists(ROWS, min_size=1, max_size=4), st.integers(0, 9), st.integers(0, 9))
 def test_top_limit_and_offset(tmp_path_factory, split, limit, offset):
-    keeper = Keeper(
+    memory_reservations = MemoryReservations(
         16 * MIB, 8 * MIB, SpillSpace(str(tmp_path_factory.mktemp("s")), 0), lambda: 0.0
     )
-    memory = keeper.open(False)
+    memory = memory_reservations.open(False)
     key = op.key_maker((SortKey(0), SortKey(1)), FIELDS)
     rows = op.top(
         op.concat([shard_result(memory, rows) for rows in split]), key, limit + offset, memory
@@ -136,8 +138,8 @@
 @given(st.lists(PAIRS, min_size=1, max_size=3), st.sampled_from([600, 4000, 10**6]))
 def test_hash_grouping_spills_and_loses_nothing(tmp_path_factory, split, room):
     space = SpillSpace(str(tmp_path_factory.mktemp("spill")), 64 * MIB)
-    keeper = Keeper(16 * MIB, 8 * MIB, space, lambda: 0.0)
-    memory = tight(keeper.open(False), room)
+    memory_reservations = MemoryReservations(16 * MIB, 8 * MIB, space, lambda: 0.0)
+    memory = tight(memory_reservations.open(False), room)
     fields = (Field("k", types.INT8), Field("s", types.INT8))
     plan = MergePlan(
         "grouped",
@@ -163,9 +165,9 @@
     assert got == wanted and space.used == 0
 
 
-def test_distinct_treats_equal_numerics_as_one_and_null_as_one(keeper):
+def test_distinct_treats_equal_numerics_as_one_and_null_as_one(memory_reservations):
     fields = (Field("n", types.NUMERIC),)
-    memory = tight(keeper.open(False), 300)
+    memory = tight(memory_reservations.open(False), 300)
     shard_results = [
         shard_result(memory, [("1.0",), (None,), ("2",)], fields),
         shard_result(memory, [("1.00",), (None,)], fields),
@@ -174,8 +176,8 @@
     assert sorted(drain(pulled), key=str) == [("1.0",), ("2",), (None,)]
 
 
-def test_a_limit_closes_the_parts_it_no_longer_needs(keeper):
-    memory, closed = keeper.open(True), []
+def test_a_limit_closes_the_parts_it_no_longer_needs(memory_reservations):
+    memory, closed = memory_reservations.open(True), []
     streams = [ShardRowStream(memory) for _ in range(2)]
     for stream in streams:
         stream.fields = FIELDS
@@ -190,11 +192,11 @@
         calls.pop()()
     assert len(rows.take()) == 10 and rows.ended
     rows.close()
-    assert closed == streams and keeper.total == 0
+    assert closed == streams and memory_reservations.total == 0
 
 
-def test_a_part_that_fails_mid_stream_ends_the_answer_with_its_error(keeper):
-    memory = keeper.open(True)
+def test_a_part_that_fails_mid_stream_ends_the_answer_with_its_error(memory_reservations):
+    memory = memory_reservations.open(True)
     stream = ShardRowStream(memory)
     stream.fields = FIELDS
     stream.add(row(1, "x"), 1)
@@ -210,8 +212,8 @@
     assert rows.ended and rows.error.state == "58T02"
 
 
-def test_taking_a_few_rows_at_a_time_loses_none(keeper):
-    memory = keeper.open(True)
+def test_taking_a_few_rows_at_a_time_loses_none(memory_reservations):
+    memory = memory_reservations.open(True)
     stream, calls = shard_result(memory, [(n, "x") for n in range(100)]), []
     rows = RowStream(
         FIELDS, op.concat([stream]), [stream], memory, Worker(calls.append, lambda: 0.0)
@@ -231,8 +233,8 @@
     return frame(b"D", b"\x00\x01" + (size - 11).to_bytes(4, "big") + b"x" * (size - 11))
 
 
-def test_a_large_streaming_query_holds_its_nodes_back_and_lets_them_go_on(keeper):
-    memory, held = keeper.open(True), []
+def test_a_large_streaming_query_holds_its_nodes_back_and_lets_them_go_on(memory_reservations):
+    memory, held = memory_reservations.open(True), []
     stream = ShardRowStream(memory)
     stream.hold = held.append
     memory.on_began = lambda s: setattr(s, "committed", True)
@@ -245,8 +247,8 @@
     assert held == [True, False]
 
 
-def test_a_large_gathering_query_spills_and_reads_back_in_order(keeper, space):
-    memory = keeper.open(False)
+def test_a_large_gathering_query_spills_and_reads_back_in_order(memory_reservations, space):
+    memory = memory_reservations.open(False)
     stream = ShardRowStream(memory)
     blocks = [row(n, "x" * 50_000) for n in range(200)]
     for block in blocks:
@@ -258,20 +260,20 @@
         got.append(stream.take())
     assert b"".join(got) == b"".join(blocks)
     memory.close()
-    assert space.used == 0 and keeper.total == 0
+    assert space.used == 0 and memory_reservations.total == 0
 
 
 def test_a_full_disk_ends_that_query_with_a_clear_error(tmp_path):
     space = SpillSpace(str(tmp_path), 1000)
-    keeper = Keeper(16 * MIB, 8 * MIB, space, lambda: 0.0)
-    memory = keeper.open(False)
+    memory_reservations = MemoryReservations(16 * MIB, 8 * MIB, space, lambda: 0.0)
+    memory = memory_reservations.open(False)
     with pytest.raises(PgError) as problem:
         stream = ShardRowStream(memory)
         for _ in range(400):
             stream.add(data_row([os.urandom(50_000)]), 1)
     assert problem.value.state == "53100"
     memory.close()
-    assert keeper.total == 0
+    assert memory_reservations.total == 0
 
 
 def test_runs_leave_nothing_behind_and_are_checked(tmp_path):
--- a/tests/test_sql_node_connection.py
+++ b/tests/test_sql_node_connection.py
@@ -5,7 +5,7 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from tansycrank.config import StoreSection
-from tansycrank.merge.blocks import Keeper, ShardRowStream
+from tansycrank.merge.blocks import MemoryReservations, ShardRowStream
 from tansycrank.merge.spill import SpillSpace
 from tansycrank.postgres import messages as pg
 from tansycrank.postgres.errors import PgError
@@ -36,7 +36,9 @@
 
     def __init__(self, max_row=1 << 20, **store):
         self.reactor = MemoryReactorClock()
-        self.keeper = Keeper(1 << 26, 1 << 24, SpillSpace("", 0), lambda: 0.0)
+        self.memory_reservations = MemoryReservations(
+            1 << 26, 1 << 24, SpillSpace("", 0), lambda: 0.0
+        )
         self.pools = ConnectionPool(self.reactor, StoreSection(**store), {"user": "x"}, max_row)
         self.streams = []
         self.lives = Lives()
@@ -44,7 +46,7 @@
         self.ended, self.links = [], []
 
     def send(self, request=ASK, time_out=0.0):
-        stream = ShardRowStream(self.keeper.open(False))
+        stream = ShardRowStream(self.memory_reservations.open(False))
         self.streams.append(stream)
         attempt = self.lives.attempt(self.reactor.seconds() * 1000)
         return self.pools.send(1, request, stream, time_out, self.ended.append, attempt)
