--- a/tansycrank/http_router/connection_pool.py
+++ b/tansycrank/http_router/connection_pool.py
@@ -108,8 +108,8 @@
         """Send a shard request at the next `flush`; spans are ms, 0 for no limit.
 
         A call ends as never executed if it waits longer than `connect_within` for its connection
-        or behind other frames, or if its last byte has not left after `leave_within`. The key is
-        the idempotency key. `done` is never called before this returns.
+        or behind other frames, or if its last byte has not left after `leave_within`.
+        `done` is never called before this returns.
         """
         call = OutgoingCall(
             id,
--- a/tansycrank/testbed/simulated.py
+++ b/tansycrank/testbed/simulated.py
@@ -210,9 +210,14 @@
             1 << 30, 1 << 28, SpillSpace("", 0), lambda: self.clock.seconds() * 1000
         )
         self.coordinator = Coordinator(
-            self.clock, self.settings, self.seed, SimPools(self.clock, self.nodes), memory_reservations,
-            lambda on: None, self._broken,
-        )  # fmt: skip
+            self.clock,
+            self.settings,
+            self.seed,
+            SimPools(self.clock, self.nodes),
+            memory_reservations,
+            lambda on: None,
+            self._broken,
+        )
         self.gate = AdmissionController(self.clock, self.policy)
         self.coordinator.start()
 
