--- a/tansycrank/admission/policy.py
+++ b/tansycrank/admission/policy.py
@@ -124,7 +124,7 @@
     def _on_arrived(self, now: float, event: QueryArrived) -> None:
         tenant = self._tenant(event.tenant, event.limits)
         cost = self.costs.expect(event.query_class, event.statement, event.shard_requests)
-        query = self._ticket(now, event, tenant, cost)
+        query = self._queued_query(now, event, tenant, cost)
         self._counts["arrived"] += 1
         reservation, is_due = self.reservations.find(
             tenant.reservations, event.mark, event.session, now
@@ -205,7 +205,9 @@
             key, limits, lambda limits: self._shares.initial_rate(limits, self.drain_rate)
         )
 
-    def _ticket(self, now: float, event: QueryArrived, tenant: Tenant, cost: float) -> QueuedQuery:
+    def _queued_query(
+        self, now: float, event: QueryArrived, tenant: Tenant, cost: float
+    ) -> QueuedQuery:
         needs = self.costs.needs(event.query_class, event.statement) + self.limit.wait
         latest_start = now + self._useful_time(event) - needs
         return QueuedQuery(
--- a/tansycrank/http_router/coordinator.py
+++ b/tansycrank/http_router/coordinator.py
@@ -158,7 +158,7 @@
     def reject(self, query: ActiveQuery, reason: FailureReason) -> None:
         """Answer a query that the policy does not end.
 
-        It is rejected if no attempt may have had an effect, else failed.
+        It is rejected with the longest Retry-After if a repeat does no harm, else failed.
         """
         if query.life.idempotency is routing.Idempotency.IDEMPOTENT or not query.life.may_have_run:
             retry_after = self.settings.max_retry_after if self.settings.can_retry_after else 0.0
@@ -168,7 +168,7 @@
         self.loop.handle(routing.QueryCancelled(query.id))
 
     def reject_all(self, reason: FailureReason) -> None:
-        """Answer all open queries."""
+        """Reject or fail all open queries."""
         for query in list(self.queries.values()):
             self.reject(query, reason)
 
--- a/tansycrank/http_router/daemon.py
+++ b/tansycrank/http_router/daemon.py
@@ -103,7 +103,10 @@
         return self.state is ProcessState.STOPPED
 
     def start(self) -> None:
-        """Apply the list of the configuration, poll discovery, listen."""
+        """Apply the list of the configuration and listen, at once where discovery is polled.
+
+        Applying the list makes the policy open the watch of discovery.
+        """
         self._take(self.settings.known, routing.EndpointListKind.CACHED)
         if self.settings.module.polls_discovery:
             self._listen()
--- a/tansycrank/http_router/graceful_shutdown.py
+++ b/tansycrank/http_router/graceful_shutdown.py
@@ -37,7 +37,7 @@
         self._is_completed = False
 
     def begin(self) -> None:
-        """Give everything that is accepted from now on no more time than is left."""
+        """Bound what is accepted from now on by the time left; schedule draining and the end."""
         settings = self._settings
         self._server.ready = False
         now = self._coordinator.loop.now
@@ -77,6 +77,6 @@
                 port.stopListening()
 
     def _reject_open_queries(self) -> None:
-        """Answer what is open before the process is killed, and leave time to read the answers."""
+        """Reject or fail what is open before the kill, and leave time to read the answers."""
         self._coordinator.reject_all(FailureReason.STOPPING)
         self._reactor.callLater(LAST_ANSWERS / 1000, self.complete)
--- a/tansycrank/http_router/settings.py
+++ b/tansycrank/http_router/settings.py
@@ -1,7 +1,9 @@
-"""What the platform tells a router: environment and `NODE_CONFIG`, checked. Limits of sockets too.
+"""What the platform tells a router: environment and `NODE_CONFIG`, checked.
+
+Also the times of a shutdown and the shares of the descriptors.
 
 The `settings` object of the configuration has the simulator's names and is read by
-`wire.settings_from`.
+`operator_settings.settings_from`.
 """
 
 from __future__ import annotations
@@ -16,18 +18,7 @@
 from tansycrank import routing
 from tansycrank.operator_settings import settings_from
 
-# Bounds of what a router holds for its peers. None of them routes anything.
-MAX_VALUE = 64 * 1024  # bytes of one part's value
-MAX_LINE = 1024  # bytes of an answer's line
-MAX_LIST = 4 * 1024 * 1024  # bytes of one line of discovery
-HALF_FRAME = 0.5  # s a node's frame may take once it has begun
-IDLE_LINK = 0.8  # of the time after which a node closes an idle connection; ours goes before
-UNTAKEN = (
-    0.1  # s, and half of the drain grace at most, that a frame has which may not begin any more
-)
-LATE_IDS = 256  # attempts given up or answered that a link still knows, for their late answers
-BEAT = 3.0  # s without a word on a watch that tells every 2 s
-CALL_WITHIN = 2.0  # s for discovery to take a call
+# Times of a shutdown, and shares of the descriptors.
 LONGEST = 3_000.0  # ms: a longer deadline counts as this where the platform times a restart
 KILL_AFTER = 700.0  # ms from SIGTERM, on top of the longest deadline: SIGKILL comes no sooner
 KILL_MARGIN = 100.0  # ms before that: what is still open then is given up
@@ -101,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Everything a router of the platform is told. Times of the last three are ms."""
+    """Everything a router of the platform is told. `connect_timeout` and `idle` are ms."""
 
     name: str
     listen: tuple[str, int]
--- a/tansycrank/lifecycle.py
+++ b/tansycrank/lifecycle.py
@@ -35,10 +35,10 @@
     """Why an attempt may not be made or started now."""
 
     REQUEST_ENDED = "its request has ended"
-    ANSWERED = "its sub-request has its answer"
+    ANSWERED = "its shard request has its answer"
     DEADLINE = "its deadline has passed"
     MAY_HAVE_RUN = "an earlier attempt may have run"
-    REPEAT_WINDOW = "its repeat window has passed"
+    REPEAT_WINDOW = "its deduplication window has passed"
     ENDPOINT = "its endpoint is draining or removed"
     BUDGET = "the budget of hedges and retries is spent"
     STOPPED = "this process has stopped"
--- a/tansycrank/routing/actions.py
+++ b/tansycrank/routing/actions.py
@@ -47,8 +47,8 @@
 class FailureReason(Enum):
     """Why a query gets no answer from the shards; for counters and logs."""
 
-    NO_START = "no sub-request could start in time"
-    PROBE_LATE = "its probe sub-request was not answered in time"
+    NO_START = "no shard request could start in time"
+    PROBE_LATE = "its probe shard request was not answered in time"
     TOO_FEW_SHARDS = "too few of its shards can still answer"
     TARGET_PASSED = "its latency target has passed"
     DEADLINE_PASSED = "its deadline has passed"
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PollEndpoints:
-    """Ask discovery for the whole list once."""
+    """Ask discovery for the whole list once; the policy does not use it yet."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/tansycrank/routing/admission.py
+++ b/tansycrank/routing/admission.py
@@ -11,7 +11,7 @@
 PRIORITY_LAG_SHARE = (
     0.25  # of the objective: how far a query of low priority falls back in the queue
 )
-RETRY_AFTER_SHARE = 0.15  # of the objective
+RETRY_AFTER_SHARE = 0.15  # of the objective; rejections by the host use max_retry_after
 
 
 class Admission:
--- a/tansycrank/routing/concurrency.py
+++ b/tansycrank/routing/concurrency.py
@@ -29,7 +29,7 @@
         others of this step; where calls cost work, a busy endpoint is then refilled several shard
         requests at a time.
         """
-        if endpoint.ejection_ms:  # a single readmission attempt at a time
+        if endpoint.ejection_ms:  # ejected, or not trusted again yet: one request at a time
             window = 1
         else:
             window = int(endpoint.window * (OPTIONAL_SHARE if is_secondary else 1.0))
--- a/tansycrank/routing/endpoint.py
+++ b/tansycrank/routing/endpoint.py
@@ -44,12 +44,12 @@
     window_cut_at: float = 0.0
     last_response_at: float = NEVER
     ejected_until: float = NEVER
-    ejection_ms: float = 0.0  # length of the last ejection; 0 once readmitted
+    ejection_ms: float = 0.0  # of the last ejection; responses halve it, then clear it
     last_used_at: float = NEVER
     slow_start_draw: float = 0.0  # in [0, 1): rounds the slow-start allowance to a whole number
     slow_start_draw_until: float = 0.0
 
-    def is_ejected(self, now: float) -> bool:
+    def is_avoided(self, now: float) -> bool:
         """Whether an attempt is overdue there, or its readmission attempt is not due yet."""
         return self.overdue > 0 or now < self.ejected_until
 
--- a/tansycrank/routing/hedging.py
+++ b/tansycrank/routing/hedging.py
@@ -87,7 +87,9 @@
         return self.awaiting_token[:]
 
     def may_hedge(self, attempt: Attempt, now: float) -> bool:
-        """Whether an attempt gets a token: the query can be in time, and the tokens suffice for it.
+        """Whether an attempt may be hedged now: the query can be in time, and the tokens suffice.
+
+        It spends no token.
 
         Hedges that cannot complete a query are wasted, so there must be a token for each shard
         request without a hedge, or a full bucket.
--- a/tansycrank/routing/latency.py
+++ b/tansycrank/routing/latency.py
@@ -26,8 +26,8 @@
         self.shortest_objective_ms = min(one.latency_objective for one in settings.classes)
         self.quickest_ms = float("inf")  # least quick quartile so far: a queue must not raise it
         self.least_median_ms = float("inf")
-        self.slow_from_ms = self.shortest_objective_ms  # a response slower than that is late
-        self.late_share = 0.0  # moving average over about `MIN_SAMPLES` responses
+        self.slow_from_ms = self.shortest_objective_ms  # a response slower than that is slow
+        self.slow_share = 0.0  # moving average over about `MIN_SAMPLES` responses
         self.last_response_at = float("-inf")
         self.router_stalled = False  # this router itself was not scheduled in time before this step
 
@@ -40,7 +40,7 @@
         self.last_response_at = endpoint.last_response_at = now
         if self.router_stalled or latency <= 0:
             return False
-        self.late_share += ((latency > self.slow_from_ms) - self.late_share) / MIN_SAMPLES
+        self.slow_share += ((latency > self.slow_from_ms) - self.slow_share) / MIN_SAMPLES
         endpoint.latencies.add(now, latency)
         self.overall.add(now, latency)
         if self.overall.count(now) >= MIN_SAMPLES:
@@ -57,8 +57,8 @@
         """How long an attempt may take before it is hedged.
 
         The endpoint's p90, or the overall one while the endpoint has too few samples; bounded by
-        the overall p90 and by the latency assumed before any response, which is also used where
-        there is none.
+        `MAX_HEDGE_DELAY_P90S` overall p90s and by the latency assumed before any response, which
+        is also used where there is none.
         """
         overall = self.overall.p90_ms(now)
         own = (
--- a/tansycrank/routing/latency_window.py
+++ b/tansycrank/routing/latency_window.py
@@ -63,7 +63,7 @@
         return self.read(now)[0]
 
     def p90_ms(self, now: float) -> float:
-        """The quantile of the hedge delay."""
+        """The p90: the hedge delay, and how long a response usually takes at most."""
         return self.read(now)[1]
 
     def median_ms(self, now: float) -> float:
--- a/tansycrank/routing/outlier_ejection.py
+++ b/tansycrank/routing/outlier_ejection.py
@@ -22,8 +22,8 @@
         """Whether an outcome other than a response speaks against the endpoint.
 
         True for errors and failed connections, and for any end of an overdue attempt if the
-        endpoint has sent no response at all since. A slow endpoint that goes on responding is no
-        outlier.
+        endpoint has sent no response at all since. A slow endpoint that goes on responding is not
+        ejected; while an attempt there is overdue it is avoided (`Endpoint.is_avoided`).
         """
         endpoint = attempt.endpoint
         is_silent = attempt.hedge_timer_fired and endpoint.last_response_at < attempt.sent_at
--- a/tansycrank/routing/policy.py
+++ b/tansycrank/routing/policy.py
@@ -226,7 +226,7 @@
             if not self.hedging.may_hedge(attempt, now):
                 continue
             endpoint = self._selector.select(attempt.shard_request, (), now, is_hedge=True)
-            if endpoint is not None and not endpoint.is_ejected(now):
+            if endpoint is not None and not endpoint.is_avoided(now):
                 self.hedging.spend_token(attempt)
                 self._send(attempt.shard_request, endpoint, now)
 
@@ -251,13 +251,19 @@
         endpoint.sends.add(now)
         timeout_ms = self._timeout_ms(query, now)
         self._actions.append(
-            routing.Send(shard_request.id, endpoint.id, timeout_ms, hedge_delay_ms, leave_within_ms)
+            routing.Send(
+                shard_request.id,
+                endpoint.id,
+                time_out=timeout_ms,
+                connect_within=hedge_delay_ms,
+                leave_within=leave_within_ms,
+            )
         )
         self.timers.schedule(now + hedge_delay_ms, self._on_hedge_timer, attempt)
 
     def _timeout_ms(self, query: Query, now: float) -> float:
         """Until the objective while a late response would be of no use, else until the deadline."""
-        late_pays = query.query_class.late_weight > 0 and self.latency.late_share < MANY_LATE_SHARE
+        late_pays = query.query_class.late_weight > 0 and self.latency.slow_share < MANY_LATE_SHARE
         is_late = now >= query.objective_at
         useful_until = query.deadline_at if late_pays or is_late else query.objective_at
         return max(min(useful_until, query.deadline_at) - now, MIN_HEDGE_DELAY_MS)
--- a/tansycrank/routing/probing.py
+++ b/tansycrank/routing/probing.py
@@ -35,7 +35,7 @@
         """
         latency = self._latency
         objective_ms = query.query_class.latency_objective
-        is_timely = latency.late_share < max(MANY_LATE_SHARE, MAX_EXPECTED_LATE / shard_requests)
+        is_timely = latency.slow_share < max(MANY_LATE_SHARE, MAX_EXPECTED_LATE / shard_requests)
         is_timely = is_timely and now < latency.last_response_at + objective_ms
         has_time = (
             shard_requests >= PROBE_INTERVAL
--- a/tansycrank/routing/replica_selection.py
+++ b/tansycrank/routing/replica_selection.py
@@ -103,7 +103,7 @@
         order = [pair for pair in order if has_allowance(pair[1], now)]
         # An endpoint with an overdue attempt is better than one that failed.
         order = [pair for pair in order if now >= pair[1].ejected_until] or order
-        order = [pair for pair in order if not pair[1].is_ejected(now)] or order
+        order = [pair for pair in order if not pair[1].is_avoided(now)] or order
         if self._settings.price_crossing:  # local replicas with spare room first
             zone, has_room = self._settings.zone, self._limiter.has_room
             order.sort(key=lambda pair: pair[1].zone != zone or not has_room(pair[1], True))
--- a/tansycrank/routing/settings.py
+++ b/tansycrank/routing/settings.py
@@ -75,10 +75,10 @@
     can_retry_after: bool = False  # clients obey `Reject.retry_after`
     max_retry_after: float = 0.0  # ms
     marks_retries: bool = False  # clients mark retries, as `QueryArrived.repeat`
-    max_in_flight: int = 1000  # queries
+    max_in_flight: int = 1000  # queries and shard requests together
     polls_discovery: bool = False  # this router has to call discovery itself
     watches_discovery: bool = False  # lists arrive on an open watch only
-    poll_interval: float = 10000.0  # ms between two calls to discovery
+    poll_interval: float = 10000.0  # ms between two calls to discovery; not used
     answer_grace: float = 0.0  # ms after the deadline in which the final action may still come
     drain_grace: float = 0.0  # ms in which sends to a draining endpoint have to stop
     slow_start_overload_factor: float = 1.0  # times its capacity that a cold endpoint may get
--- a/tests/routing/test_streamed_responses.py
+++ b/tests/routing/test_streamed_responses.py
@@ -42,7 +42,7 @@
     bench.step(routing.ResponseStarted(shard_request, 0, endpoint, 50.0), after=50.0)
     bench.end(shard_request, 0, Outcome.CONNECTION_LOST, after=500.0)
     bench.run(900)
-    assert len(bench.attempts[shard_request]) == 1 and bench.router.endpoints[endpoint].is_ejected(
+    assert len(bench.attempts[shard_request]) == 1 and bench.router.endpoints[endpoint].is_avoided(
         bench.now
     )
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -196,11 +196,11 @@
     _, (shard_request,), _ = bench.query(shards=[0])
     endpoint, lateness = (
         bench.router.endpoints[bench.attempts[shard_request][0][1]],
-        bench.router.latency.late_share,
+        bench.router.latency.slow_share,
     )
     window = endpoint.window
     bench.end(shard_request, after=900.0)  # no wake-up came meanwhile
-    assert (endpoint.window, bench.router.latency.late_share) == (window, lateness)
+    assert (endpoint.window, bench.router.latency.slow_share) == (window, lateness)
 
 
 def test_a_keyed_part_past_its_window_is_settled_at_once():
