--- a/tansycrank/http_router/document_reader.py
+++ b/tansycrank/http_router/document_reader.py
@@ -16,11 +16,11 @@
 
 
 class DocumentError(TansycrankError):
-    """The bytes are no listing."""
+    """The bytes are no document."""
 
 
 def decode_document(data: bytes) -> EndpointListDocument:
-    """Decode one complete JSON object; ListingError if it is no listing."""
+    """Decode one complete JSON object; DocumentError if it is no document."""
     try:
         return _DECODER.decode(data)
     except ValueError as error:
@@ -28,7 +28,7 @@
 
 
 class DocumentReader:
-    """Joins lines into listings: an object may take one line or, indented, several."""
+    """Joins lines into documents: an object may take one line or, indented, several."""
 
     def __init__(self) -> None:
         self._lines: list[bytes] = []
@@ -36,9 +36,9 @@
         self._size = 0  # bytes
 
     def feed(self, line: bytes) -> EndpointListDocument | None:
-        """Return the listing that this line completes, if it does.
+        """Return the document that this line completes, if it does.
 
-        Raise ListingError for a line that cannot belong to one. An empty line between objects is a
+        Raise DocumentError for a line that cannot belong to one. An empty line between objects is a
         heartbeat. At most `MAX_LISTING_BYTES` are held.
         """
         line = line.strip()
@@ -68,7 +68,7 @@
 
 
 def _check_beginning(line: bytes) -> None:
-    """Raise ListingError if no listing can begin with this line, whatever follows."""
+    """Raise DocumentError if no document can begin with this line, whatever follows."""
     try:
         _DECODER.decode(line)
     except ValueError as error:
