--- a/tansycrank/http_router/coordinator.py
+++ b/tansycrank/http_router/coordinator.py
@@ -204,8 +204,8 @@
                 query.life,
                 shard_request.shard,
                 action.endpoint,
-                action.time_out,
-                action.leave_within,
+                action.timeout,
+                action.write_timeout,
                 started_at,
             )
         except AttemptDeniedError as denied:
@@ -241,9 +241,9 @@
                 time_out,
                 on_ended,
                 attempt,
-                action.connect_within,
+                action.connect_timeout,
                 query.request.idempotency_key,
-                action.leave_within,
+                action.write_timeout,
             )
         )
 
--- a/tansycrank/routing/actions.py
+++ b/tansycrank/routing/actions.py
@@ -14,18 +14,18 @@
 class Send:
     """Send an attempt of a shard request: the first one, a retry or a hedge.
 
-    `time_out`: when the host ends it, as `TIMED_OUT`. `connect_within`: when the host revokes it if
+    `timeout`: when the host ends it, as `TIMED_OUT`. `connect_timeout`: when the host revokes it if
     nothing was written since there is no connection; 0 leaves that to the host, and hosts that
-    cannot tell ignore it. `leave_within`: when the host revokes it if its last byte was not
+    cannot tell ignore it. `write_timeout`: when the host revokes it if its last byte was not
     written, since its deduplication window ends; 0 for never. The outcome of an attempt that was
     revoked has `never_executed`.
     """
 
     shard_request: int
     endpoint: int
-    time_out: float = 0.0
-    connect_within: float = 0.0
-    leave_within: float = 0.0
+    timeout: float = 0.0
+    connect_timeout: float = 0.0
+    write_timeout: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/tansycrank/routing/policy.py
+++ b/tansycrank/routing/policy.py
@@ -238,7 +238,7 @@
             self._send_rate.shard_requests_sent += 1
         hedge_delay_ms = self.latency.hedge_delay_ms(query.query_class, endpoint, now)
         hedge_delay_ms = self._probing.limit_hedge_delay_ms(query, hedge_delay_ms)
-        leave_within_ms = retry_window_ms(shard_request, self.settings.tick, now) or 0.0
+        write_timeout_ms = retry_window_ms(shard_request, self.settings.tick, now) or 0.0
         number = len(shard_request.attempts)
         attempt = Attempt(shard_request, number, endpoint, now, hedge_delay_ms)
         self.queries.add_attempt(attempt)
@@ -254,9 +254,9 @@
             routing.Send(
                 shard_request.id,
                 endpoint.id,
-                time_out=timeout_ms,
-                connect_within=hedge_delay_ms,
-                leave_within=leave_within_ms,
+                timeout=timeout_ms,
+                connect_timeout=hedge_delay_ms,
+                write_timeout=write_timeout_ms,
             )
         )
         self.timers.schedule(now + hedge_delay_ms, self._on_hedge_timer, attempt)
--- a/tansycrank/simulator_protocol.py
+++ b/tansycrank/simulator_protocol.py
@@ -249,7 +249,7 @@
     routing.Send: (
         SUBMIT_TO,
         struct.Struct("<BHQId"),
-        ("shard_request", "endpoint", "time_out"),
+        ("shard_request", "endpoint", "timeout"),
     ),
     routing.SetTimer: (WAKE_ME, struct.Struct("<BHdQ"), ("after", "token")),
     routing.Cancel: (DROP_ATTEMPT, struct.Struct("<BHQB"), ("shard_request", "attempt")),
--- a/tansycrank/sql_router/coordinator.py
+++ b/tansycrank/sql_router/coordinator.py
@@ -222,8 +222,8 @@
                 query.lifecycle_request,
                 shard_request.id,
                 action.endpoint,
-                action.time_out,
-                action.leave_within,
+                action.timeout,
+                action.write_timeout,
                 now,
             )
         except AttemptDeniedError:
@@ -242,7 +242,7 @@
             lifecycle_attempt.deadline - now,
             ended,
             lifecycle_attempt,
-            action.connect_within,
+            action.connect_timeout,
         )
         stream.on_close = lambda: self.pools.cancel(call)
         shard_request.attempts.append(call)
--- a/tansycrank/testbed/fleet.py
+++ b/tansycrank/testbed/fleet.py
@@ -216,7 +216,7 @@
         self._out[key] = action.endpoint, self.now
         node = self.nodes[action.endpoint]
         node.asked.append(self.now)
-        self.at(self.now + action.time_out, self._end, *key, routing.Outcome.TIMED_OUT)
+        self.at(self.now + action.timeout, self._end, *key, routing.Outcome.TIMED_OUT)
         node.line.append(key)
         self._begin(node)
 
--- a/tests/routing/test_hedging.py
+++ b/tests/routing/test_hedging.py
@@ -142,4 +142,4 @@
     bench = Bench(settings())
     bench.teach(latency=60.0)
     [send] = of(routing.Send, bench.query()[2])
-    assert send.connect_within == pytest.approx(60.0, rel=0.05) and send.time_out > 900.0
+    assert send.connect_timeout == pytest.approx(60.0, rel=0.05) and send.timeout > 900.0
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -51,7 +51,7 @@
     bench = spread(4, NO_LATE_WORTH)
     bench.query(shards=[0])
     send = of(routing.Send, bench.query(shards=[1])[2])[0]
-    assert send.time_out == 1000.0
+    assert send.timeout == 1000.0
 
 
 def test_a_time_out_alone_does_not_set_a_server_aside():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -278,12 +278,12 @@
     """Otherwise it may be written late, once a connection is up and its window has ended."""
     bench = Bench(settings(KEYED))
     _, (shard_request,), actions = bench.query(remaining=8000.0)
-    assert [send.leave_within for send in of(routing.Send, actions)] == [
+    assert [send.write_timeout for send in of(routing.Send, actions)] == [
         0.0
     ]  # the first one opens the window
     bench.run(300)
     repeats = of(routing.Send, bench.end(shard_request, 0, Outcome.CONNECTION_LOST))
-    assert [send.leave_within for send in repeats] == [600.0 - 300.0 - 2 * bench.tick]
+    assert [send.write_timeout for send in repeats] == [600.0 - 300.0 - 2 * bench.tick]
     for cls in (
         UNSAFE,
         routing.QueryClass(latency_objective=1000.0, deadline=4000.0, priority_weight=1.0),
@@ -291,7 +291,7 @@
         bench = Bench(settings(cls))
         _, (shard_request,), _ = bench.query()
         [repeat] = of(routing.Send, bench.end(shard_request, 0, Outcome.CONNECT_FAILED))
-        assert repeat.leave_within == 0.0
+        assert repeat.write_timeout == 0.0
 
 
 def test_rule_1_a_server_is_told_no_longer_wait_than_the_client_has_left():
@@ -301,4 +301,4 @@
     bench.teach()
     _, _, actions = bench.query(remaining=100.0)
     [send] = of(routing.Send, actions)
-    assert send.time_out <= 100.0
+    assert send.timeout <= 100.0
