--- a/tansycrank/routing/admission.py
+++ b/tansycrank/routing/admission.py
@@ -26,10 +26,10 @@
         """A query with its deadlines; a client's retry has used up a part of its objective."""
         query_class = self._settings.classes[event.query_class]
         longest = self._longest_remaining_ms.get(event.query_class, 0.0)
-        if not event.repeat and event.remaining > longest:
+        if not event.is_retry and event.remaining > longest:
             self._longest_remaining_ms[event.query_class] = longest = event.remaining
         elapsed = 0.0
-        if event.repeat and event.remaining < longest - 1:
+        if event.is_retry and event.remaining < longest - 1:
             elapsed = query_class.deadline - event.remaining
         return Query(
             event.query,
--- a/tansycrank/routing/events.py
+++ b/tansycrank/routing/events.py
@@ -81,7 +81,7 @@
     remaining: float
     shard_requests: int
     key: int = 0
-    repeat: bool = False
+    is_retry: bool = False
 
 
 @dataclass(frozen=True, slots=True)
--- a/tansycrank/routing/settings.py
+++ b/tansycrank/routing/settings.py
@@ -74,7 +74,7 @@
     can_gossip: bool = False  # the host can carry out `SendGossip`
     can_retry_after: bool = False  # clients obey `Reject.retry_after`
     max_retry_after: float = 0.0  # ms
-    marks_retries: bool = False  # clients mark retries, as `QueryArrived.repeat`
+    marks_retries: bool = False  # clients mark retries, as `QueryArrived.is_retry`
     max_in_flight: int = 1000  # queries and shard requests together
     polls_discovery: bool = False  # this router has to call discovery itself
     watches_discovery: bool = False  # lists arrive on an open watch only
--- a/tansycrank/sql_router/coordinator.py
+++ b/tansycrank/sql_router/coordinator.py
@@ -156,7 +156,7 @@
         shard_requests = []
         self.loop.handle(
             routing.QueryArrived(
-                query_id, number, query_class, remaining, len(requests), repeat=repeat
+                query_id, number, query_class, remaining, len(requests), is_retry=repeat
             )
         )
         cls, now = self.settings.classes[query_class], self.now
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -67,14 +67,14 @@
         remaining=4000.0,
         shards=None,
         weights=None,
-        repeat=False,
+        is_retry=False,
     ):
         """A query arrives; returns (query id, part ids, actions)."""
         self.numbers += 1
         query = self.ids = self.ids + 1
         events = [
             routing.QueryArrived(
-                query, self.numbers, query_class, remaining, shard_requests, repeat=repeat
+                query, self.numbers, query_class, remaining, shard_requests, is_retry=is_retry
             )
         ]
         ids = []
