--- a/tansycrank/discovery/endpoint_view.py
+++ b/tansycrank/discovery/endpoint_view.py
@@ -180,7 +180,7 @@
         if line.epoch != self.epoch or line.version > self.version:
             self._request_snapshot(actions)
         else:
-            self._starts.heard(now)
+            self._starts.confirm_unchanged(now)
 
     # --- nodes ----------------------------------------------------------------------------
 
@@ -209,7 +209,7 @@
         self, kind: EndpointListKind, nodes: list[NodeLine], now: float
     ) -> EndpointListUpdate:
         """Return the update for these nodes, and for others whose start is known better now."""
-        starts = self._starts.listed({node.id: node.started for node in nodes}, now)
+        starts = self._starts.update({node.id: node.started for node in nodes}, now)
         listed = {node.id for node in nodes}
         redated = [self.nodes[id] for id in starts if id not in listed and id in self.nodes]
         entries = [self._to_entry(node, starts[node.id]) for node in (*redated, *nodes)]
@@ -222,6 +222,6 @@
             node.cell,
             zone,
             STATUSES[node.status],
-            start.at,
+            start.started_at,
             reported_incarnation=start.incarnation,
         )
--- a/tansycrank/http_router/endpoint_directory.py
+++ b/tansycrank/http_router/endpoint_directory.py
@@ -70,7 +70,7 @@
 
     def confirm_unchanged(self, now: float) -> None:
         """Note that discovery reported no change on its watch."""
-        self._starts.heard(now)
+        self._starts.confirm_unchanged(now)
 
     def find_problems(self, document: EndpointListDocument) -> dict[str, str]:
         """Return what the protocol does not foresee in a listing: how often, and an example."""
@@ -91,7 +91,7 @@
         entries = self._complete_entries(document, kind)
         started = {entry.id: entry.started_ms for entry in entries if entry.state != TERMINATED}
         is_cached = kind is EndpointListKind.CACHED
-        starts = self._starts.listed(started, now, cached=is_cached)
+        starts = self._starts.update(started, now, cached=is_cached)
         updated = self._redate_unlisted(starts, started)
         addresses: dict[int, str] = {}
         for entry in entries:
@@ -124,7 +124,7 @@
             if id in listed or (id in self._nodes and self._nodes[id].is_removed):
                 continue
             node = self._nodes[id]
-            node.entry = replace(node.entry, started_at=start.at)
+            node.entry = replace(node.entry, started_at=start.started_at)
             redated.append(node.entry)
         return redated
 
@@ -149,7 +149,13 @@
         zone = self._zones.get(entry.zone, len(self._zones))
         start = starts.get(entry.id, START_OF_REMOVED)
         return EndpointEntry(
-            number, entry.cell, zone, _status(entry), start.at, entry.weight, start.incarnation
+            number,
+            entry.cell,
+            zone,
+            _status(entry),
+            start.started_at,
+            entry.weight,
+            start.incarnation,
         )
 
     def _forget_expired(self, now: float) -> None:
--- a/tansycrank/routing/start_times.py
+++ b/tansycrank/routing/start_times.py
@@ -29,7 +29,7 @@
 class Start:
     """The last start of an endpoint."""
 
-    at: float  # ms of the monotonic clock
+    started_at: float  # ms of the monotonic clock
     incarnation: int  # grows with each restart
 
 
@@ -50,12 +50,12 @@
         self._dated_by = float("-inf")  # the offset by which all starts were last dated
         self._last_report_at: float | None = None  # ms; None before the first list of discovery
 
-    def heard(self, now: float) -> None:
+    def confirm_unchanged(self, now: float) -> None:
         """Discovery reported on an open watch that nothing has changed; `now` is monotonic (ms)."""
         if self._last_report_at is not None:
             self._last_report_at = now
 
-    def listed(
+    def update(
         self, started: Mapping[Hashable, float], now: float, cached: bool = False
     ) -> dict[Hashable, Start]:
         """The starts of the endpoints of a list or change; reported as Unix time (ms), 0: long ago.
@@ -116,8 +116,8 @@
         for endpoint, known in self._records.items():
             if known.reported == LONG_AGO:
                 continue
-            at = self._instant(known.reported, known.not_before, known.start.at)
-            if at < known.start.at - MIN_IMPROVEMENT_MS:
+            at = self._instant(known.reported, known.not_before, known.start.started_at)
+            if at < known.start.started_at - MIN_IMPROVEMENT_MS:
                 start = Start(at, known.start.incarnation)
                 self._records[endpoint] = _Record(known.reported, known.not_before, start)
                 found[endpoint] = start
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -26,9 +26,10 @@
         return UNIX + self.apart + self.born[node] if self.born[node] is not None else 0.0
 
     def list(self, *nodes, cached=False):
-        found = self.starts.listed({node: self.told(node) for node in nodes}, self.now, cached)
+        found = self.starts.update({node: self.told(node) for node in nodes}, self.now, cached)
         return {
-            node: self.now - start.at if start.at else float("inf") for node, start in found.items()
+            node: self.now - start.started_at if start.started_at else float("inf")
+            for node, start in found.items()
         }
 
     def age(self, node):
@@ -44,7 +45,7 @@
     world.born["old"] = None
     world.list("old")
     world.now += HOUR
-    world.starts.heard(world.now)
+    world.starts.confirm_unchanged(world.now)
     world.start("new")
     world.now += 300.0
     assert world.list("new")["new"] <= world.age("new")
@@ -78,31 +79,31 @@
     world = World()
     world.start("node")
     world.now += HOUR
-    before = world.starts.listed({"node": world.told("node")}, world.now)["node"]
+    before = world.starts.update({"node": world.told("node")}, world.now)["node"]
     world.now += 30_000.0
-    world.starts.heard(world.now)
+    world.starts.confirm_unchanged(world.now)
     world.start("node")
-    after = world.starts.listed({"node": world.told("node") + moved}, world.now)["node"]
+    after = world.starts.update({"node": world.told("node") + moved}, world.now)["node"]
     assert after.incarnation > before.incarnation
-    assert after.at == world.now
+    assert after.started_at == world.now
 
 
 def test_the_nodes_clock_stepped_between_lists_makes_no_known_node_younger_or_older():
     world = World()
     world.start("node")
     world.now += 2_000.0
-    first = world.starts.listed({"node": world.told("node")}, world.now)["node"]
+    first = world.starts.update({"node": world.told("node")}, world.now)["node"]
     world.now += 5_000.0
-    world.starts.listed({"other": UNIX + world.now + HOUR}, world.now)  # its clock is an hour ahead
-    again = world.starts.listed({"node": world.told("node")}, world.now)["node"]
+    world.starts.update({"other": UNIX + world.now + HOUR}, world.now)  # its clock is an hour ahead
+    again = world.starts.update({"node": world.told("node")}, world.now)["node"]
     assert again == first
 
 
 def test_a_node_whose_clock_is_ahead_makes_no_later_start_look_old():
     world = World()
-    world.starts.listed({"ahead": UNIX + world.now + HOUR}, world.now)
+    world.starts.update({"ahead": UNIX + world.now + HOUR}, world.now)
     world.now += 60_000.0
-    world.starts.heard(world.now)
+    world.starts.confirm_unchanged(world.now)
     world.start("new")
     assert world.list("new")["new"] == 0.0
 
@@ -131,17 +132,17 @@
 
 def test_a_start_that_is_no_longer_told_is_long_ago_and_no_restart():
     starts = StartTimes()
-    before = starts.listed({"node": UNIX}, 1_000.0)["node"]
-    after = starts.listed({"node": 0.0}, 2_000.0)["node"]
-    assert after.incarnation == before.incarnation and after.at == 0.0
+    before = starts.update({"node": UNIX}, 1_000.0)["node"]
+    after = starts.update({"node": 0.0}, 2_000.0)["node"]
+    assert after.incarnation == before.incarnation and after.started_at == 0.0
 
 
 def test_a_forgotten_node_that_returns_is_young():
     starts = StartTimes()
-    starts.listed({"node": UNIX}, 1_000.0)
+    starts.update({"node": UNIX}, 1_000.0)
     starts.forget(["node"])
-    starts.heard(90_000.0)
-    assert starts.listed({"node": UNIX}, 90_500.0)["node"].at >= 90_000.0
+    starts.confirm_unchanged(90_000.0)
+    assert starts.update({"node": UNIX}, 90_500.0)["node"].started_at >= 90_000.0
 
 
 @pytest.mark.parametrize("apart", APART)
@@ -168,7 +169,7 @@
         world.start(node)
     world.now += 500.0
     world.list("a", "b")
-    starts = world.starts.listed({"ahead": UNIX + world.now + HOUR}, world.now)
+    starts = world.starts.update({"ahead": UNIX + world.now + HOUR}, world.now)
     assert set(starts) == {"ahead"}
 
 
@@ -177,10 +178,10 @@
     world.start("a")
     world.list("a")
     world.now += 60_000.0
-    world.starts.heard(world.now)
+    world.starts.confirm_unchanged(world.now)
     seen = world.now
     world.start("a")
     world.list("a")
     for ahead in ("x", "y"):  # two nodes whose clocks agree, and are both wrong
-        world.starts.listed({ahead: UNIX + world.now + HOUR}, world.now)
+        world.starts.update({ahead: UNIX + world.now + HOUR}, world.now)
     assert world.now - world.list("a")["a"] >= seen
