--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -28,7 +28,9 @@
     return routing.Settings(**(base | changes))
 
 
-def listed(endpoint, cell=0, zone=0, status=routing.EndpointStatus.IN_SERVICE, started_at=0.0):
+def endpoint_entry(
+    endpoint, cell=0, zone=0, status=routing.EndpointStatus.IN_SERVICE, started_at=0.0
+):
     return routing.EndpointEntry(endpoint, cell, zone, status, started_at)
 
 
@@ -39,7 +41,9 @@
         self.router, self.now, self.tick = RoutingPolicy(cfg, seed), start, cfg.tick
         self.ids, self.numbers, self.attempts = 1000, 0, {}
         self.done = []
-        entries = tuple(s if isinstance(s, routing.EndpointEntry) else listed(s) for s in endpoints)
+        entries = tuple(
+            s if isinstance(s, routing.EndpointEntry) else endpoint_entry(s) for s in endpoints
+        )
         self.step(routing.EndpointListUpdate(routing.EndpointListKind.CACHED, entries))
 
     def step(self, *events, after=0.0):
@@ -114,7 +118,7 @@
     return [action for action in actions if isinstance(action, kind)]
 
 
-class Lives:
+class LifecycleHarness:
     """Attempts for tests of connections: each the only one of a request of its own."""
 
     def __init__(self, endpoints=range(1, 10)):
@@ -127,7 +131,7 @@
         self.lifecycle = Lifecycle(settings, self.violations.append)
         self.lifecycle.update_endpoints(
             routing.EndpointListUpdate(
-                routing.EndpointListKind.SNAPSHOT, tuple(map(listed, endpoints))
+                routing.EndpointListKind.SNAPSHOT, tuple(map(endpoint_entry, endpoints))
             )
         )
 
--- a/tests/http_router/test_node_connections.py
+++ b/tests/http_router/test_node_connections.py
@@ -1,7 +1,7 @@
 """Connections to data nodes: calls, spoilt answers, exactly one outcome a send."""
 
 import pytest
-from helpers import Lives
+from helpers import LifecycleHarness
 from hypothesis import given
 from hypothesis import strategies as st
 from live import Live, Peer, answer, frame, post
@@ -30,7 +30,7 @@
             lambda *a, **k: self.log.append(a),
         )
         self.pool.set_address(1, "127.0.0.1", 7070)
-        self.lives = Lives()
+        self.lives = LifecycleHarness()
         self.ends = {}
 
     def send(self, *ids, time_out=1000.0, endpoint=1, connect_within=0.0, leave_within=0.0):
--- a/tests/routing/test_endpoint_updates.py
+++ b/tests/routing/test_endpoint_updates.py
@@ -1,6 +1,6 @@
 """Discovery calls and endpoint list updates."""
 
-from helpers import Bench, listed, of, settings
+from helpers import Bench, endpoint_entry, of, settings
 
 from tansycrank import routing
 
@@ -18,7 +18,7 @@
     bench.teach()
     bench.step(
         routing.EndpointListUpdate(
-            routing.EndpointListKind.DELTA, (listed(1, started_at=bench.now),)
+            routing.EndpointListKind.DELTA, (endpoint_entry(1, started_at=bench.now),)
         )
     )
     assert bench.router.endpoints[1].latencies.count(bench.now) == 0
@@ -30,7 +30,8 @@
     _, [shard_request], _ = bench.query()
     endpoint = bench.attempts[shard_request][0][1]
     gone = routing.EndpointListUpdate(
-        routing.EndpointListKind.DELTA, (listed(endpoint, status=routing.EndpointStatus.REMOVED),)
+        routing.EndpointListKind.DELTA,
+        (endpoint_entry(endpoint, status=routing.EndpointStatus.REMOVED),),
     )
     bench.step(gone)
     assert endpoint in bench.router.endpoints  # a part of ours is out there
@@ -40,11 +41,13 @@
     bench.step(gone, after=bench.router.settings.slow_start_window + 2 * bench.tick)
     assert endpoint not in bench.router.endpoints
     for fresh in range(10, 200):
-        bench.step(routing.EndpointListUpdate(routing.EndpointListKind.DELTA, (listed(fresh),)))
+        bench.step(
+            routing.EndpointListUpdate(routing.EndpointListKind.DELTA, (endpoint_entry(fresh),))
+        )
         bench.step(
             routing.EndpointListUpdate(
                 routing.EndpointListKind.DELTA,
-                (listed(fresh, status=routing.EndpointStatus.REMOVED),),
+                (endpoint_entry(fresh, status=routing.EndpointStatus.REMOVED),),
             )
         )
     assert len(bench.router.endpoints) == 1
--- a/tests/routing/test_hedging.py
+++ b/tests/routing/test_hedging.py
@@ -1,7 +1,7 @@
 """Hedge delay, hedge tokens, and which hedges are sent."""
 
 import pytest
-from helpers import Bench, listed, of, settings
+from helpers import Bench, endpoint_entry, of, settings
 
 from tansycrank import routing
 
@@ -70,7 +70,7 @@
 def test_the_token_bucket_keeps_what_the_largest_query_earns():
     """With rare wide queries, a bucket of one second of refill is empty for each of them."""
     bench = Bench(
-        settings(shards=40, cells=40), endpoints=[listed(s, cell=s // 2) for s in range(80)]
+        settings(shards=40, cells=40), endpoints=[endpoint_entry(s, cell=s // 2) for s in range(80)]
     )
     bench.query(shard_requests=40, shards=range(40))
     bench.run(60_000)
@@ -112,7 +112,7 @@
     """A thin router's first query, of 32 parts: all but three, at three servers, are in."""
     bench = Bench(
         settings(shards=32, cells=32, replica_span=4, routers=200),
-        endpoints=[listed(endpoint, cell=endpoint % 32) for endpoint in range(1, 65)],
+        endpoints=[endpoint_entry(endpoint, cell=endpoint % 32) for endpoint in range(1, 65)],
     )
     _, shard_requests, _ = bench.query(shard_requests=32, shards=list(range(32)))
     for shard_request in shard_requests[::8]:
--- a/tests/routing/test_probe_requests.py
+++ b/tests/routing/test_probe_requests.py
@@ -1,13 +1,15 @@
 """Probe requests and partial answers."""
 
-from helpers import Bench, listed, of, settings
+from helpers import Bench, endpoint_entry, of, settings
 
 from tansycrank import routing
 
 
 def test_probe_requests_go_ahead_without_recent_responses():
     """A router with one query at a time fills queues that it cannot see."""
-    bench = Bench(settings(shards=16, cells=16), endpoints=[listed(s, cell=s) for s in range(16)])
+    bench = Bench(
+        settings(shards=16, cells=16), endpoints=[endpoint_entry(s, cell=s) for s in range(16)]
+    )
     _, shard_requests, _ = bench.query(shard_requests=16, shards=range(16))
     assert len(bench.attempts) == 2
     for shard_request in shard_requests[:2]:
@@ -36,7 +38,7 @@
         partial_weight=0.9,
     )
     bench = Bench(
-        settings(cls, shards=16, cells=16), endpoints=[listed(s, cell=s) for s in range(16)]
+        settings(cls, shards=16, cells=16), endpoints=[endpoint_entry(s, cell=s) for s in range(16)]
     )
     weights = [0.02] * 14 + [0.4, 0.32]
     query, shard_requests, _ = bench.query(shard_requests=16, shards=range(16), weights=weights)
@@ -49,7 +51,9 @@
 
 def test_one_unanswered_probe_request_does_not_block_a_query():
     """One paused endpoint must not block a query of a quiet system."""
-    bench = Bench(settings(shards=16, cells=16), endpoints=[listed(s, cell=s) for s in range(16)])
+    bench = Bench(
+        settings(shards=16, cells=16), endpoints=[endpoint_entry(s, cell=s) for s in range(16)]
+    )
     _, shard_requests, _ = bench.query(shard_requests=16, shards=range(16))
     bench.end(shard_requests[0], after=50.0)
     assert len(bench.attempts) == 16
@@ -66,7 +70,7 @@
         follow_up=3,
     )
     bench = Bench(
-        settings(cls, shards=16, cells=16), endpoints=[listed(s, cell=s) for s in range(16)]
+        settings(cls, shards=16, cells=16), endpoints=[endpoint_entry(s, cell=s) for s in range(16)]
     )
     query, shard_requests, _ = bench.query(
         shard_requests=16, shards=range(16), weights=[0.55, 0.03] + [0.03] * 14
@@ -85,7 +89,7 @@
     """A hedge sent near the objective comes after the query was rejected for want of its probe."""
     bench = Bench(
         settings(price_waste=0.08, shards=16, cells=16, replica_span=2),
-        endpoints=[listed(s, cell=s % 16) for s in range(32)],
+        endpoints=[endpoint_entry(s, cell=s % 16) for s in range(32)],
     )
     for number in range(40):
         _, [shard_request], _ = bench.query(shards=[number % 16])
@@ -108,7 +112,7 @@
     """The delay assumed before any response is longer than the time until the rejection."""
     bench = Bench(
         settings(price_waste=0.08, shards=16, cells=16, replica_span=2),
-        endpoints=[listed(s, cell=s % 16) for s in range(32)],
+        endpoints=[endpoint_entry(s, cell=s % 16) for s in range(32)],
     )
     _, shard_requests, _ = bench.query(shard_requests=16, shards=range(16))
     pilots = [shard_request for shard_request in shard_requests if shard_request in bench.attempts]
--- a/tests/routing/test_replica_selection.py
+++ b/tests/routing/test_replica_selection.py
@@ -1,6 +1,6 @@
 """Which replica gets the next attempt."""
 
-from helpers import Bench, listed, settings
+from helpers import Bench, endpoint_entry, settings
 
 from tansycrank.routing import Outcome
 
@@ -36,7 +36,7 @@
     for price, most in ((0.04, 40), (0.0, 20)):
         bench = Bench(
             settings(price_crossing=price, zones=3),
-            endpoints=[listed(s, zone=s - 1) for s in (1, 2, 3)],
+            endpoints=[endpoint_entry(s, zone=s - 1) for s in (1, 2, 3)],
         )
         near = 0
         for _ in range(60):
@@ -59,7 +59,7 @@
 
 
 def test_a_local_replica_with_spare_room_goes_first_where_crossing_costs():
-    endpoints = (listed(1, zone=0), listed(2, zone=1), listed(3, zone=2))
+    endpoints = (endpoint_entry(1, zone=0), endpoint_entry(2, zone=1), endpoint_entry(3, zone=2))
     bench = Bench(settings(price_crossing=0.04), endpoints=endpoints)
     bench.router.endpoints[1].window = 8.0
     chosen = []
@@ -73,8 +73,8 @@
 
 def test_a_request_rejected_by_its_only_replica_is_retried_there_after_a_pause():
     """At once, all attempts would be spent at one full queue; never, its later room is lost."""
-    cold = [listed(endpoint, started_at=100_000.0) for endpoint in (2, 3, 4)]
-    for endpoints in ([listed(1)], [listed(1), *cold]):
+    cold = [endpoint_entry(endpoint, started_at=100_000.0) for endpoint in (2, 3, 4)]
+    for endpoints in ([endpoint_entry(1)], [endpoint_entry(1), *cold]):
         bench = Bench(settings(routers=1000, slow_start_window=3000.0), endpoints=endpoints)
         for endpoint in bench.router.endpoints.values():
             endpoint.slow_start_draw_until = bench.now + 60_000.0  # the cold ones have no lot
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,6 +1,6 @@
 """Troubles seen at the later deployments, each as a small case without the bench."""
 
-from helpers import Bench, listed, of, settings
+from helpers import Bench, endpoint_entry, of, settings
 
 from tansycrank import routing
 from tansycrank.routing import Outcome
@@ -19,7 +19,7 @@
 def spread(count, *classes, **changes):
     """One server a shard and its next one, so that no two parts of a query need the same."""
     cfg = settings(*classes, shards=count, cells=count, replica_span=2, **changes)
-    bench = Bench(cfg, endpoints=[listed(s, cell=s) for s in range(count)])
+    bench = Bench(cfg, endpoints=[endpoint_entry(s, cell=s) for s in range(count)])
     for _ in range(30):
         _, (shard_request,), _ = bench.query(shards=[bench.numbers % count])
         bench.end(shard_request, after=80.0)
@@ -77,7 +77,8 @@
 def test_a_started_query_is_kept_for_its_answer_in_part():
     """Most of the weight is lost if a late probe ends the query before its partial answer."""
     bench = Bench(
-        settings(IN_PART, shards=8, cells=8), endpoints=[listed(s, cell=s) for s in range(8)]
+        settings(IN_PART, shards=8, cells=8),
+        endpoints=[endpoint_entry(s, cell=s) for s in range(8)],
     )
     query, shard_requests, _ = bench.query(shard_requests=8, shards=range(8))
     bench.run(500)
@@ -116,7 +117,7 @@
         bench.end(shard_request, outcome=Outcome.CONNECTION_LOST)
     bench.step(
         routing.EndpointListUpdate(
-            routing.EndpointListKind.SNAPSHOT, tuple(listed(s, cell=s) for s in range(8))
+            routing.EndpointListKind.SNAPSHOT, tuple(endpoint_entry(s, cell=s) for s in range(8))
         )
     )
     _, shard_requests, _ = bench.query(shard_requests=4, shards=[0, 2, 4, 6])
@@ -236,7 +237,7 @@
         routing.AttemptEnded(shard_request, 0, 1, Outcome.SUCCEEDED, 100.0) for shard_request in out
     ]
     drain = routing.EndpointListUpdate(
-        routing.EndpointListKind.DELTA, (listed(1, status=routing.EndpointStatus.DRAINING),)
+        routing.EndpointListKind.DELTA, (endpoint_entry(1, status=routing.EndpointStatus.DRAINING),)
     )
     acted = bench.step(*ends, drain, after=1500.0)
     assert not of(routing.Send, acted)
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -3,7 +3,7 @@
 """
 
 import pytest
-from helpers import listed
+from helpers import endpoint_entry
 
 from tansycrank import routing
 from tansycrank.lifecycle import (
@@ -31,7 +31,7 @@
         )
         self.now, self.found = 0.0, []
         self.lifecycle = Lifecycle(settings, self.found.append)
-        self.tell(routing.EndpointListKind.SNAPSHOT, *map(listed, (1, 2, 3, 4)))
+        self.tell(routing.EndpointListKind.SNAPSHOT, *map(endpoint_entry, (1, 2, 3, 4)))
 
     def tell(self, kind, *entries):
         self.lifecycle.update_endpoints(routing.EndpointListUpdate(kind, entries))
@@ -109,7 +109,7 @@
 def test_nothing_starts_at_an_endpoint_that_is_draining_or_removed(router, status):
     request = router.take()
     waiting = router.choose(request)
-    router.tell(routing.EndpointListKind.DELTA, listed(1, status=status))
+    router.tell(routing.EndpointListKind.DELTA, endpoint_entry(1, status=status))
     assert waiting.start(1.0) is DenialReason.ENDPOINT and not router.found
     assert refused(router, request) is DenialReason.ENDPOINT
     assert router.broken == [Invariant.NOTHING_TO_DRAINING]
@@ -118,7 +118,7 @@
 def test_what_a_whole_list_leaves_out_is_removed_and_a_failed_call_removes_nothing(router):
     router.tell(routing.EndpointListKind.FAILED)
     router.started(router.take())
-    router.tell(routing.EndpointListKind.SNAPSHOT, listed(2))
+    router.tell(routing.EndpointListKind.SNAPSHOT, endpoint_entry(2))
     assert refused(router, router.take(), endpoint=1) is DenialReason.ENDPOINT
     router.started(router.take(), endpoint=2)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,6 +1,6 @@
 """Each of the six rules: a case that fails if its guard is taken out."""
 
-from helpers import Bench, listed, of, settings
+from helpers import Bench, endpoint_entry, of, settings
 
 from tansycrank import routing
 from tansycrank.routing import Outcome
@@ -99,13 +99,15 @@
     for status in (routing.EndpointStatus.DRAINING, routing.EndpointStatus.REMOVED):
         bench = Bench(settings(), endpoints=(1, 2))
         bench.step(
-            routing.EndpointListUpdate(routing.EndpointListKind.DELTA, (listed(1, status=status),))
+            routing.EndpointListUpdate(
+                routing.EndpointListKind.DELTA, (endpoint_entry(1, status=status),)
+            )
         )
         for _ in range(5):
             _, (shard_request,), _ = bench.query()
             assert bench.attempts[shard_request][0][1] == 2
     bench.step(
-        routing.EndpointListUpdate(routing.EndpointListKind.SNAPSHOT, (listed(1),))
+        routing.EndpointListUpdate(routing.EndpointListKind.SNAPSHOT, (endpoint_entry(1),))
     )  # absent from a full list: removed
     _, (shard_request,), _ = bench.query()
     assert bench.attempts[shard_request][0][1] == 1
@@ -123,7 +125,7 @@
             bench.teach(latency=latency, answers=1, gap=0.0)
         bench.step(
             routing.EndpointListUpdate(
-                routing.EndpointListKind.SNAPSHOT, (listed(1, started_at=bench.now),)
+                routing.EndpointListKind.SNAPSHOT, (endpoint_entry(1, started_at=bench.now),)
             )
         )
         start, before = bench.now, set(bench.attempts)
@@ -179,7 +181,7 @@
     bench = Bench(settings(slow_start_initial_share=0.0, slow_start_window=3000.0), endpoints=(1,))
     bench.step(
         routing.EndpointListUpdate(
-            routing.EndpointListKind.SNAPSHOT, (listed(1, started_at=bench.now),)
+            routing.EndpointListKind.SNAPSHOT, (endpoint_entry(1, started_at=bench.now),)
         )
     )
     bench.router.endpoints[1].slow_start_draw_until = bench.now + 60_000.0
@@ -263,7 +265,7 @@
     bench.step(routing.QueryCancelled(query))
     bench.run(200)
     bench.end(shard_request, outcome=Outcome.CONNECTION_LOST)  # it is set aside
-    cold = tuple(listed(endpoint, started_at=bench.now) for endpoint in (2, 3, 4))
+    cold = tuple(endpoint_entry(endpoint, started_at=bench.now) for endpoint in (2, 3, 4))
     bench.step(routing.EndpointListUpdate(routing.EndpointListKind.DELTA, cold))
     assert bench.now < bench.router.endpoints[1].ejected_until
     for endpoint in (2, 3, 4):
--- a/tests/test_sql_node_connection.py
+++ b/tests/test_sql_node_connection.py
@@ -1,7 +1,7 @@
 """Links and pools: exactly one outcome a send, and what each outcome proves."""
 
 import pytest
-from helpers import Lives
+from helpers import LifecycleHarness
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from tansycrank.config import StoreSection
@@ -41,7 +41,7 @@
         )
         self.pools = ConnectionPool(self.reactor, StoreSection(**store), {"user": "x"}, max_row)
         self.streams = []
-        self.lives = Lives()
+        self.lives = LifecycleHarness()
         self.pools.place(1, *ADDRESS)
         self.ended, self.links = [], []
 
