--- a/tansycrank/routing/events.py
+++ b/tansycrank/routing/events.py
@@ -54,7 +54,7 @@
     zone: int
     status: EndpointStatus
     started_at: float = 0.0
-    size_hint: float = 1.0
+    weight: float = 1.0
     reported_incarnation: float | None = None
 
     @property
--- a/tansycrank/testbed/soak/seeded_bugs.py
+++ b/tansycrank/testbed/soak/seeded_bugs.py
@@ -72,7 +72,7 @@
                 one.zone,
                 routing.EndpointStatus.IN_SERVICE,
                 one.started_at,
-                one.size_hint,
+                one.weight,
                 one.reported_incarnation,
             )
             for one in event.entries
