--- a/tansycrank/routing/events.py
+++ b/tansycrank/routing/events.py
@@ -54,7 +54,7 @@
     zone: int
     status: EndpointStatus
     started_at: float = 0.0
-    size_hint: float = 1.0
+    weight: float = 1.0
     reported_incarnation: float | None = None
 
     @property
@@ -81,7 +81,7 @@
     remaining: float
     shard_requests: int
     key: int = 0
-    repeat: bool = False
+    is_retry: bool = False
 
 
 @dataclass(frozen=True, slots=True)
