--- a/tansycrank/http_router/outgoing_call.py
+++ b/tansycrank/http_router/outgoing_call.py
@@ -98,13 +98,13 @@
     def may_leave(self, now: float, max_age: float) -> bool:
         """Whether bytes written at most `max_age` seconds ago may leave now (seconds)."""
         is_wanted = not self.ended and now - self.written_at <= max_age
-        return is_wanted and self.attempt.may_leave(now * 1000)
+        return is_wanted and self.attempt.may_still_start(now * 1000)
 
     def take_back(self) -> None:
         """Return to the state before `begin`: none of its bytes have left."""
         if not self.ended:
             self.state, self.written_at = CallState.UNSENT, None
-            self.attempt.take_back()
+            self.attempt.undo_start()
 
     def cancel(self) -> None:
         """Stop waiting for the call."""
--- a/tansycrank/lifecycle.py
+++ b/tansycrank/lifecycle.py
@@ -103,11 +103,11 @@
         """Start it as its bytes leave; the reason if it may not start, else None."""
         return self.lifecycle.start(self, now)
 
-    def may_leave(self, now: float) -> bool:
+    def may_still_start(self, now: float) -> bool:
         """Whether it still may start when its first byte leaves, after `start`."""
-        return self.lifecycle.may_leave(self, now)
+        return self.lifecycle.may_still_start(self, now)
 
-    def take_back(self) -> None:
+    def undo_start(self) -> None:
         """Undo `start`: none of its bytes have left."""
         self.started_at = None
 
@@ -307,7 +307,7 @@
         query.note(now, f"{attempt.shard_request}: started at {attempt.endpoint}")
         return None
 
-    def may_leave(self, attempt: Attempt, now: float) -> bool:
+    def may_still_start(self, attempt: Attempt, now: float) -> bool:
         """Whether a started attempt still may start: its first byte leaves only now.
 
         Time may have passed since, in which its query ended or its endpoint began to drain.
--- a/tansycrank/sql_router/node_connection.py
+++ b/tansycrank/sql_router/node_connection.py
@@ -222,7 +222,7 @@
             return True
         self._notifications.ensure_read()  # may end the request, or close this connection
         if self.state is ConnectionState.BUSY:
-            if self._unsent.may_leave(self.reactor.seconds() * 1000):
+            if self._unsent.may_still_start(self.reactor.seconds() * 1000):
                 return True
             self._take_back_request()
         elif self.state is ConnectionState.SETTLING:
@@ -236,7 +236,7 @@
 
     def _take_back_request(self) -> None:
         """End a shard request of which nothing has left; the connection is idle again."""
-        self._unsent.take_back()
+        self._unsent.undo_start()
         self._unsent = None
         self.state = ConnectionState.IDLE
         self._finish(AttemptResult(Outcome.NOT_SENT))
--- a/tansycrank/testbed/soak/seeded_bugs.py
+++ b/tansycrank/testbed/soak/seeded_bugs.py
@@ -28,11 +28,11 @@
     def start(self, now: float) -> None:
         """It may."""
 
-    def may_leave(self, now: float) -> bool:
+    def may_still_start(self, now: float) -> bool:
         """It may."""
         return True
 
-    def take_back(self) -> None:
+    def undo_start(self) -> None:
         """Nothing is kept of it."""
 
 
