--- a/tansycrank/daemon.py
+++ b/tansycrank/daemon.py
@@ -194,7 +194,7 @@
             self.log.info(
                 "shutdown_completed",
                 **self.coordinator.counts,
-                **lifecycle.figures(),
+                **lifecycle.counters(),
                 given_up=given_up,
             )
         self.on_stopped()
--- a/tansycrank/http_router/daemon.py
+++ b/tansycrank/http_router/daemon.py
@@ -269,7 +269,7 @@
         log(
             "shutdown_completed",
             **self.coordinator.counts,
-            **lifecycle.figures(),
+            **lifecycle.counters(),
             given_up=self.coordinator.failure_log.figures(),
         )
         self.coordinator.loop.stop()
@@ -286,7 +286,7 @@
             **self.coordinator.counts,
             **self.server.counts,
             outcomes=self.coordinator.outcomes,
-            **self.coordinator.lifecycle.figures(),
+            **self.coordinator.lifecycle.counters(),
             closed=self.server.closed,
             given_up=self.coordinator.failure_log.figures(),
             open=len(self.coordinator.queries),
--- a/tansycrank/lifecycle.py
+++ b/tansycrank/lifecycle.py
@@ -277,7 +277,7 @@
         deadline = min(now + time_out, query.deadline)
         attempt = Attempt(self, query, shard_request, endpoint, deadline, start_by)
         self.checked[Invariant.NO_START_AFTER_END] += 1
-        if reason := self._forbids(attempt, now):
+        if reason := self._denial(attempt, now):
             self.refused[reason] += 1
             if invariant := _BROKEN_BY_CHOOSING.get(reason):
                 self._violate(invariant, f"chosen for {endpoint}: {reason.value}", query, now)
@@ -289,7 +289,7 @@
     def start(self, attempt: Attempt, now: float) -> DenialReason | None:
         """Start an attempt; the reason if it may not start, else None."""
         query = attempt.query
-        reason = self._forbids(attempt, now)
+        reason = self._denial(attempt, now)
         if reason is None and not attempt.is_counted and self._is_repeat(attempt):
             self.checked[Invariant.WITHIN_BUDGET] += 1
             if self._budget_spent(now):
@@ -312,7 +312,7 @@
 
         Time may have passed since, in which its query ended or its endpoint began to drain.
         """
-        return self._forbids(attempt, now) is None
+        return self._denial(attempt, now) is None
 
     def end(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
         """Record the one outcome of an attempt."""
@@ -321,7 +321,7 @@
             attempt.query.answered.add(attempt.shard_request)
         attempt.query.note(now, f"{attempt.shard_request}: {outcome.value} at {attempt.endpoint}")
 
-    def _forbids(self, attempt: Attempt, now: float) -> DenialReason | None:
+    def _denial(self, attempt: Attempt, now: float) -> DenialReason | None:
         query = attempt.query
         if self._stopped:
             return DenialReason.STOPPED
@@ -336,9 +336,9 @@
             return DenialReason.DEADLINE
         if now > attempt.start_by:
             return DenialReason.REPEAT_WINDOW
-        return self._forbids_repeat(attempt, now)
+        return self._retry_denial(attempt, now)
 
-    def _forbids_repeat(self, attempt: Attempt, now: float) -> DenialReason | None:
+    def _retry_denial(self, attempt: Attempt, now: float) -> DenialReason | None:
         """Deny a retry that could take effect twice."""
         if attempt.query.idempotency is Idempotency.IDEMPOTENT:
             return None
@@ -370,7 +370,7 @@
         allowed = settings.budget_floor + settings.budget_share * self._taken.total(now)
         return self._repeated.total(now) + 1 > allowed
 
-    def figures(self) -> dict[str, dict[str, int]]:
+    def counters(self) -> dict[str, dict[str, int]]:
         """For the log: how often each invariant was checked and violated, and why attempts did not
         start.
         """
--- a/tests/http_router/test_endings_mutations.py
+++ b/tests/http_router/test_endings_mutations.py
@@ -39,7 +39,7 @@
 
 
 def a_request_that_may_have_run_is_repeated(patch):
-    patch.setattr(Lifecycle, "_forbids_repeat", lambda self, attempt, now: None)
+    patch.setattr(Lifecycle, "_retry_denial", lambda self, attempt, now: None)
     patch.setattr(
         routing.Outcome,
         "never_executed",
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -259,7 +259,7 @@
     request = router.take()
     router.started(request)
     router.lifecycle.answer(request, AnswerKind.COMPLETE, 5.0)
-    figures = router.lifecycle.figures()
+    figures = router.lifecycle.counters()
     assert figures["checked"]["one_answer"] == 1 and figures["checked"]["nothing_to_draining"] == 2
     assert figures["violated"] == {} and figures["not_started"] == {}
 
