--- a/tansycrank/clock.py
+++ b/tansycrank/clock.py
@@ -18,7 +18,7 @@
 from tansycrank.listening import Port
 from tansycrank.outgoing_transport import CheckedConnector
 
-INSTALLED = "twisted.internet.reactor"  # where Twisted keeps the process's reactor
+REACTOR_MODULE = "twisted.internet.reactor"  # where Twisted keeps the process's reactor
 STALL_SECONDS = 0.05  # a poll that ends later than due by this shows that the process stalled
 POLLS_AFTER_STALL = 3  # with data that arrived during it: an interrupted one, an accept, a read
 STEP_TOLERANCE_SECONDS = 0.2  # a smaller change against the monotonic clock is slewing
@@ -59,7 +59,8 @@
     seconds = staticmethod(time.monotonic)
     _due = float("inf")  # seconds: when the current poll has to end
     _stalled_since = float("inf")  # seconds: when the poll had to end that ended late
-    on_late: Callable[[float], None] | None = None  # is told by how many seconds a poll came late
+    # called with the seconds by which a poll came late
+    on_late_poll: Callable[[float], None] | None = None
     _polls_after = 0  # polls that may still bring data from before the last stall ended
 
     def __init__(self) -> None:
@@ -69,8 +70,8 @@
     def doPoll(self, timeout: float | None) -> None:
         """Poll all sockets, for `timeout` seconds at most, and handle their events."""
         now = self.seconds()
-        if self.on_late is not None and now > self._due:
-            self.on_late(now - self._due)
+        if self.on_late_poll is not None and now > self._due:
+            self.on_late_poll(now - self._due)
         if now - self._due > STALL_SECONDS:
             # An interrupted poll has no events; data of an accepted connection is read one later.
             self._stalled_since, self._polls_after = self._due, POLLS_AFTER_STALL
@@ -81,7 +82,7 @@
 
     doIteration = doPoll
 
-    def overslept(self) -> float:
+    def unread_seconds(self) -> float:
         """Return the seconds for which data read now may have waited while this process stalled.
 
         The result may be too large, by the time that was left to the first timer at that moment.
@@ -120,9 +121,9 @@
 
     Raise RuntimeError if another kind of reactor is installed already.
     """
-    if INSTALLED not in sys.modules:
+    if REACTOR_MODULE not in sys.modules:
         installReactor(MonotonicReactor())
-    reactor = sys.modules[INSTALLED]
+    reactor = sys.modules[REACTOR_MODULE]
     if not isinstance(reactor, MonotonicReactor):
         raise RuntimeError(
             f"{type(reactor).__name__} is installed already; its timers follow the wall clock"
@@ -146,7 +147,7 @@
     def __init__(self) -> None:
         self._difference = self._measure()
 
-    def step(self) -> float:
+    def detect_step(self) -> float:
         """Return the seconds of a step since the last call; 0 for none."""
         before, self._difference = self._difference, self._measure()
         change = self._difference - before
--- a/tansycrank/http_router/daemon.py
+++ b/tansycrank/http_router/daemon.py
@@ -315,8 +315,8 @@
         print(f"run: {problem}", file=sys.stderr)
         return 2
     reactor = clock.install_reactor()
-    daemon = Daemon(reactor, settings, os.environ, reactor.overslept)
-    reactor.on_late = daemon.stalls.record_lateness
+    daemon = Daemon(reactor, settings, os.environ, reactor.unread_seconds)
+    reactor.on_late_poll = daemon.stalls.record_lateness
 
     def on_signal(number: int, act) -> None:
         signal.signal(number, lambda *_: reactor.callFromThread(act))
--- a/tansycrank/http_router/maintenance.py
+++ b/tansycrank/http_router/maintenance.py
@@ -57,7 +57,7 @@
     def _run(self) -> None:
         now = self._reactor.seconds()
         late, self._last_run = now - self._last_run - MAINTENANCE_INTERVAL, now
-        if step := self._wall_clock.step():
+        if step := self._wall_clock.detect_step():
             self._log("wall_clock_stepped", seconds=round(step, 3))
         try:
             self._close_expired(late)
--- a/tansycrank/testbed/soak/seeded_bugs.py
+++ b/tansycrank/testbed/soak/seeded_bugs.py
@@ -152,7 +152,7 @@
     reactor = clock.install_reactor()
 
     def received(self: DiscoveryExchange, data: bytes) -> None:
-        delay = 0.6 if reactor.overslept() > clock.STALL_SECONDS else 0.0
+        delay = 0.6 if reactor.unread_seconds() > clock.STALL_SECONDS else 0.0
         reactor.callLater(delay, receive, self, data)
 
     DiscoveryExchange.dataReceived = received
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -69,14 +69,14 @@
 
 def test_a_step_of_the_wall_clock_is_noticed_once(step_wall_clock):
     monitor = clock.WallClockMonitor()
-    assert monitor.step() == 0.0
+    assert monitor.detect_step() == 0.0
     step_wall_clock(-HOUR)
-    assert monitor.step() == pytest.approx(-HOUR, abs=1.0)
-    assert monitor.step() == 0.0
+    assert monitor.detect_step() == pytest.approx(-HOUR, abs=1.0)
+    assert monitor.detect_step() == 0.0
 
 
 def test_a_second_reactor_is_refused(monkeypatch):
-    monkeypatch.setitem(sys.modules, clock.INSTALLED, object())
+    monkeypatch.setitem(sys.modules, clock.REACTOR_MODULE, object())
     with pytest.raises(RuntimeError, match="wall clock"):
         clock.install_reactor()
 
