--- a/tansycrank/clock.py
+++ b/tansycrank/clock.py
@@ -15,7 +15,7 @@
 from twisted.internet import epollreactor
 from twisted.internet.main import installReactor
 
-from tansycrank.listening import Port
+from tansycrank.listening import PausingPort
 from tansycrank.outgoing_transport import CheckedConnector
 
 REACTOR_MODULE = "twisted.internet.reactor"  # where Twisted keeps the process's reactor
@@ -106,12 +106,12 @@
         connector.connect()
         return connector
 
-    def listenTCP(self, port, factory, backlog=50, interface="") -> Port:
-        """Listen on a `Port`, which loses no connection while descriptors are missing.
+    def listenTCP(self, port, factory, backlog=50, interface="") -> PausingPort:
+        """Listen on a `PausingPort`, which loses no connection while descriptors are missing.
 
         Raise CannotListenError where the address is taken.
         """
-        created = Port(port, factory, backlog, interface, self)
+        created = PausingPort(port, factory, backlog, interface, self)
         created.startListening()
         return created
 
--- a/tansycrank/http_router/http_server.py
+++ b/tansycrank/http_router/http_server.py
@@ -164,7 +164,7 @@
         if self.port is None:
             return None
         if (stalled := self.overslept()) > MIN_STALL:
-            self.port.note_waiting(self.now - stalled)
+            self.port.record_waiting(self.now - stalled)
         return self.port.waiting_since
 
     def _resume_accepting(self) -> None:
@@ -173,7 +173,7 @@
         if self._is_full():
             self.reactor.callLater(RESUME_ACCEPT_AFTER, self._resume_accepting)
         else:
-            self.port.note_waiting(self._paused_at)
+            self.port.record_waiting(self._paused_at)
             self.port.startReading()
 
     # --- maintenance and shutdown -----------------------------------------------------
@@ -193,7 +193,7 @@
         before, self.port.numberAccepts = self.counts["accepted"], room
         if room > 0:
             self.port.doRead()
-        return room > 0 and self.counts["accepted"] - before < room and not self.port.starved
+        return room > 0 and self.counts["accepted"] - before < room and not self.port.accept_failed
 
     def stop_admitting(self) -> None:
         """Reject what was read and not admitted, and all that is read from now on."""
--- a/tansycrank/listening.py
+++ b/tansycrank/listening.py
@@ -53,11 +53,11 @@
             raise
 
 
-class Port(tcp.Port):
+class PausingPort(tcp.Port):
     """A listening port of the reactor that pauses after a failed `accept`."""
 
     @property
-    def starved(self) -> bool:
+    def accept_failed(self) -> bool:
         """Whether a connection may wait that the system did not let this process accept."""
         return self.socket.failed
 
@@ -74,7 +74,7 @@
             self._waiting_since = None
         return self._waiting_since
 
-    def note_waiting(self, since: float) -> None:
+    def record_waiting(self, since: float) -> None:
         """Note that connections wait in the system's queue, unless that is known."""
         if self.waiting_since is None:
             self._waiting_since, self._times_drained = since, self.socket.times_drained
@@ -88,8 +88,8 @@
     def doRead(self) -> None:
         """Accept the waiting connections; pause if the system refuses one."""
         super().doRead()
-        if self.connected and self.starved:
-            self.note_waiting(self.reactor.seconds())
+        if self.connected and self.accept_failed:
+            self.record_waiting(self.reactor.seconds())
             self.stopReading()
             self.reactor.callLater(ACCEPT_RETRY_SECONDS, self._resume_accepting)
 
--- a/tests/http_router/live.py
+++ b/tests/http_router/live.py
@@ -234,10 +234,10 @@
     """The listening port, as far as a full router uses it."""
 
     reading = True
-    starved = False
+    accept_failed = False
     waiting_since = None
 
-    def note_waiting(self, since):
+    def record_waiting(self, since):
         self.waiting_since = since
 
     def stopReading(self):
