--- a/tansycrank/http_router/connection_pool.py
+++ b/tansycrank/http_router/connection_pool.py
@@ -14,7 +14,7 @@
 from tansycrank.lifecycle import Attempt
 from tansycrank.pending_notifications import PendingNotifications
 from tansycrank.routing import Outcome
-from tansycrank.single_connection import OneConnection
+from tansycrank.single_connection import SingleConnectionFactory
 
 IDLE_SHARE = 0.8  # of the time after which a node closes an idle connection
 REVOKED_FRAME_LIMIT_SECONDS = 0.1
@@ -187,7 +187,7 @@
         target.connections.add(connection)
         self.connections.add(connection)
         self.connections_opened += 1
-        factory = OneConnection(connection, connection.on_closed)
+        factory = SingleConnectionFactory(connection, connection.on_closed)
         connection.connector = self.reactor.connectTCP(
             target.host, target.port, factory, timeout=self._limits.connect_timeout
         )
--- a/tansycrank/http_router/discovery_client.py
+++ b/tansycrank/http_router/discovery_client.py
@@ -11,7 +11,7 @@
 )
 from tansycrank.http_router.settings import EndpointListDocument
 from tansycrank.pending_notifications import read_available
-from tansycrank.single_connection import OneConnection
+from tansycrank.single_connection import SingleConnectionFactory
 
 POLL_PATH = "/api/targets"
 WATCH_PATH = "/api/targets?watch=1&after="
@@ -125,7 +125,7 @@
 
     def _start(self, kind: ExchangeKind) -> DiscoveryExchange:
         exchange = DiscoveryExchange(self._reactor, kind, self._request(kind), self)
-        factory = OneConnection(exchange, exchange.connectionLost)
+        factory = SingleConnectionFactory(exchange, exchange.connectionLost)
         exchange.connector = self._reactor.connectTCP(
             self.host, self.port, factory, timeout=EXCHANGE_TIMEOUT_SECONDS
         )
--- a/tansycrank/single_connection.py
+++ b/tansycrank/single_connection.py
@@ -8,7 +8,7 @@
 from twisted.python.failure import Failure
 
 
-class OneConnection(ClientFactory):
+class SingleConnectionFactory(ClientFactory):
     """Connects one protocol, once; `failed` is called if the connection cannot be made."""
 
     noisy = False
--- a/tansycrank/sql_router/connection_pool.py
+++ b/tansycrank/sql_router/connection_pool.py
@@ -12,7 +12,7 @@
 from tansycrank.merge.blocks import ShardRowStream
 from tansycrank.pending_notifications import PendingNotifications
 from tansycrank.routing import Outcome
-from tansycrank.single_connection import OneConnection
+from tansycrank.single_connection import SingleConnectionFactory
 from tansycrank.sql_router.node_connection import (
     AttemptResult,
     ConnectionState,
@@ -245,7 +245,7 @@
                 node.waiting.pop(0).finish(AttemptResult(refused_outcome(refusal), error=refusal))
 
         connection.on_ready, connection.on_lost = ready, lost
-        factory = OneConnection(connection, connection.on_connect_failed)
+        factory = SingleConnectionFactory(connection, connection.on_connect_failed)
         self.reactor.connectTCP(
             node.host, node.port, factory, timeout=self.store.connect_timeout_ms / 1000
         )
--- a/tansycrank/sql_router/node_connection.py
+++ b/tansycrank/sql_router/node_connection.py
@@ -26,7 +26,7 @@
     ProtocolError,
 )
 from tansycrank.routing import Outcome
-from tansycrank.single_connection import OneConnection
+from tansycrank.single_connection import SingleConnectionFactory
 
 READ_AT_ONCE = 16 * 1024  # bytes
 REQUEST_KEY = "tansycrank.request_key"
@@ -257,7 +257,7 @@
             self._cancel_open = True
             peer = self.transport.getPeer()
             canceller = _Canceller(self.key, self._cancel_closed)
-            factory = OneConnection(canceller, canceller.connectionLost)
+            factory = SingleConnectionFactory(canceller, canceller.connectionLost)
             self.reactor.connectTCP(peer.host, peer.port, factory, timeout=self.cancel_grace)
 
     def abort(self) -> None:
