--- a/tansycrank/http_router/settings.py
+++ b/tansycrank/http_router/settings.py
@@ -3,7 +3,7 @@
 Also the times of a shutdown and the shares of the descriptors.
 
 The `settings` object of the configuration has the simulator's names and is read by
-`operator_settings.settings_from`.
+`operator_settings.parse_settings`.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 import msgspec
 
 from tansycrank import routing
-from tansycrank.operator_settings import settings_from
+from tansycrank.operator_settings import parse_settings
 
 # Times of a shutdown, and shares of the descriptors.
 LONGEST = 3_000.0  # ms: a longer deadline counts as this where the platform times a restart
@@ -163,7 +163,7 @@
     """Check a configuration; every fault is a ConfigError that names its place."""
     try:
         file = msgspec.json.decode(raw, type=_File)
-        module = settings_from(bytes(file.settings).decode())
+        module = parse_settings(bytes(file.settings).decode())
     except (ValueError, TypeError) as problem:
         raise ConfigError(f"NODE_CONFIG: {problem}") from problem
     try:
--- a/tansycrank/operator_settings.py
+++ b/tansycrank/operator_settings.py
@@ -69,7 +69,7 @@
 )
 
 
-def settings_from(info: str) -> routing.Settings:
+def parse_settings(info: str) -> routing.Settings:
     """Read the settings object from its JSON text.
 
     Raises ValueError, which names the path of what is missing or out of range.
--- a/tansycrank/simulator_adapter.py
+++ b/tansycrank/simulator_adapter.py
@@ -54,7 +54,7 @@
         self._routers.pop(instance, None)
         try:
             self._routers[instance] = RoutingPolicy(
-                operator_settings.settings_from(record.info), record.seed
+                operator_settings.parse_settings(record.info), record.seed
             )
         except (ValueError, TypeError) as error:
             self._break(instance, str(error), actions)
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -210,17 +210,17 @@
 
 
 def test_settings_are_read_and_a_missing_key_is_named():
-    cfg = operator_settings.settings_from(json.dumps(INFO))
+    cfg = operator_settings.parse_settings(json.dumps(INFO))
     assert cfg.budget_window is None and cfg.classes[0].follow_up == 5 and not cfg.polls_discovery
     for table, key in (("rules", "coldFrom"), ("caps", "openCap"), ("familyInfo", "slabs")):
         broken = json.loads(json.dumps(INFO))
         del broken[table][key]
         with pytest.raises(ValueError, match=f"settings.{table}.{key}"):
-            operator_settings.settings_from(json.dumps(broken))
+            operator_settings.parse_settings(json.dumps(broken))
     broken = json.loads(json.dumps(INFO))
     del broken["services"][0]["aim"]
     with pytest.raises(ValueError, match=r"settings.services\[0\].aim"):
-        operator_settings.settings_from(json.dumps(broken))
+        operator_settings.parse_settings(json.dumps(broken))
 
 
 def test_host_serves_several_instances_and_ends_quietly():
