--- a/tansycrank/http_router/coordinator.py
+++ b/tansycrank/http_router/coordinator.py
@@ -94,7 +94,7 @@
         self.queries[request.id] = self._by_number[query.id] = query
         self.in_flight += query.size
         self.counts["taken"] += 1
-        self.loop.handle(*events)
+        self.loop.enqueue(*events)
         return query
 
     def _check_may_accept(self, request: QueryRequest) -> None:
@@ -153,7 +153,7 @@
             self.counts["left"] += 1
             self.lifecycle.abandon(query.life, self.loop.now)
             self._end(query)
-            self.loop.handle(routing.QueryCancelled(query.id))
+            self.loop.enqueue(routing.QueryCancelled(query.id))
 
     def reject(self, query: ActiveQuery, reason: FailureReason) -> None:
         """Answer a query that the policy does not end.
@@ -165,7 +165,7 @@
             self._reject(routing.Reject(query.id, retry_after, reason))
         else:
             self._fail(routing.Fail(query.id, reason))
-        self.loop.handle(routing.QueryCancelled(query.id))
+        self.loop.enqueue(routing.QueryCancelled(query.id))
 
     def reject_all(self, reason: FailureReason) -> None:
         """Reject or fail all open queries."""
@@ -258,7 +258,7 @@
         if event.outcome is routing.Outcome.SUCCEEDED and shard_request.value is None:
             shard_request.value = value
             self._revoke(shard_request)
-        self.loop.handle(event)
+        self.loop.enqueue(event)
         if query.has_ended:
             self._forget(shard_request)
 
@@ -271,7 +271,7 @@
                 OutgoingCall.never_sent(shard_request.name, shard_request.shard)
             )
         self.outcomes[routing.Outcome.NOT_SENT.value] += 1
-        self.loop.handle(
+        self.loop.enqueue(
             routing.AttemptEnded(
                 action.shard_request,
                 number,
@@ -347,7 +347,7 @@
         for entry in event.entries:
             if entry.status is routing.EndpointStatus.DRAINING:
                 self.pool.revoke_unsent(entry.endpoint)
-        self.loop.handle(event)
+        self.loop.enqueue(event)
 
     def _on_violation(self, violation: Violation) -> None:
         self.log(
--- a/tansycrank/http_router/daemon.py
+++ b/tansycrank/http_router/daemon.py
@@ -212,7 +212,7 @@
     def on_discovery_failure(self) -> None:
         """Tell the policy that a call to discovery, or its watch, has ended."""
         self.discovery_failures += 1
-        self.coordinator.loop.handle(routing.EndpointListUpdate(routing.EndpointListKind.FAILED))
+        self.coordinator.loop.enqueue(routing.EndpointListUpdate(routing.EndpointListKind.FAILED))
         if self.settings.module.polls_discovery:
             self._ready()
 
@@ -297,12 +297,12 @@
             steps=loop.steps,
             discovery_failures=self.discovery_failures,
             unusable_last=self.server.latest,
-            late_ms=round(loop.latest, 1),
+            late_ms=round(loop.max_timer_lateness, 1),
             **self.stalls.report(),
             cpu_s=round(usage.ru_utime + usage.ru_stime, 2),
             rss_mb=round(usage.ru_maxrss / 1024, 1),
         )
-        loop.latest = 0.0
+        loop.max_timer_lateness = 0.0
 
 
 def main() -> int:
--- a/tansycrank/policy_event_loop.py
+++ b/tansycrank/policy_event_loop.py
@@ -36,7 +36,7 @@
         self.after = after
         self.policy = RoutingPolicy(settings, seed)
         self.steps = 0
-        self.latest = 0.0  # ms: largest lateness of a timer since this was last read
+        self.max_timer_lateness = 0.0  # ms: largest lateness of a timer since this was last read
         self._acts = {**acts, routing.SetTimer: self._set_timer}
         self._events: list[routing.Event] = []
         self._pending_step = self._timer = None
@@ -48,7 +48,7 @@
         """Milliseconds of the reactor's clock."""
         return self.reactor.seconds() * 1000
 
-    def handle(self, *events: routing.Event) -> None:
+    def enqueue(self, *events: routing.Event) -> None:
         """Queue events for the step that the next reactor turn takes."""
         self._events.extend(events)
         if self._pending_step is None:
@@ -87,5 +87,5 @@
 
     def _on_timer(self, token: int, due: float) -> None:
         self._timer = None
-        self.latest = max(self.latest, self.now - due)
-        self.handle(routing.TimerExpired(token))
+        self.max_timer_lateness = max(self.max_timer_lateness, self.now - due)
+        self.enqueue(routing.TimerExpired(token))
--- a/tansycrank/sql_router/coordinator.py
+++ b/tansycrank/sql_router/coordinator.py
@@ -130,7 +130,7 @@
 
     def start(self) -> None:
         """Start: the policy asks for the endpoint list."""
-        self.loop.handle()
+        self.loop.enqueue()
 
     def stop(self) -> None:
         """No more steps; open queries have been answered before."""
@@ -154,7 +154,7 @@
         self._ids += 1
         query_id = number = self._ids
         shard_requests = []
-        self.loop.handle(
+        self.loop.enqueue(
             routing.QueryArrived(
                 query_id, number, query_class, remaining, len(requests), repeat=repeat
             )
@@ -180,7 +180,7 @@
             shard_request = ShardRequest(self._ids, request)
             shard_requests.append(shard_request)
             self._shard_requests[shard_request.id] = query, shard_request
-            self.loop.handle(
+            self.loop.enqueue(
                 routing.ShardRequestArrived(
                     shard_request.id, number, request.shard, 1 / len(requests)
                 )
@@ -194,14 +194,14 @@
         if query.ended:
             return
         self.counts["cancelled"] += 1
-        self.loop.handle(routing.QueryCancelled(query.id))
+        self.loop.enqueue(routing.QueryCancelled(query.id))
         self.lifecycle.abandon(query.lifecycle_request, self.now)
         self._forget(query, error or cancelled())
 
     def handle_endpoint_list(self, event: routing.EndpointListUpdate) -> None:
         """Apply an endpoint list: nothing starts any more at an endpoint that is not in service."""
         self.lifecycle.update_endpoints(event)
-        self.loop.handle(event)
+        self.loop.enqueue(event)
 
     def _broken(self, error: Exception) -> None:
         """The policy raised an error: answer all open queries."""
@@ -251,7 +251,7 @@
         """End a send that was not allowed; the policy counts it among the attempts of its part."""
         shard_request.lifecycle_attempts.append(None)
         shard_request.attempts.append(OutgoingCall.never(action.endpoint, shard_request.request))
-        self.loop.handle(
+        self.loop.enqueue(
             routing.AttemptEnded(
                 shard_request.id, number, action.endpoint, routing.Outcome.NOT_SENT, 0.0
             )
@@ -270,7 +270,7 @@
                     shard_request.answer, stream.committed = stream, True
                     call.untimed()
                     latency = self.now - shard_request.sent_at[number]
-                    self.loop.handle(
+                    self.loop.enqueue(
                         routing.ResponseStarted(shard_request.id, number, call.endpoint, latency)
                     )
 
@@ -287,7 +287,7 @@
         stream = (
             shard_request.attempts[number].stream if number < len(shard_request.attempts) else None
         )
-        self.loop.handle(
+        self.loop.enqueue(
             routing.AttemptEnded(shard_request.id, number, endpoint, result.outcome, latency)
         )
         query.attempt_history.append(
@@ -298,7 +298,7 @@
             self._stream_ended(query, stream, result)
         elif answered and not query.ended and shard_request.answer is None:
             if result.error is not None:  # the query's own fault: its client hears it at once
-                self.loop.handle(routing.QueryCancelled(query.id))
+                self.loop.enqueue(routing.QueryCancelled(query.id))
                 self._end(query, result.error)
             else:
                 shard_request.answer, shard_request.oids = stream, result.oids
@@ -322,12 +322,12 @@
         )
         stream.finish(problem)
         if not query.ended:
-            self.loop.handle(routing.QueryCancelled(query.id))
+            self.loop.enqueue(routing.QueryCancelled(query.id))
             self._end(query, problem)
 
     def _no_memory(self, query: RoutedQuery, problem: PgError) -> None:
         if not query.ended:
-            self.loop.handle(routing.QueryCancelled(query.id))
+            self.loop.enqueue(routing.QueryCancelled(query.id))
             self._end(query, problem)
         else:  # its rows are on their way out
             for shard_request in query.shard_requests:
--- a/tests/http_router/test_given_up.py
+++ b/tests/http_router/test_given_up.py
@@ -62,7 +62,7 @@
     live.ask(post(path="/book", deadline=2000))
     live.sent()
     live.daemon.coordinator.loop.stop()
-    live.daemon.coordinator.loop.handle = lambda *events: None
+    live.daemon.coordinator.loop.enqueue = lambda *events: None
     live.run(live.daemon.settings.stop_within / 1000 - 1.0 + 0.1)
 
 
