--- a/tests/http_router/live.py
+++ b/tests/http_router/live.py
@@ -13,7 +13,7 @@
 
 START = 1_700_000_000.0  # s; nodes' starts are told on the same clock
 
-TOLD = {
+OPERATOR_SETTINGS = {
     "caps": {
         "attemptsCap": 3,
         "cancel": True,
@@ -101,7 +101,7 @@
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 128},
         "known": {"version": 4, "full": True, "servers": [entry(n) for n in servers]},
-        "settings": TOLD,
+        "settings": OPERATOR_SETTINGS,
     }
     return json.dumps(told | more).encode()
 
@@ -162,7 +162,7 @@
         return written
 
 
-def parts_of(call):
+def parse_shard_requests(call):
     """The parts of a call, as a node reads them: (id, shard, ms, text)."""
     shard_requests = []
     while call:
@@ -192,20 +192,20 @@
     def refuse(self):
         self.factory.clientConnectionFailed(None, Failure(ConnectionRefusedError()))
 
-    def calls(self):
+    def take_shard_requests(self):
         """The parts sent since this was last asked: (id, shard, ms, text)."""
         data, shard_requests = self.transport.take(), []
-        self.given_up = []
+        self.cancelled_ids = []
         while data:
             size = int.from_bytes(data[:4], "little")
             letter, rest, data = data[4:5], data[5 : 4 + size], data[4 + size :]
             if letter == b"X":
-                self.given_up.append(rest.decode())
+                self.cancelled_ids.append(rest.decode())
                 continue
-            shard_requests += parts_of(rest)
+            shard_requests += parse_shard_requests(rest)
         return shard_requests
 
-    def say(self, data):
+    def send(self, data):
         self.protocol.dataReceived(data)
 
 
@@ -253,7 +253,7 @@
         pass
 
 
-class Live:
+class RouterHarness:
     """The daemon and the far ends of its connections."""
 
     def __init__(self, raw=None, environ=None):
@@ -288,20 +288,24 @@
         protocol.makeConnection(transport)
         return protocol, transport
 
-    def ask(self, data, client=None):
+    def send_request(self, data, client=None):
         """A client sends this; returns its transport."""
         protocol, transport = client or self.client()
         protocol.dataReceived(data)
         self.run(0)
         return transport
 
-    def sent(self):
+    def take_shard_requests(self):
         """All parts sent to nodes since this was last asked: (peer, id, shard)."""
         self.run(0)
         for peer in self.nodes:
             if peer.transport is None:
                 peer.accept()
-        return [(peer, id, shard) for peer in self.nodes for id, shard, _, _ in peer.calls()]
+        return [
+            (peer, id, shard)
+            for peer in self.nodes
+            for id, shard, _, _ in peer.take_shard_requests()
+        ]
 
 
 def status(written):
--- a/tests/http_router/real.py
+++ b/tests/http_router/real.py
@@ -18,7 +18,7 @@
 import time
 from pathlib import Path
 
-from live import TOLD, answer, config, entry, parts_of
+from live import OPERATOR_SETTINGS, answer, config, entry, parse_shard_requests
 
 from tansycrank.testbed.ports import ReservedPort
 
@@ -101,7 +101,7 @@
         if letter == b"X":
             self.given_up.append(rest.decode())
             return
-        for id, _, wait, text in parts_of(rest):
+        for id, _, wait, text in parse_shard_requests(rest):
             self.shard_requests.append((connection, id))
             self.waits[id] = wait
             if self.serves:
@@ -183,7 +183,7 @@
         self.nodes, self.discovery, self.cells = nodes, DiscoveryClient(), cells
         self.reserved = ReservedPort()
         self.port = self.reserved.number
-        settings = json.loads(json.dumps(TOLD))
+        settings = json.loads(json.dumps(OPERATOR_SETTINGS))
         for group, more in (told or {}).items():
             if group == "services":
                 for service in settings["services"]:
--- a/tests/http_router/test_belief.py
+++ b/tests/http_router/test_belief.py
@@ -4,7 +4,7 @@
 
 import random
 
-from live import Live, answer, entry, post
+from live import RouterHarness, answer, entry, post
 from test_discovery import HEAD, line
 
 
@@ -24,13 +24,15 @@
 
 
 def test_parts_out_and_times_agree_with_the_links():
-    live, rng = Live(), random.Random(5)
+    live, rng = RouterHarness(), random.Random(5)
     live.discovery[0].refuse()
     open_parts, sent_at = [], {}
     for n in range(300):
         if rng.random() < 0.6:
-            live.ask(post(id=f"r{n}", shards=((n % 9, 0.5), ((n + 1) % 9, 0.5)), deadline=1900))
-        for peer, id, _ in live.sent():
+            live.send_request(
+                post(id=f"r{n}", shards=((n % 9, 0.5), ((n + 1) % 9, 0.5)), deadline=1900)
+            )
+        for peer, id, _ in live.take_shard_requests():
             open_parts.append((peer, id))
             sent_at[id] = live.reactor.seconds()
         believed, held = out(live)
@@ -39,7 +41,7 @@
             peer, id = open_parts.pop(rng.randrange(len(open_parts)))
             if not peer.transport.over:
                 kind = rng.random()
-                peer.transport.end() if kind < 0.05 else peer.say(
+                peer.transport.end() if kind < 0.05 else peer.send(
                     answer(id, "err" if kind < 0.1 else "ok")
                 )
         live.run(0.005)
@@ -50,11 +52,11 @@
 
 
 def test_took_is_the_time_between_write_and_answer():
-    live = Live()
-    live.ask(post())
-    [(peer, id, _)] = live.sent()
+    live = RouterHarness()
+    live.send_request(post())
+    [(peer, id, _)] = live.take_shard_requests()
     live.run(0.03)
-    peer.say(answer(id))
+    peer.send(answer(id))
     live.run(0)
     assert (
         25.0
@@ -66,23 +68,23 @@
 
 
 def test_nothing_is_kept_of_thousands_of_clients_queries_and_nodes():
-    live = Live()
+    live = RouterHarness()
     watch = live.discovery[0].accept()
-    watch.say(HEAD)
+    watch.send(HEAD)
     for n in range(1500):
         client = live.client()
-        live.ask(post(id=f"r{n}", shards=((n % 9, 1.0),)), client)
-        for peer, id, _ in live.sent():
-            peer.say(answer(id))
+        live.send_request(post(id=f"r{n}", shards=((n % 9, 1.0),)), client)
+        for peer, id, _ in live.take_shard_requests():
+            peer.send(answer(id))
         live.run(0)
         client[1].end()
         live.nodes = [peer for peer in live.nodes if not peer.transport.over]
         if n % 10 == 0:
             old, new = n // 10 + 1, n // 10 + 4
             replaced = entry(new, addr=f"127.0.1.{new % 250 + 1}:7070")
-            watch.say(line(5 + n, replaced, entry(old, "terminated")))
+            watch.send(line(5 + n, replaced, entry(old, "terminated")))
             live.run(1.0)
-            watch.say(b"1\r\n\n\r\n")
+            watch.send(b"1\r\n\n\r\n")
     live.run(3)
     coordinator, router = live.daemon.coordinator, live.daemon.coordinator.loop.policy
     assert coordinator.counts["taken"] == 1500
--- a/tests/http_router/test_discovery.py
+++ b/tests/http_router/test_discovery.py
@@ -4,7 +4,7 @@
 
 import msgspec
 import pytest
-from live import START, TOLD, Live, answer, config, entry, post, status
+from live import OPERATOR_SETTINGS, START, RouterHarness, answer, config, entry, post, status
 from twisted.internet.error import ConnectionDone, ConnectionLost
 from twisted.python.failure import Failure
 
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def live():
-    live = Live()
+    live = RouterHarness()
     live.watch = live.discovery[0].accept()
     return live
 
@@ -46,21 +46,21 @@
 
 
 def test_changes_reach_the_module_and_drained_nodes_get_nothing(live):
-    live.watch.say(HEAD + line(5, entry(1, "terminating"), entry(2, "terminated")))
+    live.watch.send(HEAD + line(5, entry(1, "terminating"), entry(2, "terminated")))
     live.run(0)
     assert states(live) == {
         1: routing.EndpointStatus.DRAINING,
         3: routing.EndpointStatus.IN_SERVICE,
     }
     for n in range(6):
-        live.ask(post(id=f"r{n}"))
-    assert {peer.host for peer, _, _ in live.sent()} == {"127.0.0.3"}
+        live.send_request(post(id=f"r{n}"))
+    assert {peer.host for peer, _, _ in live.take_shard_requests()} == {"127.0.0.3"}
 
 
 def test_a_whole_list_says_who_is_gone_and_one_cut_anywhere_is_read(live):
     data = HEAD + line(9, entry(2), entry(4), full=True)
     for at in range(0, len(data), 7):
-        live.watch.say(data[at : at + 7])
+        live.watch.send(data[at : at + 7])
     live.run(0)
     assert states(live) == {
         2: routing.EndpointStatus.IN_SERVICE,
@@ -69,27 +69,27 @@
 
 
 def test_an_older_list_brings_nobody_back(live):
-    live.watch.say(HEAD + line(9, entry(1, "terminated")))
-    live.watch.say(line(7, entry(1), entry(2), entry(3), full=True))
+    live.watch.send(HEAD + line(9, entry(1, "terminated")))
+    live.watch.send(line(7, entry(1), entry(2), entry(3), full=True))
     live.run(0)
     assert sorted(states(live)) == [2, 3]
 
 
 @pytest.mark.parametrize("end", ["refused", "reset", "503", "noise", "silent"])
 def test_a_watch_that_fails_is_asked_for_again(end):
-    live = Live()
+    live = RouterHarness()
     watch = live.discovery[0]
     if end == "refused":
         watch.refuse()
     else:
         watch.accept()
         if end == "reset":
-            watch.say(HEAD)
+            watch.send(HEAD)
             watch.transport.end()
         elif end == "503":
-            watch.say(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+            watch.send(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
         elif end == "noise":
-            watch.say(HEAD + chunk(b"{no json\n"))
+            watch.send(HEAD + chunk(b"{no json\n"))
         else:
             live.run(2.5)
     live.run(0.5)
@@ -103,7 +103,7 @@
     assert call.transport.take().startswith(b"GET /api/targets HTTP/1.1\r\n")
     told = {"version": 9, "full": True, "servers": [entry(2), entry(4)]}
     text = json.dumps(told, indent=1).encode() + b"\n"
-    call.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(text) + text)
+    call.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(text) + text)
     live.run(0)
     assert states(live) == {
         2: routing.EndpointStatus.IN_SERVICE,
@@ -113,28 +113,28 @@
 
 
 def test_beats_keep_a_watch(live):
-    live.watch.say(HEAD)
+    live.watch.send(HEAD)
     for _ in range(6):
         live.run(2.0)
-        live.watch.say(chunk(b"\n"))
+        live.watch.send(chunk(b"\n"))
     assert len(live.discovery) == 1
 
 
 def test_a_query_is_served_while_discovery_is_down():
-    live = Live()
+    live = RouterHarness()
     live.discovery[0].refuse()
-    transport = live.ask(post())
-    [(peer, id, _)] = live.sent()
-    peer.say(answer(id))
+    transport = live.send_request(post())
+    [(peer, id, _)] = live.take_shard_requests()
+    peer.send(answer(id))
     live.run(0)
     assert status(transport.take()) == 200
 
 
 def test_a_node_without_a_usable_address_harms_no_other(live):
-    live.watch.say(HEAD + line(5, entry(1, addr="nowhere"), entry(3, addr="127.0.0.33:7070")))
+    live.watch.send(HEAD + line(5, entry(1, addr="nowhere"), entry(3, addr="127.0.0.33:7070")))
     live.run(0)
-    live.ask(post(shards=((0, 0.5), (2, 0.5))))
-    assert live.sent()
+    live.send_request(post(shards=((0, 0.5), (2, 0.5))))
+    assert live.take_shard_requests()
 
 
 def test_numbers_are_kept_while_a_node_may_come_back_and_forgotten_after():
@@ -212,7 +212,7 @@
 
 
 BUDGET = {"extraFloor": 5, "repeatRatio": 0.05, "countedOver": 2000.0}
-WHOLE = config(settings=TOLD | {"rules": TOLD["rules"] | BUDGET})
+WHOLE = config(settings=OPERATOR_SETTINGS | {"rules": OPERATOR_SETTINGS["rules"] | BUDGET})
 
 
 @pytest.mark.parametrize(
@@ -268,9 +268,9 @@
     """The first line of an indented list is no malformed object."""
     body = indented(5, entry(1, "terminating")) + b"\n" + indented(6, entry(2), entry(4), full=True)
     pieces = [body[at : at + length] for at in range(0, len(body), length)]
-    live.watch.say(HEAD if framing == "chunked" else b"HTTP/1.1 200 OK\r\n\r\n")
+    live.watch.send(HEAD if framing == "chunked" else b"HTTP/1.1 200 OK\r\n\r\n")
     for piece in pieces:
-        live.watch.say(chunk(piece) if framing == "chunked" else piece)
+        live.watch.send(chunk(piece) if framing == "chunked" else piece)
     live.run(0)
     assert states(live) == {
         2: routing.EndpointStatus.IN_SERVICE,
@@ -290,28 +290,28 @@
     ],
 )
 def test_what_cannot_become_a_list_ends_the_watch(live, noise):
-    live.watch.say(HEAD + chunk(noise))
+    live.watch.send(HEAD + chunk(noise))
     live.run(0.5)
     assert len(live.discovery) == 2
 
 
 def test_an_object_without_an_end_is_bounded(live):
-    live.watch.say(HEAD + chunk(b'{"version": 5, "full": true, "servers": [\n'))
+    live.watch.send(HEAD + chunk(b'{"version": 5, "full": true, "servers": [\n'))
     for _ in range(70):
         if not live.watch.transport.over:
-            live.watch.say(chunk(b" " * 70 + b"0" * 60_000 + b",\n"))
+            live.watch.send(chunk(b" " * 70 + b"0" * 60_000 + b",\n"))
     live.run(0.5)
     assert len(live.discovery) == 2
 
 
 def test_a_trickle_that_ends_no_line_is_silence(live):
     """Bytes without an end of line do not count as a heartbeat."""
-    live.watch.say(HEAD)
+    live.watch.send(HEAD)
     for _ in range(14):
         live.run(0.25)
         if live.watch.protocol.ended:
             break
-        live.watch.say(chunk(b" "))
+        live.watch.send(chunk(b" "))
     assert live.watch.protocol.ended
     live.run(0.3)
     assert len(live.discovery) == 2
@@ -323,10 +323,10 @@
     live.run(0)
     nobody = b'{"version":9,"full":true,"servers":[]}'
     complete = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(nobody) + nobody
-    live.discovery[1].accept().say(complete)
+    live.discovery[1].accept().send(complete)
     live.run(0)
     assert len(live.discovery) == 3 and len(states(live)) == 3
-    live.discovery[2].accept().say(complete)
+    live.discovery[2].accept().send(complete)
     live.run(0)
     assert not states(live)
 
@@ -334,7 +334,7 @@
 def test_a_new_address_is_asked_at_once_while_the_old_one_is_waited_for(tmp_path):
     """The backoff of the old address does not delay the first request to the new one."""
     path = tmp_path / "config.json"
-    live = Live(environ={"NODE_CONFIG": str(path)})
+    live = RouterHarness(environ={"NODE_CONFIG": str(path)})
     for at in range(5):
         live.discovery[at].refuse()
         live.run(0.2 * 2**at)
@@ -346,7 +346,7 @@
     live.run(0)
     assert [peer.port for peer in live.discovery[asked:]] == [8600]
     watch = live.discovery[-1].accept()
-    watch.say(HEAD + line(5, entry(1, "terminated")))
+    watch.send(HEAD + line(5, entry(1, "terminated")))
     live.run(2.9)  # the lapsed wait for the old address opens no second watch
     assert len(live.discovery) == asked + 1 and 1 not in states(live)
 
@@ -359,7 +359,7 @@
     live.run(0)
     assert [peer.port for peer in live.discovery] == [8500, 8500, 8600, 8600]
     late = b'{"version":9,"full":true,"servers":[]}'
-    old.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(late) + late)
+    old.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(late) + late)
     live.run(0)
     assert len(states(live)) == 3
 
@@ -369,7 +369,7 @@
     live.daemon.discovery.poll_once()
     live.run(0)
     call = live.discovery[1].accept()
-    call.say(
+    call.send(
         b'HTTP/1.1 200 OK\r\n\r\n{"version":9,"full":true,"servers":[]}'.replace(
             b"[]", json.dumps([entry(2)]).encode()
         )
@@ -384,7 +384,9 @@
     live.daemon.discovery.poll_once()
     live.run(0)
     call = live.discovery[1].accept()
-    call.say(b'HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{"version":9,"full":true,"servers":[]}')
+    call.send(
+        b'HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{"version":9,"full":true,"servers":[]}'
+    )
     call.transport.end()
     live.run(0)
     assert len(states(live)) == 3 and live.daemon.discovery.poll is None
@@ -433,17 +435,17 @@
 
 def answer_poll(live, version, *servers):
     """Answer the open poll, if there is one, while the watch stays alive."""
-    live.watch.say(chunk(b"\n"))
+    live.watch.send(chunk(b"\n"))
     for peer in live.discovery[1:]:
         if peer.transport is None:
             body = json.dumps({"version": version, "full": True, "servers": servers}).encode()
-            peer.accept().say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
+            peer.accept().send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
 
 
 def test_the_list_of_a_discovery_that_lost_its_versions_is_believed_after_a_while(live):
     """Guards against routers that serve from a list of the past for good."""
-    live.watch.say(HEAD + line(40, entry(1), entry(2), full=True))
-    live.watch.say(line(3, entry(2), entry(3), full=True))
+    live.watch.send(HEAD + line(40, entry(1), entry(2), full=True))
+    live.watch.send(line(3, entry(2), entry(3), full=True))
     for _ in range(9):  # each half a second
         live.run(0.5)
         answer_poll(live, 3, entry(2), entry(3))
@@ -452,7 +454,7 @@
         live.run(0.5)
         answer_poll(live, 3, entry(2), entry(3))
     assert live.daemon.names.version == 3
-    live.watch.say(line(4, entry(2, "terminating")))  # and its changes are heard
+    live.watch.send(line(4, entry(2, "terminating")))  # and its changes are heard
     assert live.daemon.names.version == 4
     polls = len(live.discovery)
     live.run(2.0)
@@ -460,18 +462,18 @@
 
 
 def test_an_outdated_list_among_newer_ones_is_not_believed(live):
-    live.watch.say(HEAD + line(40, entry(1), entry(2), full=True))
+    live.watch.send(HEAD + line(40, entry(1), entry(2), full=True))
     for version in range(41, 51):
-        live.watch.say(line(3, entry(3), full=True))
+        live.watch.send(line(3, entry(3), full=True))
         live.run(1.0)
         answer_poll(live, version, entry(1), entry(2))
     assert live.daemon.names.version == 50
 
 
 def test_an_older_change_alone_is_never_believed(live):
-    live.watch.say(HEAD + line(40, entry(1), entry(2), full=True))
+    live.watch.send(HEAD + line(40, entry(1), entry(2), full=True))
     for _ in range(10):
-        live.watch.say(line(3, entry(1, "terminating")))
+        live.watch.send(line(3, entry(1, "terminating")))
         live.run(1.0)
     assert live.daemon.names.version == 40
     assert states(live)[1] is routing.EndpointStatus.IN_SERVICE
--- a/tests/http_router/test_endings.py
+++ b/tests/http_router/test_endings.py
@@ -8,7 +8,7 @@
 from hypothesis import settings as limits
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
-from live import TOLD, Live, answer, config, entry, frame, post
+from live import OPERATOR_SETTINGS, RouterHarness, answer, config, entry, frame, post
 from test_discovery import HEAD, line
 
 WINDOW, GRACE, NODES = 0.25, 0.1, 4  # s, s
@@ -26,15 +26,15 @@
     }
     for name, effect in CLASSES.items()
 ]
-FAMILY = TOLD["familyInfo"] | {
+FAMILY = OPERATOR_SETTINGS["familyInfo"] | {
     key: [value] * 3
     for key, value in (("followUp", 0), ("minShare", 1.0), ("shortWorth", 0.0), ("wholeAt", 1.0))
 }
-SETTINGS = TOLD | {
+SETTINGS = OPERATOR_SETTINGS | {
     "services": SERVICES,
     "familyInfo": FAMILY,
-    "caps": TOLD["caps"] | {"openCap": 1000},
-    "rules": TOLD["rules"] | {"stopSendingWithin": GRACE * 1000},
+    "caps": OPERATOR_SETTINGS["caps"] | {"openCap": 1000},
+    "rules": OPERATOR_SETTINGS["rules"] | {"stopSendingWithin": GRACE * 1000},
 }
 ANSWER = re.compile(
     rb"HTTP/1\.1 (\d+) [^\r]*\r\n(?:[^\r]+\r\n)*?Content-Length: (\d+)\r\n(?:[^\r]+\r\n)*\r\n"
@@ -57,14 +57,14 @@
 class Endings(RuleBasedStateMachine):
     def __init__(self):
         super().__init__()
-        self.live = Live(
+        self.live = RouterHarness(
             config(
                 settings=SETTINGS,
                 servers=range(1, NODES + 1),
                 limits={"sockets": 256, "memory_mb": 64},
             )
         )
-        self.live.discovery[0].accept().say(HEAD + line(5))
+        self.live.discovery[0].accept().send(HEAD + line(5))
         self.spoke = [self.live.discovery[0]]
         self.asked, self.clients, self.peers = {}, [], []
         self.told = {}  # by node: when it was told to go
@@ -86,7 +86,7 @@
         self.live.nodes = []
         for peer in self.peers:
             if peer.transport is not None:
-                for id, shard, wait, _ in peer.calls():
+                for id, shard, wait, _ in peer.take_shard_requests():
                     self.begun(peer, id.rpartition(".")[0], shard, wait)
                 if not peer.transport.stuck:
                     self.gone_out(peer)
@@ -237,7 +237,7 @@
         sent = {"half": complete[:-3], "spoilt": frame(b"A", b"\x91\x07\xfe")}.get(end, complete)
         # A node that left a frame half goes on with the rest of it before it says anything else.
         rest, peer.rest = getattr(peer, "rest", b""), complete[-3:] if end == "half" else b""
-        peer.say(rest + sent)
+        peer.send(rest + sent)
         self.look()
 
     @rule()
@@ -320,9 +320,9 @@
             return
         self.version += 1
         if watch not in self.spoke:
-            watch.say(HEAD)
+            watch.send(HEAD)
             self.spoke.append(watch)
-        watch.say(line(self.version, entry(node, state)))
+        watch.send(line(self.version, entry(node, state)))
         if state == "in_service":
             self.told.pop(node, None)
         else:
--- a/tests/http_router/test_given_up.py
+++ b/tests/http_router/test_given_up.py
@@ -5,7 +5,7 @@
 import json
 
 import pytest
-from live import Live, answer, entry, post, status
+from live import RouterHarness, answer, entry, post, status
 
 from tansycrank.http_router.failure_log import LINES_A_SECOND
 from tansycrank.routing import FailureReason
@@ -14,7 +14,7 @@
 @pytest.fixture
 def live(caplog):
     caplog.set_level("INFO", logger="tansycrank")
-    return Live()
+    return RouterHarness()
 
 
 def told(caplog):
@@ -33,25 +33,25 @@
         {"version": 5, "full": False, "servers": [entry(n, "terminating") for n in (1, 2, 3)]}
     )
     chunk = f"{len(line) + 1:x}\r\n{line}\n\r\n"
-    watch.say(f"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}".encode())
+    watch.send(f"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}".encode())
     live.run(0.02)
 
 
 def nobody_could_be_sent_to(live):
     drain_all(live)
-    live.ask(post())
+    live.send_request(post())
     live.run(1.0)
 
 
 def silent_to_the_end(live):
-    live.ask(post())
-    live.sent()
+    live.send_request(post())
+    live.take_shard_requests()
     live.run(2.5)
 
 
 def lost_after_it_was_sent(live):
-    live.ask(post(path="/book"))
-    [(peer, _, _)] = live.sent()
+    live.send_request(post(path="/book"))
+    [(peer, _, _)] = live.take_shard_requests()
     peer.transport.end()
     live.run(0)
 
@@ -59,8 +59,8 @@
 def out_when_the_router_stops_and_its_policy_sleeps(live):
     live.daemon.terminate()
     live.run(1.0)
-    live.ask(post(path="/book", deadline=2000))
-    live.sent()
+    live.send_request(post(path="/book", deadline=2000))
+    live.take_shard_requests()
     live.daemon.coordinator.loop.stop()
     live.daemon.coordinator.loop.handle = lambda *events: None
     live.run(live.daemon.settings.stop_within / 1000 - 1.0 + 0.1)
@@ -68,13 +68,13 @@
 
 def its_answers_are_not_read(live):
     protocol, _ = client = live.client()
-    live.ask(post(deadline=2000), client)
-    live.sent()
+    live.send_request(post(deadline=2000), client)
+    live.take_shard_requests()
     protocol.reject_pending()
 
 
 def a_fault_of_the_policy(live):
-    live.ask(post())
+    live.send_request(post())
     live.daemon.coordinator.loop.policy.step = None
     live.run(0.5)
 
@@ -100,9 +100,9 @@
 
 
 def test_what_is_served_is_given_no_reason(live, caplog):
-    transport = live.ask(post())
-    [(peer, id, _)] = live.sent()
-    peer.say(answer(id))
+    transport = live.send_request(post())
+    [(peer, id, _)] = live.take_shard_requests()
+    peer.send(answer(id))
     live.run(0)
     assert status(transport.take()) == 200
     assert not told(caplog) and not live.daemon.coordinator.failure_log.figures()
@@ -111,11 +111,11 @@
 def test_the_log_is_bounded_while_all_are_counted(live, caplog):
     drain_all(live)
     for number in range(20):
-        live.ask(post(id=f"q{number}"))
+        live.send_request(post(id=f"q{number}"))
     live.run(0.9)
     assert len(told(caplog)) == LINES_A_SECOND
     assert live.daemon.coordinator.failure_log.figures() == {"no_start": 20}
     live.run(1.0)
-    live.ask(post(id="later"))
+    live.send_request(post(id="later"))
     live.run(0.9)
     assert [request for request, *_ in told(caplog)][-1] == "later"
--- a/tests/http_router/test_node_connections.py
+++ b/tests/http_router/test_node_connections.py
@@ -4,7 +4,7 @@
 from helpers import Lives
 from hypothesis import given
 from hypothesis import strategies as st
-from live import Live, Peer, answer, frame, post
+from live import Peer, RouterHarness, answer, frame, post
 from twisted.internet.testing import MemoryReactorClock
 
 from tansycrank.http_router import frames
@@ -66,7 +66,7 @@
         at = len(self.reactor.tcpClients)
         self.send(*ids, **more)
         peer = self.peers[at].accept()
-        assert [id for id, *_ in peer.calls()] == list(ids)
+        assert [id for id, *_ in peer.take_shard_requests()] == list(ids)
         return peer
 
 
@@ -78,15 +78,15 @@
     node = Node()
     node.send(*(f"q.{n}" for n in range(6)))
     peers = [peer.accept() for peer in node.peers]
-    assert [len(peer.calls()) for peer in peers] == [4, 2]
+    assert [len(peer.take_shard_requests()) for peer in peers] == [4, 2]
 
 
 def test_a_call_takes_an_idle_connection_before_a_new_one():
     node = Node()
     first = node.up("a.1")
-    first.say(answer("a.1"))
+    first.send(answer("a.1"))
     node.send("b.1")
-    assert len(node.peers) == 1 and [id for id, *_ in first.calls()] == ["b.1"]
+    assert len(node.peers) == 1 and [id for id, *_ in first.take_shard_requests()] == ["b.1"]
     node.send("c.1")
     assert len(node.peers) == 2
 
@@ -106,7 +106,7 @@
     node = Node()
     node.send("a.1", time_out=500.0)
     node.reactor.advance(0.2)
-    [(_, _, wait, text)] = node.peers[0].accept().calls()
+    [(_, _, wait, text)] = node.peers[0].accept().take_shard_requests()
     assert wait == 300 and text == b"text"
 
 
@@ -120,7 +120,7 @@
 )
 def test_each_end_has_its_outcome(end, outcome):
     node = Node()
-    node.up("a.1").say(answer("a.1", end, report="x=7,y=0.61"))
+    node.up("a.1").send(answer("a.1", end, report="x=7,y=0.61"))
     assert node.ends["a.1"] == [(outcome, VALUE if end == "ok" else "", (7.0, 0.61))]
 
 
@@ -141,18 +141,18 @@
 def test_a_call_times_out_and_its_late_answer_is_ignored():
     node = Node()
     peer = node.up("a.1")
-    peer.say(answer("a.1", "busy")[:4])
+    peer.send(answer("a.1", "busy")[:4])
     node.reactor.advance(1.0)
     assert outcomes(node) == {"a.1": [Outcome.TIMED_OUT]}
     node = Node()
     peer = node.up("a.1", "a.2")
     [_sending] = node.send("b.1")
-    peer.say(answer("a.2"))
+    peer.send(answer("a.2"))
     node.reactor.advance(1.0)
-    peer.calls()
-    assert peer.given_up == ["a.1"]
+    peer.take_shard_requests()
+    assert peer.cancelled_ids == ["a.1"]
     assert outcomes(node)["a.1"] == [Outcome.TIMED_OUT]
-    peer.say(answer("a.1"))
+    peer.send(answer("a.1"))
     assert outcomes(node)["a.1"] == [Outcome.TIMED_OUT] and not peer.transport.over
 
 
@@ -185,7 +185,7 @@
     first, _second = node.send("a.1", "a.2")
     peer = node.peers[0].accept()
     node.reactor.advance(0.2)
-    peer.say(answer("a.2"))
+    peer.send(answer("a.2"))
     node.reactor.advance(0.2)
     node.pool.cancel(first)
     assert not peer.transport.over
@@ -196,7 +196,7 @@
     first, _ = node.send("a.1", "a.2")
     node.pool.cancel(first)
     peer = node.peers[0].accept()
-    assert [id for id, *_ in peer.calls()] == ["a.2"]
+    assert [id for id, *_ in peer.take_shard_requests()] == ["a.2"]
     assert outcomes(node) == {"a.1": [Outcome.NOT_SENT]}
 
 
@@ -206,8 +206,8 @@
     [sending] = node.send("a.1")
     peer = node.peers[at].accept()
     node.pool.cancel(sending)
-    peer.calls()
-    assert peer.given_up == ["a.1"] and outcomes(node) == {"a.1": [Outcome.CANCELLED]}
+    peer.take_shard_requests()
+    assert peer.cancelled_ids == ["a.1"] and outcomes(node) == {"a.1": [Outcome.CANCELLED]}
 
 
 SPOILT = {
@@ -228,7 +228,7 @@
 def test_a_malformed_answer_closes_the_connection_and_its_calls_are_lost(name):
     node = Node()
     peer = node.up("a.1", "a.2")
-    peer.say(SPOILT[name])
+    peer.send(SPOILT[name])
     assert outcomes(node) == {"a.1": [Outcome.CONNECTION_LOST], "a.2": [Outcome.CONNECTION_LOST]}
     assert peer.transport.over
 
@@ -236,7 +236,7 @@
 def test_a_stalled_frame_closes_the_connection():
     node = Node()
     peer = node.up("a.1")
-    peer.say(answer("a.1")[:-3])
+    peer.send(answer("a.1")[:-3])
     node.reactor.advance(0.6)
     node.pool.run_maintenance()
     assert outcomes(node) == {"a.1": [Outcome.CONNECTION_LOST]} and peer.transport.over
@@ -246,39 +246,39 @@
 def test_noise_after_a_valid_answer_closes_the_connection_and_keeps_the_answer(behind):
     node = Node()
     peer = node.up("a.1")
-    peer.say(answer("a.1") + behind)
+    peer.send(answer("a.1") + behind)
     assert outcomes(node) == {"a.1": [Outcome.SUCCEEDED]} and peer.transport.over
 
 
 def test_noise_behind_an_answer_while_others_wait_means_that_its_length_did_not_fit():
     node = Node()
-    node.up("a.1", "a.2").say(answer("a.1", value="0123") + b"zzzzzzzzz")
+    node.up("a.1", "a.2").send(answer("a.1", value="0123") + b"zzzzzzzzz")
     assert outcomes(node) == {"a.1": [Outcome.CONNECTION_LOST], "a.2": [Outcome.CONNECTION_LOST]}
 
 
 def test_a_second_copy_of_an_answer_does_no_harm():
     node = Node()
     peer = node.up("a.1")
-    peer.say(answer("a.1") + answer("a.1"))
+    peer.send(answer("a.1") + answer("a.1"))
     assert outcomes(node) == {"a.1": [Outcome.SUCCEEDED]} and not peer.transport.over
 
 
 def test_a_load_report_that_cannot_be_read_is_none():
     node = Node()
-    node.up("a.1").say(answer("a.1", report="%%%"))
+    node.up("a.1").send(answer("a.1", report="%%%"))
     assert node.ends["a.1"] == [(Outcome.SUCCEEDED, VALUE, ())]
 
 
 def test_a_frame_the_node_could_not_use_may_have_run():
     node = Node()
-    node.up("a.1").say(frame(b"E", b"bad"))
+    node.up("a.1").send(frame(b"E", b"bad"))
     assert outcomes(node) == {"a.1": [Outcome.CONNECTION_LOST]}
 
 
 def test_idle_connections_close_before_the_node_closes_them():
     node = Node()
     peer = node.up("a.1")
-    peer.say(answer("a.1"))
+    peer.send(answer("a.1"))
     node.reactor.advance(7.9)
     node.pool.run_maintenance()
     assert not peer.transport.over
@@ -294,7 +294,7 @@
     node.send("b.1")
     node.reactor.advance(0)
     assert outcomes(node) == {"b.1": [Outcome.CONNECT_FAILED]}
-    peer.say(answer("a.1"))
+    peer.send(answer("a.1"))
     assert outcomes(node)["a.1"] == [Outcome.SUCCEEDED] and peer.transport.over
 
 
@@ -320,16 +320,16 @@
 
 
 def test_every_send_ends_once_whatever_the_node_does():
-    live = Live()
+    live = RouterHarness()
     live.discovery[0].refuse()
     for n in range(4):
-        live.ask(post(id=f"r{n}", shards=((n, 0.5), (n + 4, 0.5))))
-    sent = live.sent()
+        live.send_request(post(id=f"r{n}", shards=((n, 0.5), (n + 4, 0.5))))
+    sent = live.take_shard_requests()
     for at, (peer, id, _) in enumerate(sent):
         if at % 3 == 0:
             peer.transport.end()
         elif at % 3 == 1 and not peer.transport.over:
-            peer.say(answer(id))
+            peer.send(answer(id))
     live.run(3)
     coordinator = live.daemon.coordinator
     assert sum(coordinator.outcomes.values()) == coordinator.counts["sends"]
@@ -346,9 +346,9 @@
     node.reactor.advance(0.02)
     assert outcomes(node) == {"a.1": [Outcome.CONNECT_FAILED], "a.2": [Outcome.CONNECT_FAILED]}
     late = node.peers[0].accept()
-    assert not late.calls()  # it never leaves: another attempt may be out by now
+    assert not late.take_shard_requests()  # it never leaves: another attempt may be out by now
     node.send("b.1", connect_within=60.0)
-    assert [id for id, *_ in late.calls()] == ["b.1"]
+    assert [id for id, *_ in late.take_shard_requests()] == ["b.1"]
     node.reactor.advance(0.2)
     assert "b.1" not in node.ends  # what was written is waited for
 
@@ -367,15 +367,15 @@
     node.send("b.1", connect_within=60.0)
     assert len(node.peers) == 2
     node.reactor.advance(0.07)
-    first.say(answer("a.1"))
+    first.send(answer("a.1"))
     node.send("c.1")
-    assert [id for id, *_ in first.calls()] == ["c.1"] and len(node.peers) == 2
+    assert [id for id, *_ in first.take_shard_requests()] == ["c.1"] and len(node.peers) == 2
 
 
 def stuck(node, *ids):
     """These sends are given to a socket whose system takes nothing more; its far end."""
     peer = node.up("first.1")
-    peer.say(answer("first.1"))
+    peer.send(answer("first.1"))
     peer.transport.stuck = True
     node.send(*ids)
     assert len(node.peers) == 1
@@ -388,7 +388,7 @@
     node.send("a.1")
     node.pool.revoke_unsent(1)
     assert outcomes(node) == {"a.1": [Outcome.NOT_SENT]}
-    assert not node.peers[0].accept().calls()
+    assert not node.peers[0].accept().take_shard_requests()
 
 
 def test_a_removed_endpoint_gets_no_call_that_waits_for_its_connection():
@@ -402,12 +402,12 @@
     node = Node(max_links=1)
     peer = stuck(node, "a.1")
     b, c = node.send("b.1")[0], node.send("c.1")[0]
-    assert [id for id, *_ in peer.calls()] == ["a.1"]
+    assert [id for id, *_ in peer.take_shard_requests()] == ["a.1"]
     node.pool.revoke(b)
     assert outcomes(node)["b.1"] == [Outcome.NOT_SENT] and not c.ended
     peer.transport.stuck = False
     peer.protocol.resumeProducing()
-    assert [id for id, *_ in peer.calls()] == ["c.1"]
+    assert [id for id, *_ in peer.take_shard_requests()] == ["c.1"]
 
 
 @pytest.mark.parametrize("end", ["withdraw", "cancel", "drain", "time out"])
@@ -449,7 +449,7 @@
     early = node.up("early.1")
     early.transport.stuck = True
     node.send("a.1")
-    assert [id for id, *_ in early.calls()] == ["a.1"]
+    assert [id for id, *_ in early.take_shard_requests()] == ["a.1"]
     node.send("b.1")
     early.transport.end()
     assert outcomes(node) == {
@@ -464,10 +464,10 @@
     node = Node()
     peer = node.up("a.1", "b.1")
     node.pool.cancel(peer.protocol.sent_calls[b"a.1"])
-    peer.say(answer("b.1"))
+    peer.send(answer("b.1"))
     node.send("a.1")
     assert len(node.peers) == 2
-    peer.say(answer("a.1", "busy"))
+    peer.send(answer("a.1", "busy"))
     assert outcomes(node)["a.1"] == [Outcome.CANCELLED]
 
 
@@ -481,7 +481,7 @@
     else:
         peer = stuck(node, *(["b.1"] if waits == "behind another frame" else []))
         node.send("a.1", leave_within=90.0)
-        assert [id for id, *_ in peer.calls()] == (
+        assert [id for id, *_ in peer.take_shard_requests()] == (
             ["b.1"] if waits == "behind another frame" else ["a.1"]
         )
     node.reactor.advance(0.08)
@@ -494,14 +494,14 @@
         peer = peer or node.peers[0].accept()
         peer.transport.stuck = False
         peer.protocol.resumeProducing()
-        assert not peer.calls()
+        assert not peer.take_shard_requests()
 
 
 def test_a_call_that_left_in_time_is_waited_for_beyond_its_transmit_limit():
     node = Node()
     peer = node.up("a.1", leave_within=90.0)
     node.reactor.advance(0.2)
-    peer.say(answer("a.1"))
+    peer.send(answer("a.1"))
     assert outcomes(node) == {"a.1": [Outcome.SUCCEEDED]} and not node.reactor.getDelayedCalls()
 
 
--- a/tests/http_router/test_size.py
+++ b/tests/http_router/test_size.py
@@ -7,7 +7,7 @@
 import tracemalloc
 
 import pytest
-from live import TOLD, Live, answer, config, entry, post, status
+from live import OPERATOR_SETTINGS, RouterHarness, answer, config, entry, post, status
 from test_discovery import HEAD, line
 
 from tansycrank import routing
@@ -22,7 +22,7 @@
 
 
 def large(nodes=SIZE, **more):
-    told = copy.deepcopy(TOLD)
+    told = copy.deepcopy(OPERATOR_SETTINGS)
     told["replicasOfMe"] = SIZE
     told["caps"]["openCap"] = 200
     told["familyInfo"] |= {"positions": SIZE, "slabs": 3 * SIZE}
@@ -32,19 +32,21 @@
 
 
 def served(live, id, shards):
-    transport = live.ask(post(id=id, shards=[(shard, 1 / len(shards)) for shard in shards]))
+    transport = live.send_request(
+        post(id=id, shards=[(shard, 1 / len(shards)) for shard in shards])
+    )
     for _ in range(3):
-        for peer, shard_request, _ in live.sent():
-            peer.say(answer(shard_request))
+        for peer, shard_request, _ in live.take_shard_requests():
+            peer.send(answer(shard_request))
         live.run(0)
     return status(transport.take())
 
 
 @pytest.fixture
 def live():
-    live = Live(large())
+    live = RouterHarness(large())
     live.watch = live.discovery[0].accept()
-    live.watch.say(HEAD)
+    live.watch.send(HEAD)
     return live
 
 
@@ -58,7 +60,7 @@
 
 
 def test_a_whole_list_of_as_many_new_nodes_is_taken(live):
-    live.watch.say(line(5, *(node(n) for n in range(SIZE, 2 * SIZE)), full=True))
+    live.watch.send(line(5, *(node(n) for n in range(SIZE, 2 * SIZE)), full=True))
     live.run(0)
     router = live.daemon.coordinator.loop.policy
     assert (
@@ -79,7 +81,7 @@
     taken = []
     for found in (small, big):
         tracemalloc.start()
-        live = Live()
+        live = RouterHarness()
         daemon = Daemon(live.reactor, found, {})
         daemon._take(found.known, routing.EndpointListKind.CACHED)
         live.run(0)
@@ -93,7 +95,7 @@
     odd = [node(n, "on_holiday") for n in range(0, 300)]
     twice = [node(n) for n in range(300, 600)] * 2
     lost = [node(n) | {"addr": "nowhere"} for n in range(600, 700)]
-    live.watch.say(line(9, *odd, *twice, *lost))
+    live.watch.send(line(9, *odd, *twice, *lost))
     live.run(0)
     told = [one for one in logged(caplog) if "list" in one["event"] or "address" in one["event"]]
     assert [one["event"] for one in told] == [
@@ -109,8 +111,8 @@
 
 
 def test_a_version_that_jumps_or_falls_loses_no_node(live):
-    live.watch.say(line(900, node(3, "terminating")))
-    live.watch.say(line(17, *(node(n, "terminated") for n in range(SIZE)), full=True))
+    live.watch.send(line(900, node(3, "terminating")))
+    live.watch.send(line(17, *(node(n, "terminated") for n in range(SIZE)), full=True))
     live.run(0)
     states = [one.status for one in live.daemon.coordinator.loop.policy.endpoints.values()]
     assert (
@@ -124,14 +126,14 @@
     gone.
     """
     caplog.set_level("INFO", "tansycrank")
-    live.watch.say(line(9, full=True))
+    live.watch.send(line(9, full=True))
     live.run(0)
     assert served(live, "q1", range(0, 3 * SIZE, 97)) == 200
     assert [one["event"] for one in logged(caplog)].count("empty_endpoint_list_received") == 1
     again = live.discovery[1].accept()
     assert again.transport.take().startswith(b"GET /api/targets HTTP/1.1")
     data = json.dumps({"version": 9, "full": True, "servers": []}).encode()
-    again.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(data), data))
+    again.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(data), data))
     live.run(0)
     states = [one.status for one in live.daemon.coordinator.loop.policy.endpoints.values()]
     assert routing.EndpointStatus.IN_SERVICE not in states
--- a/tests/http_router/test_unread.py
+++ b/tests/http_router/test_unread.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from live import Live, answer, config, post
+from live import RouterHarness, answer, config, post
 from real import Node, Program, read_answer, until
 
 DEADLINE = 1500  # ms
@@ -85,14 +85,14 @@
 
 
 def test_a_request_behind_answers_that_its_client_does_not_read_loses_that_time():
-    live = Live(config())
+    live = RouterHarness(config())
     protocol, _ = live.client()
     protocol.pauseProducing()
     protocol.dataReceived(post(id="behind", deadline=900))
     live.run(0.4)
     protocol.resumeProducing()
     live.run(0.0)
-    calls = [call for peer in live.nodes for call in peer.accept().calls()]
+    calls = [call for peer in live.nodes for call in peer.accept().take_shard_requests()]
     assert [(id, wait <= 900 - 400) for id, _, wait, _ in calls] == [("behind.0", True)]
 
 
