--- a/tansycrank/http_router/daemon.py
+++ b/tansycrank/http_router/daemon.py
@@ -77,7 +77,7 @@
             settings.module.call_batch_size,
             settings.connect_timeout,
             settings.idle,
-            settings.max_links,
+            settings.max_node_connections,
             log,
             settings.module.drain_grace,
         )
@@ -258,7 +258,7 @@
         log(
             "shutdown_started",
             open=len(self.coordinator.queries),
-            within_ms=self.settings.stop_within,
+            within_ms=self.settings.shutdown_timeout,
         )
         self.shutdown.begin()
 
--- a/tansycrank/http_router/graceful_shutdown.py
+++ b/tansycrank/http_router/graceful_shutdown.py
@@ -42,9 +42,9 @@
         settings = self._settings
         self._server.ready = False
         now = self._coordinator.loop.now
-        self._coordinator.shutdown_deadline = now + settings.stop_within
-        self._reactor.callLater(settings.stop_taking / 1000, self._start_draining)
-        self._reactor.callLater(settings.stop_within / 1000, self._reject_open_queries)
+        self._coordinator.shutdown_deadline = now + settings.shutdown_timeout
+        self._reactor.callLater(settings.drain_delay / 1000, self._start_draining)
+        self._reactor.callLater(settings.shutdown_timeout / 1000, self._reject_open_queries)
 
     def complete(self) -> None:
         """Finish, once; called early by a process that is stopped otherwise."""
--- a/tansycrank/http_router/http_server.py
+++ b/tansycrank/http_router/http_server.py
@@ -21,7 +21,7 @@
 
 
 class HttpServer(Factory):
-    """The connections of clients, at most `max_clients`; a `ConnectionServer` for each of them.
+    """The connections of clients, at most `max_client_connections`; a `ConnectionServer` for each.
 
     `overslept` returns for how many seconds what is read now may have lain unread.
     """
@@ -91,7 +91,7 @@
         Without the bound, clients that ask once and keep their connections shut out all others.
         """
         self.idle_after_query[connection] = None
-        if len(self.idle_after_query) > self.settings.max_unused:
+        if len(self.idle_after_query) > self.settings.max_idle_client_connections:
             longest = next(iter(self.idle_after_query))
             del self.idle_after_query[longest]
             longest.close("unused longest")
@@ -119,7 +119,9 @@
 
     def _is_full(self) -> bool:
         """Whether the bound is reached and no connection can be closed in favour of another."""
-        return len(self.connections) >= self.settings.max_clients and not self._evict_one()
+        return (
+            len(self.connections) >= self.settings.max_client_connections and not self._evict_one()
+        )
 
     def _evict_one(self) -> bool:
         """Close one unused connection: a new one that is silent for long, else the longest idle.
@@ -189,7 +191,7 @@
 
         Connections that are still queued when the port closes are reset, with their requests.
         """
-        room = self.settings.max_clients - len(self.connections)
+        room = self.settings.max_client_connections - len(self.connections)
         before, self.port.numberAccepts = self.counts["accepted"], room
         if room > 0:
             self.port.doRead()
--- a/tansycrank/http_router/settings.py
+++ b/tansycrank/http_router/settings.py
@@ -110,31 +110,31 @@
     idle: float
 
     @property
-    def max_clients(self) -> int:
+    def max_client_connections(self) -> int:
         """Connections of clients held at most."""
         return int(self.sockets * SHARE_CLIENTS)
 
     @property
-    def max_unused(self) -> int:
+    def max_idle_client_connections(self) -> int:
         """Connections of clients kept that were used for a query and are not now."""
         return int(self.sockets * SHARE_UNUSED)
 
     @property
-    def max_links(self) -> int:
+    def max_node_connections(self) -> int:
         """Connections to nodes held at most."""
-        return max(self.sockets - self.max_clients - RESERVE, 8)
+        return max(self.sockets - self.max_client_connections - RESERVE, 8)
 
     @property
-    def stop_within(self) -> float:
+    def shutdown_timeout(self) -> float:
         """ms from SIGTERM within which everything is answered."""
         longest = max(cls.deadline for cls in self.module.classes)
         return min(longest, LONGEST) + KILL_AFTER - KILL_MARGIN
 
     @property
-    def stop_taking(self) -> float:
+    def drain_delay(self) -> float:
         """ms from SIGTERM for which connections go on: a query can still meet its objective."""
         longest = max(cls.latency_objective for cls in self.module.classes)
-        return max(self.stop_within - min(longest, LONGEST), NEW_UNTIL)
+        return max(self.shutdown_timeout - min(longest, LONGEST), NEW_UNTIL)
 
 
 def address(text: str, what: str) -> tuple[str, int]:
--- a/tests/http_router/test_endings.py
+++ b/tests/http_router/test_endings.py
@@ -455,7 +455,7 @@
                 for link in daemon.pool.connections
                 if link.is_established
             )
-        assert len(daemon.pool.connections) <= daemon.settings.max_links
+        assert len(daemon.pool.connections) <= daemon.settings.max_node_connections
         left = {
             getattr(call.func, "__qualname__", "") for call in self.live.reactor.getDelayedCalls()
         }
--- a/tests/http_router/test_failing_calls.py
+++ b/tests/http_router/test_failing_calls.py
@@ -110,7 +110,7 @@
     pid = program.process.pid
     used = len(list(Path(f"/proc/{pid}/fd").iterdir()))
     limits = resource.prlimit(pid, resource.RLIMIT_NOFILE)
-    taking = configuration.parse(config(), {}).stop_taking / 1000
+    taking = configuration.parse(config(), {}).drain_delay / 1000
     program.signal(signal.SIGTERM)
     time.sleep(taking - 0.4)
     resource.prlimit(pid, resource.RLIMIT_NOFILE, (used, limits[1]))
--- a/tests/http_router/test_given_up.py
+++ b/tests/http_router/test_given_up.py
@@ -63,7 +63,7 @@
     live.take_shard_requests()
     live.daemon.coordinator.loop.stop()
     live.daemon.coordinator.loop.handle = lambda *events: None
-    live.run(live.daemon.settings.stop_within / 1000 - 1.0 + 0.1)
+    live.run(live.daemon.settings.shutdown_timeout / 1000 - 1.0 + 0.1)
 
 
 def its_answers_are_not_read(live):
--- a/tests/http_router/test_http_server.py
+++ b/tests/http_router/test_http_server.py
@@ -209,14 +209,14 @@
 def test_silent_connections_give_way_at_the_bound_once_they_were_silent_for_a_while(live):
     client = live.client()
     live.send_request(post(id="busy"), client)
-    young = [live.client() for _ in range(live.daemon.settings.max_clients - 1)]
+    young = [live.client() for _ in range(live.daemon.settings.max_client_connections - 1)]
     assert not live.port.reading  # full: the next ones wait in the system's queue
     assert not any(transport.over for _, transport in young)
     live.run(http_server.MIN_SILENCE_OF_NEW + 0.05)
     assert live.port.reading and [transport.over for _, transport in young].count(True) == 1
     for _ in range(20):
         live.client()
-    assert len(live.daemon.server.connections) <= live.daemon.settings.max_clients
+    assert len(live.daemon.server.connections) <= live.daemon.settings.max_client_connections
     assert not client[1].over
     peer, id, _ = live.take_shard_requests()[0]  # a copy may be out by now
     peer.send(answer(id))
@@ -226,7 +226,7 @@
 
 def test_connections_unused_after_a_query_are_bounded_and_the_longest_unused_close(live):
     """Danger: clients that ask once and hold their connection, until no other can get one."""
-    bound, transports = live.daemon.settings.max_unused, []
+    bound, transports = live.daemon.settings.max_idle_client_connections, []
     held = live.client()
     live.send_request(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n", held)
     for n in range(bound + 3):
@@ -241,7 +241,7 @@
 
 def test_a_connection_in_use_again_is_not_among_the_unused(live):
     client = live.client()
-    for n in range(live.daemon.settings.max_unused + 2):
+    for n in range(live.daemon.settings.max_idle_client_connections + 2):
         other = live.send_request(post(id=f"r{n}"))
         [(peer, id, _)] = live.take_shard_requests()
         peer.send(answer(id))
@@ -316,7 +316,7 @@
     live.run(0)
     written = held[1].take()
     assert status(written) == 200 and b"Connection: close" not in written
-    live.run(live.daemon.settings.stop_taking / 1000 + 0.2)
+    live.run(live.daemon.settings.drain_delay / 1000 + 0.2)
     assert held[1].over and live.reactor.hasStopped
 
 
@@ -325,7 +325,7 @@
     """Guards against a request that is read in the last moment and dies with the process."""
     live = RouterHarness()
     live.daemon.terminate()
-    live.run(live.daemon.settings.stop_taking / 1000 - 0.1)
+    live.run(live.daemon.settings.drain_delay / 1000 - 0.1)
     protocol, transport = live.client()
     data = post(id="last")
     protocol.dataReceived(data[:50])
@@ -348,7 +348,7 @@
     live.run(1.0)
     transport = live.send_request(post(path="/book", deadline=2000))
     live.take_shard_requests()
-    live.run(live.daemon.settings.stop_within / 1000 - 1.0 + 0.1)
+    live.run(live.daemon.settings.shutdown_timeout / 1000 - 1.0 + 0.1)
     assert status(transport.take()) in (503, 504)
     live.run(0.2)
     assert live.reactor.hasStopped
@@ -471,7 +471,7 @@
     live.daemon.terminate()
     sent = live.send_request(post(id="out", path="/book", deadline=9000))
     live.nodes[-1].accept()
-    live.run(live.daemon.settings.stop_within / 1000 + 0.1)
+    live.run(live.daemon.settings.shutdown_timeout / 1000 + 0.1)
     written = unsent.take()
     assert status(written) == 503 and b"Retry-After: " in written
     assert status(sent.take()) in (503, 504) and live.reactor.hasStopped
