--- a/tansycrank/http_router/coordinator.py
+++ b/tansycrank/http_router/coordinator.py
@@ -38,8 +38,8 @@
         self.log = log
         self.lifecycle = Lifecycle(settings, self._on_violation)
         self.queries: dict[bytes, ActiveQuery] = {}  # by the client's id
-        self._by_number: dict[int, ActiveQuery] = {}
-        self._parts: dict[int, tuple[ActiveQuery, ActiveShardRequest]] = {}
+        self._queries_by_id: dict[int, ActiveQuery] = {}
+        self._shard_requests: dict[int, tuple[ActiveQuery, ActiveShardRequest]] = {}
         self._ids = 0
         self.in_flight = 0  # queries and shard requests in flight
         self.shutdown_deadline = float("inf")  # ms: everything has to be answered before
@@ -91,7 +91,7 @@
         )
         query = ActiveQuery(self._ids, request, on_response, life)
         events = [self._query_arrived(query, remaining), *self._add_shard_requests(query)]
-        self.queries[request.id] = self._by_number[query.id] = query
+        self.queries[request.id] = self._queries_by_id[query.id] = query
         self.in_flight += query.size
         self.counts["taken"] += 1
         self.loop.handle(*events)
@@ -139,7 +139,7 @@
             name = b"%b.%d" % (query.request.id, spec.shard)
             shard_request = ActiveShardRequest(self._ids, name, spec.shard)
             query.shard_requests.append(shard_request)
-            self._parts[shard_request.id] = query, shard_request
+            self._shard_requests[shard_request.id] = query, shard_request
             events.append(
                 routing.ShardRequestArrived(
                     shard_request.id, query.id, spec.shard, spec.weight, spec.key
@@ -184,10 +184,10 @@
             self.log(
                 "action_failed", action=type(action).__name__, error=repr(error), traceback=True
             )
-            query, shard_request = self._parts.get(
+            query, shard_request = self._shard_requests.get(
                 getattr(action, "shard_request", 0), (None, None)
             )
-            query = query or self._by_number.get(getattr(action, "query", 0))
+            query = query or self._queries_by_id.get(getattr(action, "query", 0))
             if isinstance(action, routing.Send):  # the policy waits for its end
                 self._never_sent(action, shard_request)
             if query is not None and not query.has_ended:
@@ -196,7 +196,7 @@
     # --- actions ----------------------------------------------------------------------
 
     def _send(self, action: routing.Send) -> None:
-        query, shard_request = self._parts[action.shard_request]
+        query, shard_request = self._shard_requests[action.shard_request]
         number, started_at = len(shard_request.attempts), self.loop.now
         self.counts["sends"] += 1
         try:
@@ -284,12 +284,12 @@
         )
 
     def _cancel(self, action: routing.Cancel) -> None:
-        if action.shard_request in self._parts:
+        if action.shard_request in self._shard_requests:
             self.counts["cancels"] += 1
-            self.pool.cancel(self._parts[action.shard_request][1].attempts[action.attempt])
+            self.pool.cancel(self._shard_requests[action.shard_request][1].attempts[action.attempt])
 
     def _answer(self, action: routing.Answer) -> None:
-        query = self._by_number.get(action.query)
+        query = self._queries_by_id.get(action.query)
         if query is None:
             return
         query_class = self.settings.classes[query.request.query_class]
@@ -299,13 +299,13 @@
         self._complete(query, kind, missing=missing)
 
     def _reject(self, action: routing.Reject) -> None:
-        if query := self._by_number.get(action.query):
+        if query := self._queries_by_id.get(action.query):
             self._complete(
                 query, AnswerKind.REJECTED, retry_after=action.retry_after, reason=action.reason
             )
 
     def _fail(self, action: routing.Fail) -> None:
-        if query := self._by_number.get(action.query):
+        if query := self._queries_by_id.get(action.query):
             self._complete(query, AnswerKind.FAILED, reason=action.reason)
 
     def _complete(
@@ -359,7 +359,7 @@
         )
 
     def _end(self, query: ActiveQuery) -> None:
-        del self.queries[query.request.id], self._by_number[query.id]
+        del self.queries[query.request.id], self._queries_by_id[query.id]
         self.in_flight -= query.size
         for shard_request in query.shard_requests:
             self._revoke(shard_request)
@@ -372,4 +372,4 @@
 
     def _forget(self, shard_request: ActiveShardRequest) -> None:
         if shard_request.has_ended:
-            self._parts.pop(shard_request.id, None)
+            self._shard_requests.pop(shard_request.id, None)
--- a/tansycrank/http_router/daemon.py
+++ b/tansycrank/http_router/daemon.py
@@ -70,7 +70,7 @@
         self.environ = environ
         self.state = ProcessState.STARTING
         self.stalls = StallMetrics(overslept, log)
-        self.names = EndpointDirectory(settings.zones)
+        self.endpoint_directory = EndpointDirectory(settings.zones)
         self.pool = ConnectionPool(
             reactor,
             settings.streams,
@@ -160,7 +160,11 @@
         if self.server.port is not None:
             self.state = ProcessState.READY
             self.server.ready = True
-            log("became_ready", nodes=len(self.names), version=self.names.version)
+            log(
+                "became_ready",
+                nodes=len(self.endpoint_directory),
+                version=self.endpoint_directory.version,
+            )
         elif self._listen_timer is None:
             self._listen()  # which comes back here
 
@@ -169,11 +173,11 @@
     @property
     def known_version(self) -> int:
         """The version of the endpoint list held."""
-        return self.names.version
+        return self.endpoint_directory.version
 
     def on_unchanged(self) -> None:
         """Note that discovery reported no change."""
-        self.names.confirm_unchanged(self.coordinator.loop.now)
+        self.endpoint_directory.confirm_unchanged(self.coordinator.loop.now)
 
     def on_endpoint_list(self, document: EndpointListDocument) -> None:
         """Apply a list of discovery, unless it is older than the one held.
@@ -183,10 +187,14 @@
         self.stalls.record_endpoint_list(document.version)
         if not self._is_outdated(document):
             self._version_reset.clear()
-            empty = document.full and not document.servers and len(self.names) > 0
+            empty = document.full and not document.servers and len(self.endpoint_directory) > 0
             if empty and not self._is_empty_list_doubted:
                 self._is_empty_list_doubted = True
-                log("empty_endpoint_list_received", version=document.version, nodes=len(self.names))
+                log(
+                    "empty_endpoint_list_received",
+                    version=document.version,
+                    nodes=len(self.endpoint_directory),
+                )
                 self.discovery.poll_once()
             else:
                 self._is_empty_list_doubted = False
@@ -199,9 +207,9 @@
         self._ready()
 
     def _is_outdated(self, document: EndpointListDocument) -> bool:
-        if document.version >= self.names.version:
+        if document.version >= self.endpoint_directory.version:
             return False
-        versions = {"version": document.version, "held": self.names.version}
+        versions = {"version": document.version, "held": self.endpoint_directory.version}
         if not self._version_reset.is_suspected:
             log("older_endpoint_list_received", **versions)
         if not self._version_reset.is_confirmed(document.full):
@@ -217,9 +225,9 @@
             self._ready()
 
     def _take(self, document: EndpointListDocument, kind: routing.EndpointListKind) -> None:
-        if odd := self.names.find_problems(document):
+        if odd := self.endpoint_directory.find_problems(document):
             log("unknown_endpoint_list_content_received", version=document.version, **odd)
-        event, places = self.names.apply(document, kind, self.coordinator.loop.now)
+        event, places = self.endpoint_directory.apply(document, kind, self.coordinator.loop.now)
         unusable = []
         for server, place in places.items():
             try:
@@ -293,7 +301,7 @@
             clients=len(self.server.connections),
             links=self.pool.connection_count,
             links_opened=self.pool.connections_opened,
-            nodes=len(self.names),
+            nodes=len(self.endpoint_directory),
             steps=loop.steps,
             discovery_failures=self.discovery_failures,
             unusable_last=self.server.latest,
--- a/tests/http_router/test_belief.py
+++ b/tests/http_router/test_belief.py
@@ -88,7 +88,11 @@
     live.run(3)
     coordinator, router = live.daemon.coordinator, live.daemon.coordinator.loop.policy
     assert coordinator.counts["taken"] == 1500
-    assert not coordinator.queries and not coordinator._parts and not coordinator._by_number
+    assert (
+        not coordinator.queries
+        and not coordinator._shard_requests
+        and not coordinator._queries_by_id
+    )
     assert (
         not router.queries.by_id
         and not router.queries.by_number
@@ -96,6 +100,6 @@
         and not router.queries.attempts_in_flight
     )
     assert not live.daemon.server.connections and not live.daemon.server.idle_after_query
-    assert len(router.endpoints) <= 6 and len(live.daemon.names) < 100
+    assert len(router.endpoints) <= 6 and len(live.daemon.endpoint_directory) < 100
     assert len(live.daemon.pool.endpoints) == 3 and live.daemon.pool.connection_count <= 6
     assert len(router.timers) < 100 and len(router._budget._accepted._entries) < 100
--- a/tests/http_router/test_discovery.py
+++ b/tests/http_router/test_discovery.py
@@ -449,13 +449,13 @@
     for _ in range(9):  # each half a second
         live.run(0.5)
         answer_poll(live, 3, entry(2), entry(3))
-    assert live.daemon.names.version == 40
+    assert live.daemon.endpoint_directory.version == 40
     for _ in range(4):
         live.run(0.5)
         answer_poll(live, 3, entry(2), entry(3))
-    assert live.daemon.names.version == 3
+    assert live.daemon.endpoint_directory.version == 3
     live.watch.send(line(4, entry(2, "terminating")))  # and its changes are heard
-    assert live.daemon.names.version == 4
+    assert live.daemon.endpoint_directory.version == 4
     polls = len(live.discovery)
     live.run(2.0)
     assert len(live.discovery) == polls
@@ -467,7 +467,7 @@
         live.watch.send(line(3, entry(3), full=True))
         live.run(1.0)
         answer_poll(live, version, entry(1), entry(2))
-    assert live.daemon.names.version == 50
+    assert live.daemon.endpoint_directory.version == 50
 
 
 def test_an_older_change_alone_is_never_believed(live):
@@ -475,5 +475,5 @@
     for _ in range(10):
         live.watch.send(line(3, entry(1, "terminating")))
         live.run(1.0)
-    assert live.daemon.names.version == 40
+    assert live.daemon.endpoint_directory.version == 40
     assert states(live)[1] is routing.EndpointStatus.IN_SERVICE
--- a/tests/http_router/test_endings.py
+++ b/tests/http_router/test_endings.py
@@ -440,7 +440,11 @@
         assert not owed, f"{owed} were never answered"
         daemon = self.live.daemon
         coordinator, router = daemon.coordinator, daemon.coordinator.loop.policy
-        assert not coordinator.queries and not coordinator._parts and not coordinator._by_number
+        assert (
+            not coordinator.queries
+            and not coordinator._shard_requests
+            and not coordinator._queries_by_id
+        )
         assert coordinator.in_flight == 0 and not daemon.server.delayed_admission
         assert not coordinator.lifecycle.violated and not coordinator.lifecycle._open
         if not daemon.stopped:
--- a/tests/http_router/test_http_server.py
+++ b/tests/http_router/test_http_server.py
@@ -268,7 +268,7 @@
     live.run(0)
     peer.take_shard_requests()
     assert peer.cancelled_ids == [id]
-    assert not live.daemon.coordinator.queries and not live.daemon.coordinator._parts
+    assert not live.daemon.coordinator.queries and not live.daemon.coordinator._shard_requests
 
 
 def test_ready_only_once_discovery_has_spoken_or_failed(live):
@@ -403,7 +403,7 @@
     else:
         live.run(0.29)
         assert status(transport.take()) == 503
-    assert not live.take_shard_requests() and not live.daemon.coordinator._parts
+    assert not live.take_shard_requests() and not live.daemon.coordinator._shard_requests
 
 
 KEYED = [
--- a/tests/http_router/test_node_connections.py
+++ b/tests/http_router/test_node_connections.py
@@ -333,7 +333,9 @@
     live.run(3)
     coordinator = live.daemon.coordinator
     assert sum(coordinator.outcomes.values()) == coordinator.counts["sends"]
-    assert not coordinator.queries and not coordinator._parts and coordinator.in_flight == 0
+    assert (
+        not coordinator.queries and not coordinator._shard_requests and coordinator.in_flight == 0
+    )
     assert not coordinator.loop.policy.queries.attempts_in_flight
 
 
--- a/tests/http_router/test_size.py
+++ b/tests/http_router/test_size.py
@@ -55,7 +55,9 @@
 
 
 def test_it_serves_with_as_many_nodes_and_routers(live):
-    assert len(live.daemon.names) == SIZE and live.daemon.settings.module.routers == SIZE
+    assert (
+        len(live.daemon.endpoint_directory) == SIZE and live.daemon.settings.module.routers == SIZE
+    )
     assert served(live, "q1", range(0, 3 * SIZE, 97)) == 200
 
 
