--- a/tansycrank/http_router/client_connection.py
+++ b/tansycrank/http_router/client_connection.py
@@ -185,7 +185,7 @@
         if request.method != b"POST":
             raise RequestRejectedError(405, "a query is a POST")
         settings = self.server.settings
-        answer.unadmitted = codec.read(
+        answer.unadmitted = codec.decode_query(
             path,
             url.query or b"",
             request.headers,
@@ -230,7 +230,7 @@
     def _answer_unusable(self, answer: PendingAnswer, refusal: RequestRejectedError) -> None:
         self.server.on_request_unusable(str(refusal))
         retry_after_ms = self.server.retry_after if refusal.status == 503 else 0.0
-        answer.response = codec.error(refusal.status, str(refusal), retry_after_ms)
+        answer.response = codec.error_response(refusal.status, str(refusal), retry_after_ms)
 
     def reject_unadmitted(self) -> None:
         """Answer what was read and not admitted: this process stops."""
@@ -263,7 +263,7 @@
             is_last = self.is_idle
             closes = not answer.keeps_alive or (self.server.draining and is_last)
             self.waiting_since = self.server.now
-            self.transport.write(codec.encode(answer.response, closes))
+            self.transport.write(codec.encode_response(answer.response, closes))
             if closes and self.state is ConnectionState.DISCARDING:
                 self._linger()
             elif closes:
@@ -275,12 +275,12 @@
         """Answer a request after which the stream cannot be parsed, and close."""
         self.server.on_request_unreadable()
         self.state = ConnectionState.DISCARDING
-        response = codec.error(refusal.status, str(refusal))
+        response = codec.error_response(refusal.status, str(refusal))
         if self.pending:  # answers before it are still owed; the close follows the last of them
             self.pending.append(PendingAnswer(keeps_alive=False, response=response))
             self._parser.abandon_request()
             return
-        self.transport.write(codec.encode(response, closes=True))
+        self.transport.write(codec.encode_response(response, closes=True))
         self._linger()
 
     def _linger(self) -> None:
--- a/tansycrank/http_router/coordinator.py
+++ b/tansycrank/http_router/coordinator.py
@@ -129,7 +129,7 @@
             remaining,
             len(request.shard_requests),
             request.key,
-            request.repeat,
+            request.is_retry,
         )
 
     def _add_shard_requests(self, query: ActiveQuery) -> list[routing.Event]:
@@ -332,12 +332,12 @@
         if kind is AnswerKind.REJECTED:
             self.counts["refused"] += 1
             message = "not answerable in time now; asking again is harmless"
-            return codec.error(503, message, retry_after)
+            return codec.error_response(503, message, retry_after)
         if kind is AnswerKind.FAILED:
             self.counts["failed"] += 1
-            return codec.error(504, "given up: it may or may not have taken effect")
+            return codec.error_response(504, "given up: it may or may not have taken effect")
         self.counts["answered"] += 1
-        return codec.hits(kind is AnswerKind.COMPLETE, query.values)
+        return codec.query_answer(kind is AnswerKind.COMPLETE, query.values)
 
     # --- endpoints and the end of queries ---------------------------------------------
 
--- a/tansycrank/http_router/request_codec.py
+++ b/tansycrank/http_router/request_codec.py
@@ -76,13 +76,13 @@
     query_class: int
     deadline: float
     key: int
-    repeat: bool
+    is_retry: bool
     shard_requests: tuple[ShardRequestSpec, ...]
     text: bytes
     idempotency_key: bytes = b""
 
 
-def read(
+def decode_query(
     path: bytes,
     query: bytes,
     headers: Mapping[bytes, bytes],
@@ -100,8 +100,8 @@
     deadline = headers.get(b"x-deadline-ms", b"").decode("ascii", "replace")
     if not DEADLINE.fullmatch(deadline) or not int(deadline):
         raise RequestRejectedError(400, "X-Deadline-Ms: a number of milliseconds above 0 is needed")
-    repeat = headers.get(b"x-retry", b"0")
-    if repeat not in (b"0", b"1"):
+    retry_header = headers.get(b"x-retry", b"0")
+    if retry_header not in (b"0", b"1"):
         raise RequestRejectedError(400, "X-Retry: 0 or 1")
     idempotency_key = headers.get(b"idempotency-key", b"").decode("ascii", "replace")
     if idempotency_key and not IDEMPOTENCY_KEY.fullmatch(idempotency_key):
@@ -128,7 +128,7 @@
         classes[name],
         float(deadline),
         key,
-        repeat == b"1",
+        retry_header == b"1",
         shard_requests,
         text,
         idempotency_key.encode(),
@@ -166,7 +166,7 @@
     retry_after_ms: float = 0.0
 
 
-def encode(response: Response, closes: bool) -> bytes:
+def encode_response(response: Response, closes: bool) -> bytes:
     """The bytes of an answer; `closes` tells the client that its connection ends with it."""
     lines = [
         f"HTTP/1.1 {response.status} {REASONS[response.status]}".encode(),
@@ -180,12 +180,12 @@
     return b"\r\n".join(lines) + b"\r\n\r\n" + response.body
 
 
-def error(status: int, message: str, retry_after_ms: float = 0.0) -> Response:
+def error_response(status: int, message: str, retry_after_ms: float = 0.0) -> Response:
     """An answer that tells what is wrong."""
     return Response(status, msgspec.json.encode({"error": message}), retry_after_ms)
 
 
-def hits(complete: bool, values: Iterable[tuple[int, str]]) -> Response:
+def query_answer(complete: bool, values: Iterable[tuple[int, str]]) -> Response:
     """The answer to a served query: shards with the values that data nodes gave them."""
     found = [{"shard": shard, "doc": value} for shard, value in values]
     return Response(200, msgspec.json.encode({"complete": complete, "hits": found}))
--- a/tests/test_edge_forms.py
+++ b/tests/test_edge_forms.py
@@ -171,16 +171,18 @@
 
 
 def test_answers_to_http_clients_keep_their_bytes():
-    assert request_codec.encode(request_codec.Response(503, b"{}", 150.0), closes=True) == (
+    assert request_codec.encode_response(
+        request_codec.Response(503, b"{}", 150.0), closes=True
+    ) == (
         b"HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\n"
         b"Content-Length: 2\r\n"
         b"Retry-After: 0.150\r\nConnection: close\r\n\r\n{}"
     )
     assert (
-        request_codec.hits(True, [(3, "v")]).body
+        request_codec.query_answer(True, [(3, "v")]).body
         == b'{"complete":true,"hits":[{"shard":3,"doc":"v"}]}'
     )
-    assert request_codec.error(503, "why").body == b'{"error":"why"}'
+    assert request_codec.error_response(503, "why").body == b'{"error":"why"}'
 
 
 def test_queries_of_http_clients_keep_their_fields():
@@ -191,8 +193,10 @@
         b"idempotency-key": b"k~1",
     }
     body = b'{"shards":[{"shard":1,"weight":1.0,"cost":2,"key":"00000000000000ff"}],"q":"t"}'
-    read = request_codec.read(b"/look", b"obj=00000000000000aa", headers, body, {"look": 0}, 4)
-    assert (read.id, read.deadline, read.repeat, read.key) == (b"id-1", 900.0, True, 0xAA)
+    read = request_codec.decode_query(
+        b"/look", b"obj=00000000000000aa", headers, body, {"look": 0}, 4
+    )
+    assert (read.id, read.deadline, read.is_retry, read.key) == (b"id-1", 900.0, True, 0xAA)
 
 
 def test_lists_of_discovery_keep_their_fields():
