--- a/tansycrank/admission/controller.py
+++ b/tansycrank/admission/controller.py
@@ -1,6 +1,6 @@
 """Carries out the actions of the admission policy: holds, starts and rejects queries.
 
-Queries enter through `enter`. Rejections by the routing policy pass back through the admission
+Queries enter through `submit`. Rejections by the routing policy pass back through the admission
 policy, so that the Retry-After that a client gets is that of admission control.
 """
 
@@ -68,9 +68,9 @@
     start: Callable[[float, Callable[[Any], None]], Any]
     done: Callable[[Any], None]
     is_admitted: bool = False
-    began: float = 0.0
-    running: Any = None
-    ended: bool = False
+    admitted_at: float = 0.0
+    handle: Any = None
+    is_ended: bool = False
 
 
 class AdmissionController:
@@ -93,7 +93,7 @@
 
     # --- for the service ------------------------------------------------------------------
 
-    def enter(
+    def submit(
         self,
         caller: CallerIdentity,
         query_class: int,
@@ -102,9 +102,9 @@
         start: Callable[[float, Callable[[Any], None]], Any],
         done: Callable[[Any], None],
         statement: int = 0,
-        mark: int = 0,
+        fingerprint: int = 0,
         size: int = 0,
-        repeat: bool = False,
+        is_retry: bool = False,
         session: int = 0,
     ) -> AdmissionEntry:
         """Admit, queue or reject a query; `done` gets its one answer, perhaps at once."""
@@ -119,7 +119,7 @@
         self._step(
             QueryArrived(
                 entry.id, caller.tenant, caller.client, query_class, shard_requests, remaining,
-                statement, mark, size, repeat, caller.limits, session,
+                statement, fingerprint, size, is_retry, caller.limits, session,
             )
         )  # fmt: skip
         self._schedule_tick()
@@ -134,8 +134,8 @@
         caller: CallerIdentity,
         query_class: int,
         remaining: float,
-        mark: int,
-        repeat: bool,
+        fingerprint: int,
+        is_retry: bool,
         session: int = 0,
     ) -> PgError | None:
         """Reject a query by its text alone, if it would be rejected even with one shard request.
@@ -144,7 +144,17 @@
         """
         number, who = self._ids + 1, (caller.tenant, caller.client)
         event = QueryArrived(
-            number, *who, query_class, 1, remaining, 0, mark, 0, repeat, caller.limits, session
+            number,
+            *who,
+            query_class,
+            1,
+            remaining,
+            0,
+            fingerprint,
+            0,
+            is_retry,
+            caller.limits,
+            session,
         )
         if not self.policy.would_reject(self.now, event):
             return None
@@ -158,7 +168,7 @@
         self._schedule_tick()
         if not errors:  # it was queued or admitted after all, and has to be planned
             self._step(QueryCancelled(entry.id))
-            entry.ended = True
+            entry.is_ended = True
             self.entries.pop(entry.id, None)
         return errors[0] if errors else None
 
@@ -170,17 +180,17 @@
         )
         reasons[reason] = reasons.get(reason, 0) + 1
 
-    def leave(self, entry: AdmissionEntry, cancel: Callable[[Any], None]) -> None:
+    def cancel(self, entry: AdmissionEntry, cancel_run: Callable[[Any], None]) -> None:
         """The client cancelled or disconnected: dequeue the query, or cancel its run."""
-        if entry.ended:
+        if entry.is_ended:
             return
         if entry.is_admitted:
-            cancel(entry.running)
+            cancel_run(entry.handle)
             return
         self._step(QueryCancelled(entry.id))
         self._finish(entry, cancelled())
 
-    def change(self, tenant: str, limits: Limits) -> None:
+    def change_limits(self, tenant: str, limits: Limits) -> None:
         """Change the limits of a tenant."""
         if self.policy is not None:
             self._step(LimitsChanged(tenant, limits))
@@ -219,9 +229,9 @@
                     self._set_timer(at)
 
     def _admit(self, entry: AdmissionEntry, now: float) -> None:
-        entry.is_admitted, entry.began = True, now
+        entry.is_admitted, entry.admitted_at = True, now
         left = max(entry.deadline - now, 1.0)
-        entry.running = entry.start(left, lambda outcome: self._ended(entry, outcome))
+        entry.handle = entry.start(left, lambda outcome: self._ended(entry, outcome))
 
     def _reject(self, number: int, wait: float, reason: str, corrected: bool) -> None:
         entry = self.entries.get(number)
@@ -232,7 +242,7 @@
 
     def _ended(self, entry: AdmissionEntry, outcome: Any) -> None:
         """Pass the outcome of an admitted query to the policy and to its client."""
-        if entry.ended:
+        if entry.is_ended:
             return
         if self.policy is None:
             self._finish(entry, outcome)
@@ -244,12 +254,12 @@
             )
             if kind == "refused":
                 retry_after_ms = retry_after(outcome.detail)
-        self._step(QueryEnded(entry.id, kind, self.now - entry.began, retry_after_ms))
+        self._step(QueryEnded(entry.id, kind, self.now - entry.admitted_at, retry_after_ms))
         self._finish(entry, outcome)  # where it was refused it has been answered by now
 
     def _finish(self, entry: AdmissionEntry, outcome: Any) -> None:
-        if not entry.ended:
-            entry.ended = True
+        if not entry.is_ended:
+            entry.is_ended = True
             self.entries.pop(entry.id, None)
             entry.done(outcome)
 
--- a/tansycrank/admission/events.py
+++ b/tansycrank/admission/events.py
@@ -21,8 +21,9 @@
 class QueryArrived:
     """A query asks for admission.
 
-    `mark` is a hash that identifies the query among those of its client, `size` the bytes it holds
-    while it is queued, `repeat` whether the client declares it a retry.
+    `remaining` is the time to its deadline, `statement` a hash of its text, `fingerprint` a hash of
+    client, text and parameters, `size` the bytes that it occupies while it is queued. `is_retry`
+    tells that the client declares it a retry.
     """
 
     id: int
@@ -32,9 +33,9 @@
     shard_requests: int
     remaining: float
     statement: int = 0
-    mark: int = 0
+    fingerprint: int = 0
     size: int = 0
-    repeat: bool = False
+    is_retry: bool = False
     limits: Limits = field(default_factory=Limits)
     session: int = 0
 
@@ -48,19 +49,22 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryEnded:
-    """An admitted query ended after `took` ms; `hold_off`: Retry-After of the routing policy."""
+    """An admitted query ended, `latency` ms after its admission.
+
+    `retry_after_ms` is the Retry-After of the routing policy if that rejected the query.
+    """
 
     id: int
-    kind: str
-    took: float
+    outcome: str
+    latency: float
     retry_after_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class PeriodicTick:
-    """A timer expired, `late` ms after it was due."""
+    """A timer expired, `timer_lag` ms after it was due."""
 
-    late: float = 0.0
+    timer_lag: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/tansycrank/admission/fair_queue.py
+++ b/tansycrank/admission/fair_queue.py
@@ -36,11 +36,11 @@
     cost: float
     size: int
     latest_start: float  # the last moment at which its turn would still be of use
-    mark: int = 0  # what tells this query from others of its client
+    fingerprint: int = 0  # what tells this query from others of its client
     session: int = 0
     is_returning: bool = False  # it was told to come back, and did
-    light: bool = False  # it was let past the line
-    began: float = 0.0
+    is_light: bool = False  # it was let past the line
+    admitted_at: float = 0.0
 
 
 class FifoQueue:
--- a/tansycrank/admission/in_flight.py
+++ b/tansycrank/admission/in_flight.py
@@ -22,12 +22,12 @@
 
     def add(self, now: float, tenant: Tenant, query: QueuedQuery) -> None:
         """A query is admitted."""
-        query.began = now
+        query.admitted_at = now
         self.cost += query.cost
-        self.light_shard_requests += query.shard_requests if query.light else 0
+        self.light_shard_requests += query.shard_requests if query.is_light else 0
         self.queries[query.id] = query
         self.shard_requests += query.shard_requests
-        tenant.inside += query.shard_requests
+        tenant.shard_requests_in_flight += query.shard_requests
         tenant.admitted += 1
         tenant.served_cost += query.cost
 
@@ -36,8 +36,8 @@
         del self.queries[query.id]
         self.shard_requests -= query.shard_requests
         self.cost = max(self.cost - query.cost, 0.0) if self.queries else 0.0
-        self.light_shard_requests -= query.shard_requests if query.light else 0
-        tenant.inside -= query.shard_requests
+        self.light_shard_requests -= query.shard_requests if query.is_light else 0
+        tenant.shard_requests_in_flight -= query.shard_requests
 
     def is_full(self, limit: ConcurrencyLimit) -> bool:
         """Whether the concurrency limit is reached."""
--- a/tansycrank/admission/policy.py
+++ b/tansycrank/admission/policy.py
@@ -45,11 +45,11 @@
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
-        self.costs = CostEstimates(len(settings.classes))
+        self.costs = CostEstimates(len(settings.class_weights))
         self.limit = ConcurrencyLimit()
-        self.reservations = ReservationBook(settings.places, settings.horizon)
-        self.tenants = TenantTable(settings.tenants, settings.classes, self.reservations)
-        self.queue = AdmissionQueue(settings.queries, settings.bytes)
+        self.reservations = ReservationBook(settings.max_reservations, settings.horizon)
+        self.tenants = TenantTable(settings.max_tenants, settings.class_weights, self.reservations)
+        self.queue = AdmissionQueue(settings.max_queries, settings.max_bytes)
         self.in_flight = QueriesInFlight()
         self._shares = FairShares()
         self._stalls = StallTracker()
@@ -100,7 +100,7 @@
             return False
         cost = self.costs.expect(event.query_class, event.statement, 1)
         reservation, is_due = self.reservations.find(
-            tenant.reservations, event.mark, event.session, now
+            tenant.reservations, event.fingerprint, event.session, now
         )
         if reservation is not None:
             return not is_due
@@ -112,7 +112,7 @@
         )
         return self._expected(now, tenant, query) > query.latest_start
 
-    def would_wait(self, now: float, key: str, cost: float) -> float:
+    def expected_wait_on_return(self, now: float, key: str, cost: float) -> float:
         """How long, in ms, a query of this tenant that returns now as told would be queued."""
         tenant = self.tenants.get(key)
         if tenant is None or self._has_room(tenant):
@@ -127,14 +127,14 @@
         query = self._queued_query(now, event, tenant, cost)
         self._counts["arrived"] += 1
         reservation, is_due = self.reservations.find(
-            tenant.reservations, event.mark, event.session, now
+            tenant.reservations, event.fingerprint, event.session, now
         )
-        if reservation is None and not event.repeat:
+        if reservation is None and not event.is_retry:
             tenant.arrived += 1
             tenant.record_demand(now, cost)
         if is_due:
             query.is_returning = True
-            self.reservations.take_up(tenant.reservations, reservation)
+            self.reservations.redeem(tenant.reservations, reservation)
             self._counts["returned"] += 1
             tenant.return_demand.add(now, cost)
         self._decide(now, tenant, query, None if is_due else reservation)
@@ -147,13 +147,13 @@
         if self._has_room(tenant) or (
             is_light and tenant.is_below_max_share(query.shard_requests, self.limit.shard_requests)
         ):
-            query.light = is_light
+            query.is_light = is_light
             if early is not None:
-                self.reservations.drop(tenant.reservations, early)
+                self.reservations.remove(tenant.reservations, early)
             self.queue.scheduler.serve_unqueued(tenant.queue, query.cost)
             self._admit(now, tenant, query)
         elif early is not None:  # told the same time again, and not counted as a rejection
-            tenant.early += 1
+            tenant.early_returns += 1
             self._counts[RejectionReason.TOO_EARLY] += 1
             wait = early.due_at - now
             self._actions.append(Reject(query.id, wait, RejectionReason.TOO_EARLY))
@@ -166,7 +166,7 @@
         query = self.queue.queries.get(event.id)
         if query is not None:
             tenant = self.tenants[query.tenant]
-            tenant.left += 1
+            tenant.cancelled += 1
             self._counts["left"] += 1
             self.queue.remove(tenant, query)
 
@@ -177,20 +177,20 @@
         was_full = self.in_flight.is_full(self.limit)
         tenant = self.tenants[query.tenant]
         self.in_flight.remove(tenant, query)
-        took = self._stalls.without_stall(query.began, event.took)
-        if event.kind == QueryOutcome.ANSWERED:
+        latency = self._stalls.without_stall(query.admitted_at, event.latency)
+        if event.outcome == QueryOutcome.ANSWERED:
             tenant.answered += 1
-            self._correct_cost(tenant, query, took)
+            self._correct_cost(tenant, query, latency)
         self.limit.ended(
-            query.statement, query.shard_requests, query.cost, took, event.kind, was_full
+            query.statement, query.shard_requests, query.cost, latency, event.outcome, was_full
         )
         self.queue.unpark(tenant)
-        if event.kind == QueryOutcome.REJECTED:
+        if event.outcome == QueryOutcome.REJECTED:
             self._reject(now, tenant, query, RejectionReason.ROUTING_REJECTED, event.retry_after_ms)
 
     def _on_tick(self, now: float, event: PeriodicTick) -> None:
-        self.limit.record_timer_lag(event.late)
-        self._stalls.record(now, event.late)
+        self.limit.record_timer_lag(event.timer_lag)
+        self._stalls.record(now, event.timer_lag)
 
     def _on_limits_changed(self, now: float, event: LimitsChanged) -> None:
         tenant = self.tenants.override_limits(event.tenant, event.limits)
@@ -212,12 +212,12 @@
         latest_start = now + self._useful_time(event) - needs
         return QueuedQuery(
             event.id, tenant.key, event.client, event.query_class, event.statement,
-            event.shard_requests, cost, event.size, latest_start, event.mark, event.session,
+            event.shard_requests, cost, event.size, latest_start, event.fingerprint, event.session,
         )  # fmt: skip
 
     def _useful_time(self, event: QueryArrived) -> float:
         """Time in ms for which an answer is worth something."""
-        useful = self.settings.useful
+        useful = self.settings.useful_times
         return min(event.remaining, useful[event.query_class]) if useful else event.remaining
 
     def _has_room(self, tenant: Tenant) -> bool:
@@ -259,9 +259,9 @@
         self._counts["admitted"] += 1
         self._actions.append(Admit(query.id))
 
-    def _correct_cost(self, tenant: Tenant, query: QueuedQuery, took: float) -> None:
+    def _correct_cost(self, tenant: Tenant, query: QueuedQuery, latency: float) -> None:
         """Replace the estimated cost by the real one, in the tenant's next start tag too."""
-        work = self.limit.work_time(took)
+        work = self.limit.work_time(latency)
         real = self.costs.learn(query.query_class, query.statement, query.shard_requests, work)
         tenant.served_cost += real - query.cost
         tenant.queue.cost_correction += (real - query.cost) / tenant.queue.weight
@@ -281,9 +281,9 @@
             now, tenant, query, self.reservations, max(due, now + min_wait), self.drain_rate
         )
         corrected = query.is_returning
-        tenant.refused += 1
+        tenant.rejected += 1
         tenant.corrected += corrected
-        tenant.wait = due - now
+        tenant.last_retry_after = due - now
         self._counts[reason] += 1
         self._counts["corrected"] += corrected
         self._actions.append(Reject(query.id, due - now, reason, corrected))
--- a/tansycrank/admission/reader_scheduler.py
+++ b/tansycrank/admission/reader_scheduler.py
@@ -60,7 +60,7 @@
         reader.read_pending()
         return max(self._clock() - began, 0.0)
 
-    def forget(self, reader: Reader, tenant: str) -> None:
+    def remove(self, reader: Reader, tenant: str) -> None:
         """A session has ended."""
         tenant_queue = self._scheduler.children.get(tenant)
         if tenant_queue is not None and tenant_queue.items.pop(reader.id, None) is not None:
--- a/tansycrank/admission/reservations.py
+++ b/tansycrank/admission/reservations.py
@@ -2,8 +2,8 @@
 
 Reservations of a tenant follow one another at the tenant's rate, scaled by the share of its clients
 that return. All reservations are booked into short spans of time, each filled no further than the
-drain rate allows, so that queries rejected at the same time don't return at the same time. Their
-number is bounded: past it the Retry-After is the same, but nothing is reserved.
+drain rate allows, so that queries rejected at the same time do not return at the same time. Their
+number is bounded: beyond it the Retry-After is computed as usual, but nothing is reserved.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 SPAN_MS = 50.0  # of one span
 EARLY_SHARE = 0.1  # of the Retry-After by which a client may return early
 MIN_EARLY_MS = 10.0  # ms
-KEPT_SHARE = 0.5  # of the Retry-After for which a reservation outlives its due time
-MIN_KEPT_MS = 1000.0  # ms
+EXPIRY_SHARE = 0.5  # of the Retry-After for which a reservation outlives its due time
+MIN_EXPIRY_MS = 1000.0  # ms
 MIN_RETURN_SHARE = 0.02
 RETURN_SHARE_SMOOTHING = 0.05
 
@@ -25,19 +25,21 @@
     cost.
     """
 
-    __slots__ = ("cost", "due_at", "expires_at", "kept", "mark", "session", "wait")
+    __slots__ = ("cost", "due_at", "expires_at", "fingerprint", "is_active", "session", "wait")
 
-    def __init__(self, mark: int, session: int, due_at: float, wait: float, cost: float) -> None:
-        self.mark, self.session = mark, session
-        self.due_at, self.wait, self.cost, self.kept = due_at, wait, cost, True
-        self.expires_at = due_at + max(KEPT_SHARE * wait, MIN_KEPT_MS)
+    def __init__(
+        self, fingerprint: int, session: int, due_at: float, wait: float, cost: float
+    ) -> None:
+        self.fingerprint, self.session = fingerprint, session
+        self.due_at, self.wait, self.cost, self.is_active = due_at, wait, cost, True
+        self.expires_at = due_at + max(EXPIRY_SHARE * wait, MIN_EXPIRY_MS)
 
 
 class TenantReservations:
     """Reservations of one tenant."""
 
     __slots__ = (
-        "count", "places", "reserved_cost", "return_share", "unreserved_cost", "updated_at",
+        "by_fingerprint", "count", "reserved_cost", "return_share", "unreserved_cost", "updated_at",
     )  # fmt: skip
 
     def __init__(self) -> None:
@@ -46,7 +48,7 @@
             0.0  # charge promised without a place; it runs off at the tenant's pace
         )
         self.return_share = 1.0  # share of reservations that are taken up
-        self.places: dict[
+        self.by_fingerprint: dict[
             int, OrderedDict[int, Reservation]
         ] = {}  # by query, then by session, the first due first
         self.count = 0
@@ -64,31 +66,31 @@
 class ReservationBook:
     """Reservations of all tenants, booked into spans of time."""
 
-    def __init__(self, places: int, horizon: float) -> None:
-        self.max_reservations, self.span_count = places, max(int(horizon / SPAN_MS), 1)
-        self.kept = 0
+    def __init__(self, max_reservations: int, horizon: float) -> None:
+        self.max_reservations, self.span_count = max_reservations, max(int(horizon / SPAN_MS), 1)
+        self.count = 0
         self._booked_cost = [0.0] * self.span_count
         self._first_span = 0
         self._next_open: dict[int, int] = {}  # from full spans to the next candidate
-        self._expiry: list[tuple[float, int, str, Reservation]] = []
-        self._number = 0
+        self._expiry_heap: list[tuple[float, int, str, Reservation]] = []
+        self._sequence = 0
 
-    def _turn(self, now: float) -> None:
+    def _advance(self, now: float) -> None:
         span = int(now / SPAN_MS)
         for number in range(self._first_span, min(span, self._first_span + self.span_count)):
             self._booked_cost[number % self.span_count] = 0.0
             self._next_open.pop(number, None)
         self._first_span = max(self._first_span, span)
 
-    def slot(self, now: float, due_at: float, cost: float, rate: float) -> float:
+    def book_time(self, now: float, due_at: float, cost: float, rate: float) -> float:
         """Book the first time from `due_at` on with free capacity; returns that time."""
-        self._turn(now)
-        room = max(rate * SPAN_MS, cost)
+        self._advance(now)
+        capacity = max(rate * SPAN_MS, cost)
         number = max(int(due_at / SPAN_MS), self._first_span)
         end = self._first_span + self.span_count
         while number < end:
-            number = self._open(number)
-            if number >= end or self._booked_cost[number % self.span_count] + cost <= room:
+            number = self._first_open_span(number)
+            if number >= end or self._booked_cost[number % self.span_count] + cost <= capacity:
                 break
             self._next_open[number] = (
                 number + 1
@@ -98,9 +100,9 @@
             return max(due_at, end * SPAN_MS)
         filled = self._booked_cost[number % self.span_count]
         self._booked_cost[number % self.span_count] = filled + cost
-        return max(due_at, number * SPAN_MS + filled / room * SPAN_MS)
+        return max(due_at, number * SPAN_MS + filled / capacity * SPAN_MS)
 
-    def _open(self, number: int) -> int:
+    def _first_open_span(self, number: int) -> int:
         """The first span from this one on that is not full."""
         path = []
         while (following := self._next_open.get(number)) is not None:
@@ -110,87 +112,89 @@
             self._next_open[one] = number
         return number
 
-    def keep(
+    def add(
         self,
         owner: TenantReservations,
         tenant: str,
-        mark: int,
+        fingerprint: int,
         session: int,
         now: float,
         due_at: float,
         cost: float,
     ) -> bool:
         """Add a reservation; False where the bound or the horizon is passed."""
-        if self.kept >= self.max_reservations or due_at > now + self.span_count * SPAN_MS:
+        if self.count >= self.max_reservations or due_at > now + self.span_count * SPAN_MS:
             owner.unreserved_cost += cost
             return False
-        reservation = Reservation(mark, session, due_at, due_at - now, cost)
-        owner.places.setdefault(mark, OrderedDict())[session] = reservation
+        reservation = Reservation(fingerprint, session, due_at, due_at - now, cost)
+        owner.by_fingerprint.setdefault(fingerprint, OrderedDict())[session] = reservation
         owner.reserved_cost += cost
         owner.count += 1
-        self.kept += 1
-        self._number += 1
-        heapq.heappush(self._expiry, (reservation.expires_at, self._number, tenant, reservation))
+        self.count += 1
+        self._sequence += 1
+        heapq.heappush(
+            self._expiry_heap, (reservation.expires_at, self._sequence, tenant, reservation)
+        )
         return True
 
     def find(
-        self, owner: TenantReservations, mark: int, session: int, now: float
+        self, owner: TenantReservations, fingerprint: int, session: int, now: float
     ) -> tuple[Reservation | None, bool]:
         """(The reservation of a query, whether it is due).
 
         A due reservation serves any session of the client, since connection pools change sessions.
-        Before that it belongs to the session that was told: the same text of another session is
+        Before that it belongs to the session that was told: the same text in another session is
         another query.
         """
-        same = owner.places.get(mark)
-        if not same:
+        matching = owner.by_fingerprint.get(fingerprint)
+        if not matching:
             return None, False
-        first = next(iter(same.values()))
-        if now >= self.opens(first):
+        first = next(iter(matching.values()))
+        if now >= self.valid_from(first):
             return first, True
-        return same.get(session), False
+        return matching.get(session), False
 
-    def take_up(self, owner: TenantReservations, reservation: Reservation) -> None:
+    def redeem(self, owner: TenantReservations, reservation: Reservation) -> None:
         """The client returned as told."""
-        self.drop(owner, reservation)
+        self.remove(owner, reservation)
         owner.return_share += RETURN_SHARE_SMOOTHING * (1.0 - owner.return_share)
 
     @staticmethod
-    def opens(reservation: Reservation) -> float:
+    def valid_from(reservation: Reservation) -> float:
         """When a reservation is valid: a little before its time, since clocks differ."""
         return reservation.due_at - max(EARLY_SHARE * reservation.wait, MIN_EARLY_MS)
 
-    def drop(self, owner: TenantReservations, reservation: Reservation) -> None:
+    def remove(self, owner: TenantReservations, reservation: Reservation) -> None:
         """Remove a reservation."""
-        if not reservation.kept:
+        if not reservation.is_active:
             return
-        reservation.kept = False
-        same = owner.places[reservation.mark]
-        del same[reservation.session]
-        if not same:
-            del owner.places[reservation.mark]
+        reservation.is_active = False
+        matching = owner.by_fingerprint[reservation.fingerprint]
+        del matching[reservation.session]
+        if not matching:
+            del owner.by_fingerprint[reservation.fingerprint]
         owner.count -= 1
         owner.reserved_cost = (
             max(owner.reserved_cost - reservation.cost, 0.0) if owner.count else 0.0
         )
-        self.kept -= 1
+        self.count -= 1
 
-    def drop_all(self, owner: TenantReservations) -> None:
+    def remove_all(self, owner: TenantReservations) -> None:
         """Remove all reservations of a tenant that is evicted."""
-        for same in list(owner.places.values()):
-            for reservation in list(same.values()):
-                self.drop(owner, reservation)
+        for matching in list(owner.by_fingerprint.values()):
+            for reservation in list(matching.values()):
+                self.remove(owner, reservation)
 
     def expire(self, now: float, find_owner) -> None:
         """Let go of places nobody came for; `accounts(tenant)` finds an account or None."""
-        while self._expiry and self._expiry[0][0] <= now:
-            _, _, tenant, reservation = heapq.heappop(self._expiry)
+        while self._expiry_heap and self._expiry_heap[0][0] <= now:
+            _, _, tenant, reservation = heapq.heappop(self._expiry_heap)
             owner = find_owner(tenant)
-            if reservation.kept and owner is not None:
-                self.drop(owner, reservation)
+            if reservation.is_active and owner is not None:
+                self.remove(owner, reservation)
                 owner.return_share -= RETURN_SHARE_SMOOTHING * owner.return_share
         if (
-            len(self._expiry) > 2 * self.kept + 1024
+            len(self._expiry_heap) > 2 * self.count + 1024
         ):  # the heap keeps removed entries until they expire
-            self._expiry = [entry for entry in self._expiry if entry[3].kept]
-            heapq.heapify(self._expiry)
+            self._expiry_heap = [entry for entry in self._expiry_heap if entry[3].is_active]
+            heapq.heapify(self._expiry_heap)
--- a/tansycrank/admission/retry_after.py
+++ b/tansycrank/admission/retry_after.py
@@ -65,14 +65,16 @@
     drain_rate: float,
 ) -> float:
     """Reserve the first free time from `due` on for a rejected query; returns that time."""
-    due = reservations.slot(now, due, query.cost, min(drain_rate, MAX_RATE))
-    mark = query.mark or -query.id
-    reserved = tenant.reservations.places.get(mark, {}).get(query.session)
+    due = reservations.book_time(now, due, query.cost, min(drain_rate, MAX_RATE))
+    fingerprint = query.fingerprint or -query.id
+    reserved = tenant.reservations.by_fingerprint.get(fingerprint, {}).get(query.session)
     if reserved is not None and reserved.due_at > now:  # the session sent the same query twice
         return reserved.due_at
     if reserved is not None:  # a due time in the past would give a negative Retry-After
-        reservations.drop(tenant.reservations, reserved)
-    reservations.keep(tenant.reservations, tenant.key, mark, query.session, now, due, query.cost)
+        reservations.remove(tenant.reservations, reserved)
+    reservations.add(
+        tenant.reservations, tenant.key, fingerprint, query.session, now, due, query.cost
+    )
     return due
 
 
--- a/tansycrank/admission/tenants.py
+++ b/tansycrank/admission/tenants.py
@@ -67,24 +67,24 @@
     """State and counters of one tenant. `rate` is the cost per ms that it can rely on."""
 
     __slots__ = (
-        "admitted", "answered", "arrived", "corrected", "demand", "early", "inside", "is_parked",
-        "key", "last_seen", "left", "limits", "queue", "rate", "refused", "reservations",
-        "return_demand", "served_cost", "wait",
+        "admitted", "answered", "arrived", "cancelled", "corrected", "demand", "early_returns",
+        "is_parked", "key", "last_retry_after", "last_seen", "limits", "queue", "rate", "rejected",
+        "reservations", "return_demand", "served_cost", "shard_requests_in_flight",
     )  # fmt: skip
 
     def __init__(self, key: str, limits: Limits, class_weights: tuple[float, ...]) -> None:
         self.key, self.limits = key, limits
         self.queue = TenantQueue(limits.weight, class_weights)
         self.reservations = TenantReservations()
-        self.inside = 0  # shard requests in flight
+        self.shard_requests_in_flight = 0  # shard requests in flight
         self.rate = 0.0
         self.is_parked = False  # not scheduled, since it holds its maximum share
         self.last_seen = 0.0
         self.demand = DecayingRate(DEMAND_MEMORY_MS)
         self.return_demand = DecayingRate(DEMAND_MEMORY_MS / 2)
-        self.arrived = self.admitted = self.answered = self.refused = 0
-        self.corrected = self.early = self.left = 0
-        self.wait = 0.0  # the latest Retry-After, ms
+        self.arrived = self.admitted = self.answered = self.rejected = 0
+        self.corrected = self.early_returns = self.cancelled = 0
+        self.last_retry_after = 0.0  # the latest Retry-After, ms
         self.served_cost = 0.0  # cost served
 
     def record_demand(self, now: float, cost: float) -> None:
@@ -95,7 +95,7 @@
     @property
     def is_busy(self) -> bool:
         """Whether it has queries queued or in flight."""
-        return bool(self.queue) or self.inside > 0
+        return bool(self.queue) or self.shard_requests_in_flight > 0
 
     @property
     def queued_cost_by_weight(self) -> float:
@@ -108,7 +108,9 @@
         """
         most = self.limits.max_share * limit_shard_requests
         return (
-            self.limits.max_share >= 1 or self.inside == 0 or self.inside + shard_requests <= most
+            self.limits.max_share >= 1
+            or self.shard_requests_in_flight == 0
+            or self.shard_requests_in_flight + shard_requests <= most
         )
 
 
@@ -186,7 +188,7 @@
                 victim = tenant
         if victim is None:
             return False
-        self._book.drop_all(victim.reservations)
+        self._book.remove_all(victim.reservations)
         del self._tenants[victim.key]
         self._sketch.record(victim.key, max(victim.queue.finish_tag, victim.queue.start_tag))
         self.evicted += 1
--- a/tansycrank/cli.py
+++ b/tansycrank/cli.py
@@ -84,7 +84,9 @@
 def config_show(path: str, as_json: bool) -> None:
     """Show all settings with their defaults filled in."""
     found = _load(path)
-    sections = {name: msgspec.to_builtins(getattr(found, name)) for name in settings.SINGLE}
+    sections = {
+        name: msgspec.to_builtins(getattr(found, name)) for name in settings.SINGLE_SECTIONS
+    }
     for one in found.classes:
         sections[f"class {one.name}"] = msgspec.to_builtins(one.section)
     if as_json:
--- a/tansycrank/config/__init__.py
+++ b/tansycrank/config/__init__.py
@@ -4,13 +4,13 @@
 allowed.
 """
 
-from tansycrank.config.conversion import admission_policy, caller_identity, routing_settings
+from tansycrank.config.conversion import admission_policy, routing_settings, tenant_resolver
 from tansycrank.config.errors import ConfigError
 from tansycrank.config.loader import load, parse
 from tansycrank.config.model import Config, Distribution, QueryClassConfig, Table, split_list
 from tansycrank.config.sections import (
-    NAMED,
-    SINGLE,
+    NAMED_SECTIONS,
+    SINGLE_SECTIONS,
     ClassSection,
     DistributionSection,
     DoorSection,
@@ -26,8 +26,8 @@
 )
 
 __all__ = [
-    "NAMED",
-    "SINGLE",
+    "NAMED_SECTIONS",
+    "SINGLE_SECTIONS",
     "ClassSection",
     "Config",
     "ConfigError",
@@ -46,9 +46,9 @@
     "TableSection",
     "TenantSection",
     "admission_policy",
-    "caller_identity",
     "load",
     "parse",
     "routing_settings",
     "split_list",
+    "tenant_resolver",
 ]
--- a/tansycrank/config/checks.py
+++ b/tansycrank/config/checks.py
@@ -7,10 +7,10 @@
 from tansycrank.config.errors import ConfigError
 from tansycrank.config.model import Config, zone_names
 from tansycrank.config.sections import (
-    Record,
     RosterSection,
     RouterSection,
     RulesSection,
+    Section,
     StoreSection,
 )
 from tansycrank.config.tables import check_class, check_distribution, check_table
@@ -19,7 +19,7 @@
 BUDGET_KEYS = ("budget_floor", "budget_share", "budget_window_ms")
 
 
-def check(path: str, single: dict[str, Record], named: dict[str, dict[str, Record]]) -> Config:
+def check(path: str, single: dict[str, Section], named: dict[str, dict[str, Section]]) -> Config:
     """The settings, if all sections are consistent. Raises ConfigError with the first fault."""
     _check_router(path, single["router"])
     _check_store(path, single["store"])
@@ -41,7 +41,7 @@
     check_admission(path, single["door"], tenants)
     return Config(
         file=path,
-        rules_of_tenants=tenants,
+        tenant_rules=tenants,
         classes=classes,
         distributions=distributions,
         tables=tables,
--- a/tansycrank/config/conversion.py
+++ b/tansycrank/config/conversion.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from tansycrank import routing
-from tansycrank.admission.identity import Identity
+from tansycrank.admission.identity import TenantResolver
 from tansycrank.admission.policy import Policy
 from tansycrank.admission.settings import Settings as AdmissionSettings
 from tansycrank.config.model import Config, split_list
@@ -17,11 +17,11 @@
 )
 
 
-def caller_identity(config: Config) -> Identity:
+def tenant_resolver(config: Config) -> TenantResolver:
     """The rules that map sessions to tenants."""
     door = config.door
-    return Identity(
-        config.rules_of_tenants,
+    return TenantResolver(
+        config.tenant_rules,
         split_list(door.allow),
         split_list(door.deny),
         door.prefix4,
@@ -36,12 +36,12 @@
         return None
     sections = [one.section for one in config.classes for _ in IDEMPOTENCY_ORDER]
     settings = AdmissionSettings(
-        classes=tuple(section.weight for section in sections),
-        useful=tuple(_useful_ms(section) for section in sections),
-        queries=door.max_queued,
-        bytes=door.max_queued_bytes,
-        tenants=door.max_tenants,
-        places=door.max_places,
+        class_weights=tuple(section.weight for section in sections),
+        useful_times=tuple(_useful_ms(section) for section in sections),
+        max_queries=door.max_queued,
+        max_bytes=door.max_queued_bytes,
+        max_tenants=door.max_tenants,
+        max_reservations=door.max_places,
         horizon=door.horizon_ms,
     )
     return Policy(settings)
--- a/tansycrank/config/loader.py
+++ b/tansycrank/config/loader.py
@@ -11,7 +11,7 @@
 from tansycrank.config.checks import check
 from tansycrank.config.errors import ConfigError
 from tansycrank.config.model import Config
-from tansycrank.config.sections import NAMED, SINGLE, Record
+from tansycrank.config.sections import NAMED_SECTIONS, SINGLE_SECTIONS, Section
 
 NAME = re.compile(r"[a-z_][a-z0-9_-]{0,62}$")
 BOOLEANS = {"yes": "true", "on": "true", "no": "false", "off": "false"}
@@ -39,37 +39,41 @@
         parser.read_string(text, path)
     except configparser.Error as error:
         raise ConfigError(path, "-", "file", None, str(error).replace("\n", " ")) from None
-    single, named = {}, {kind: {} for kind in NAMED}
+    single, named = {}, {kind: {} for kind in NAMED_SECTIONS}
     for section in parser.sections():
         kind, _, name = section.partition(" ")
-        if section in SINGLE:
-            single[section] = _read_section(path, section, SINGLE[section], dict(parser[section]))
-        elif kind in NAMED and NAME.match(name.strip()):
+        if section in SINGLE_SECTIONS:
+            single[section] = _read_section(
+                path, section, SINGLE_SECTIONS[section], dict(parser[section])
+            )
+        elif kind in NAMED_SECTIONS and NAME.match(name.strip()):
             named[kind][name.strip()] = _read_section(
-                path, section, NAMED[kind], dict(parser[section])
+                path, section, NAMED_SECTIONS[kind], dict(parser[section])
             )
         else:
-            allowed = ", ".join([*SINGLE, *(f"{k} NAME" for k in NAMED)])
+            allowed = ", ".join([*SINGLE_SECTIONS, *(f"{k} NAME" for k in NAMED_SECTIONS)])
             raise ConfigError(path, section, "section", section, f"allowed sections: {allowed}")
-    for section, record in SINGLE.items():
-        single.setdefault(section, record())
+    for section, section_type in SINGLE_SECTIONS.items():
+        single.setdefault(section, section_type())
     return check(path, single, named)
 
 
-def _read_section(path: str, section: str, record: type[Record], raw: dict[str, str]) -> Record:
-    known = {f.name: f for f in msgspec.structs.fields(record)}
+def _read_section(
+    path: str, section: str, section_type: type[Section], raw: dict[str, str]
+) -> Section:
+    known = {f.name: f for f in msgspec.structs.fields(section_type)}
     for key, value in raw.items():
         if key not in known:
             raise ConfigError(
                 path, section, key, value, f"unknown key; allowed: {', '.join(known)}"
             )
-        if record.__annotations__.get(key) == "bool":
+        if section_type.__annotations__.get(key) == "bool":
             raw[key] = BOOLEANS.get(value.lower(), value)
     for key, field in known.items():
         if field.required and key not in raw:
             raise ConfigError(path, section, key, None, "a value is needed")
     try:
-        return msgspec.convert(raw, record, strict=False)
+        return msgspec.convert(raw, section_type, strict=False)
     except msgspec.ValidationError as error:
         what, _, where = str(error).partition(" - at `$.")
         key = where.rstrip("`") or "-"
--- a/tansycrank/config/model.py
+++ b/tansycrank/config/model.py
@@ -5,7 +5,7 @@
 import re
 from dataclasses import dataclass
 
-from tansycrank.admission.identity import Rule
+from tansycrank.admission.identity import TenantRule
 from tansycrank.config.sections import (
     ClassSection,
     DoorSection,
@@ -41,12 +41,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Distribution:
-    """A checked distribution; `lists` maps a text value to its shard."""
+    """A checked distribution; `shard_by_value` maps a text value to its shard."""
 
     name: str
     method: str
-    oid: int
-    lists: dict[str, int]
+    type_oid: int
+    shard_by_value: dict[str, int]
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
     roster: RosterSection
     log: LogSection
     door: DoorSection
-    rules_of_tenants: tuple[Rule, ...]
+    tenant_rules: tuple[TenantRule, ...]
     classes: tuple[QueryClassConfig, ...]
     distributions: dict[str, Distribution]
     tables: dict[str, Table]
--- a/tansycrank/config/sections.py
+++ b/tansycrank/config/sections.py
@@ -1,4 +1,4 @@
-"""Sections of the settings file: a record each, whose fields are the keys.
+"""Sections of the settings file: a struct each, whose fields are the keys.
 
 Field types and bounds say which values are allowed. `tansycrank config show` prints these records,
 and a test holds the operators' page against them.
@@ -19,11 +19,11 @@
 Port = Annotated[int, Meta(ge=0, le=65535)]
 
 
-class Record(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class Section(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Base of all sections."""
 
 
-class RouterSection(Record):
+class RouterSection(Section):
     """Who this router is. `routers` counts all routers of the fleet; `tick_ms` is the grain of its
     clock.
     """
@@ -37,7 +37,7 @@
     stop_within_ms: PositiveMs = 10000.0
 
 
-class ListenSection(Record):
+class ListenSection(Section):
     """The front. Port 0 lets the system pick. Sizes in bytes, the login time in ms."""
 
     host: str = "127.0.0.1"
@@ -51,7 +51,7 @@
     login_timeout_ms: PositiveMs = 10000.0
 
 
-class StoreSection(Record):
+class StoreSection(Section):
     """The data nodes: how shards lie on them, and the links. Shard s begins at cell s modulo
     `cells`.
     """
@@ -68,7 +68,7 @@
     idle_link_ms: PositiveMs = 300000.0
 
 
-class MergeSection(Record):
+class MergeSection(Section):
     """Memory and disk of merges, in bytes; a bound for all queries, for each, for one row, for the
     disk.
     """
@@ -82,7 +82,7 @@
     max_cursors: Count = 32
 
 
-class RulesSection(Record):
+class RulesSection(Section):
     """The figures of rules 3, 4 and 6, and what bounds attempts. A budget needs all three of its
     keys.
     """
@@ -102,7 +102,7 @@
     answer_grace_ms: Ms = 50.0
 
 
-class DoorSection(Record):
+class DoorSection(Section):
     """The door: bounds of its line (queries, bytes), of tenants known, of places kept and how far
     ahead.
 
@@ -123,7 +123,7 @@
     prefix6: Annotated[int, Meta(ge=16, le=128)] = 48
 
 
-class TenantSection(Record):
+class TenantSection(Section):
     """A rule that names a tenant. All keys given must fit; the longest network wins, then the order
     here.
 
@@ -143,7 +143,7 @@
     burst_ms: Ms = 0.0
 
 
-class RosterSection(Record):
+class RosterSection(Section):
     """Where the list of nodes comes from: `feed` (host:port) or `file` (for small sites)."""
 
     feed: str = ""
@@ -153,7 +153,7 @@
     max_nodes: Count = 10000
 
 
-class LogSection(Record):
+class LogSection(Section):
     """Log lines: `json` or `people`; `queries` writes one line a query."""
 
     format: Annotated[str, Meta(pattern="^(json|people)$")] = "json"
@@ -161,7 +161,7 @@
     queries: bool = True
 
 
-class ClassSection(Record):
+class ClassSection(Section):
     """A class of queries. `pattern` is a regular expression that statements of the class match;
     `weight` is its share at the door beside the client's other classes."""
 
@@ -174,7 +174,7 @@
     weight: Annotated[float, Meta(gt=0, le=1000)] = 1.0
 
 
-class DistributionSection(Record):
+class DistributionSection(Section):
     """How rows find their shard. `values` for `list`: `0: a, b; 1: c`."""
 
     method: Annotated[str, Meta(pattern="^(hash|list)$")]
@@ -182,7 +182,7 @@
     values: str = ""
 
 
-class TableSection(Record):
+class TableSection(Section):
     """A table: `distributed` by `column` as `distribution` says, or a `reference` table with every
     shard.
 
@@ -195,7 +195,7 @@
     column: str = ""
 
 
-SINGLE = {
+SINGLE_SECTIONS = {
     "router": RouterSection,
     "listen": ListenSection,
     "store": StoreSection,
@@ -205,7 +205,7 @@
     "roster": RosterSection,
     "log": LogSection,
 }
-NAMED = {
+NAMED_SECTIONS = {
     "class": ClassSection,
     "distribution": DistributionSection,
     "table": TableSection,
--- a/tansycrank/config/tables.py
+++ b/tansycrank/config/tables.py
@@ -36,17 +36,17 @@
         raise ConfigError(
             path, where, "type", section.type, "one of int2, int4, int8, text, varchar, uuid"
         )
-    lists = _shard_lists(path, where, section.values, shards)
-    if (section.method == "list") != bool(lists):
+    shard_by_value = _shards_by_value(path, where, section.values, shards)
+    if (section.method == "list") != bool(shard_by_value):
         raise ConfigError(
             path, where, "values", section.values or None, "needed for list, not allowed for hash"
         )
-    return Distribution(name, section.method, oid, lists)
+    return Distribution(name, section.method, oid, shard_by_value)
 
 
-def _shard_lists(path: str, where: str, text: str, shards: int) -> dict[str, int]:
+def _shards_by_value(path: str, where: str, text: str, shards: int) -> dict[str, int]:
     """The shard of each value in `SHARD: VALUE, ...; ...`."""
-    lists: dict[str, int] = {}
+    shard_by_value: dict[str, int] = {}
     for group in filter(str.strip, text.replace("\n", " ").split(";")):
         number, colon, members = group.partition(":")
         if not colon or not number.strip().isdigit() or int(number) >= shards:
@@ -54,10 +54,10 @@
                 path, where, "values", group.strip(), f"SHARD: VALUE, ...; shards 0 to {shards - 1}"
             )
         for member in filter(None, map(str.strip, members.split(","))):
-            if member in lists:
+            if member in shard_by_value:
                 raise ConfigError(path, where, "values", member, "each value once")
-            lists[member] = int(number)
-    return lists
+            shard_by_value[member] = int(number)
+    return shard_by_value
 
 
 def check_table(
@@ -81,7 +81,7 @@
         raise ConfigError(
             path, where, "column", section.column or None, f"one of: {', '.join(columns)}"
         )
-    ours, theirs = columns[section.column], distributions[section.distribution].oid
+    ours, theirs = columns[section.column], distributions[section.distribution].type_oid
     if (
         ours != theirs
         and {ours, theirs} - {types.TEXT, types.VARCHAR}
--- a/tansycrank/config/tenants.py
+++ b/tansycrank/config/tenants.py
@@ -4,7 +4,7 @@
 
 import re
 
-from tansycrank.admission.identity import PLACES, Rule, read_network
+from tansycrank.admission.identity import PLACEHOLDERS, TenantRule, read_network
 from tansycrank.admission.settings import MAX_RESERVED_SHARE, Limits
 from tansycrank.config.errors import ConfigError
 from tansycrank.config.model import split_list
@@ -22,7 +22,7 @@
     return tuple(split_list(text))
 
 
-def check_admission(path: str, door: DoorSection, rules: tuple[Rule, ...]) -> None:
+def check_admission(path: str, door: DoorSection, rules: tuple[TenantRule, ...]) -> None:
     """Check the networks of `[door]`, and that the minimum shares of all tenants fit."""
     for key in ("allow", "deny", "operators"):
         _networks(path, "door", key, getattr(door, key))
@@ -35,7 +35,7 @@
         )  # fmt: skip
 
 
-def check_tenant(path: str, name: str, section: TenantSection) -> Rule:
+def check_tenant(path: str, name: str, section: TenantSection) -> TenantRule:
     """The rule of a tenant section."""
     where = f"tenant {name}"
     patterns = {key: _pattern(path, where, key, getattr(section, key)) for key in PATTERN_KEYS}
@@ -47,7 +47,7 @@
     tenant = _tenant_name(path, where, section.tenant or name)
     _check_shares(path, where, section, tenant)
     limits = Limits(section.weight, section.min_share, section.max_share, section.burst_ms)
-    return Rule(
+    return TenantRule(
         name,
         tenant,
         limits,
@@ -67,9 +67,9 @@
 
 def _tenant_name(path: str, where: str, tenant: str) -> str:
     try:
-        tenant.format(**dict.fromkeys(PLACES, "x"))
+        tenant.format(**dict.fromkeys(PLACEHOLDERS, "x"))
     except (KeyError, IndexError, ValueError):
-        allowed = ", ".join("{" + place + "}" for place in PLACES)
+        allowed = ", ".join("{" + place + "}" for place in PLACEHOLDERS)
         raise ConfigError(path, where, "tenant", tenant, f"a name, with {allowed} in it") from None
     return tenant
 
--- a/tansycrank/postgres/server/session.py
+++ b/tansycrank/postgres/server/session.py
@@ -136,7 +136,7 @@
         self.state = SessionState.CLOSED
         self._cancel_timer()
         self.factory.closed(self)
-        self.factory.turns.forget(self, self._tenant())
+        self.factory.turns.remove(self, self._tenant())
         self._queue.clear()
         self._operation.abandon()
         result = self._row_writer.discard()
--- a/tansycrank/sql/shards.py
+++ b/tansycrank/sql/shards.py
@@ -18,14 +18,14 @@
     """The value in the distribution's type; None if no row can equal it; ValueError if that is
     unclear.
     """
-    if distribution.oid in types.INTEGERS:
+    if distribution.type_oid in types.INTEGERS:
         if isinstance(value, bool):
             raise ValueError(value)
         if isinstance(value, str):
             value = Decimal(value)
         if isinstance(value, int | float | Decimal):
             return int(value) if value == int(value) else None
-    elif distribution.oid == types.UUID:
+    elif distribution.type_oid == types.UUID:
         if isinstance(value, str):
             return types.decode(types.UUID, 0, value.encode())
         if isinstance(value, bytes) and len(value) == 16:
@@ -45,9 +45,9 @@
         text = (
             types.encode(types.UUID, 0, value).decode() if isinstance(value, bytes) else str(value)
         )
-        if text not in distribution.lists:
+        if text not in distribution.shard_by_value:
             raise NoShardError(text)
-        return distribution.lists[text]
+        return distribution.shard_by_value[text]
     if isinstance(value, int):
         raw = (value & (2**64 - 1)).to_bytes(8, "big")
     else:
--- a/tansycrank/sql_router/service.py
+++ b/tansycrank/sql_router/service.py
@@ -13,8 +13,8 @@
 
 from tansycrank.admission import views
 from tansycrank.admission.controller import AdmissionController, AdmissionEntry
-from tansycrank.admission.identity import Caller, Identity
-from tansycrank.config import Config, admission_policy, caller_identity, split_list
+from tansycrank.admission.identity import Caller, TenantResolver
+from tansycrank.config import Config, admission_policy, split_list, tenant_resolver
 from tansycrank.merge import pipeline
 from tansycrank.merge.blocks import frames_of
 from tansycrank.merge.rows import Result, ShardRows, merge, shard_formats
@@ -83,8 +83,8 @@
     def start_admission(self, reactor) -> None:
         """Set up admission control from the settings."""
         config = self.config
-        self.identity = caller_identity(config)
-        self._operators = Identity(
+        self.identity = tenant_resolver(config)
+        self._operators = TenantResolver(
             allow=split_list(config.door.operators) or ["255.255.255.255/32"]
         )
         self.admission = AdmissionController(reactor, admission_policy(config), self.log)
@@ -97,14 +97,14 @@
 
     def may_enter(self, caller: Caller) -> PgError | None:
         """Why a client may not have a session, if so."""
-        if self.identity.may_enter(caller.address):
+        if self.identity.may_connect(caller.address):
             return None
         return PgError(
             "28000", f"no entry for {caller.address}: [door] allow and deny", severity="FATAL"
         )
 
     def _check_operator(self, caller: Caller, what: str) -> None:
-        if not self._operators.may_enter(caller.address):
+        if not self._operators.may_connect(caller.address):
             raise PgError("42501", f"{what}: only for sessions from [door] operators")
 
     def view(
@@ -115,13 +115,13 @@
             return None
         self._check_operator(caller, name)
         if name == "tansycrank.admission":
-            return ("figure", "value"), views.door(self.admission)
-        return views.TENANT_COLUMNS, views.tenants(self.admission)
+            return ("figure", "value"), views.admission_figures(self.admission)
+        return views.TENANT_COLUMNS, views.tenant_rows(self.admission)
 
     def change_limits(self, caller: Caller, text: str) -> None:
         """Other limits for a tenant, while the router runs. Raises PgError 42501, 22023."""
         self._check_operator(caller, "tansycrank.limits")
-        views.change(self.admission, text)
+        views.change_limits(self.admission, text)
 
     # --- class and deadline -------------------------------------------------------------
 
@@ -237,7 +237,7 @@
         sql = request.prepared.sql
         size = len(sql) + sum(len(value) for value in request.values if value is not None)
         return Running(
-            self.admission.enter(
+            self.admission.submit(
                 caller_id,
                 query_class,
                 shard_requests,
@@ -245,9 +245,9 @@
                 start,
                 done,
                 statement=statement_hash(sql),
-                mark=query_hash(caller_id, sql, request.values),
+                fingerprint=query_hash(caller_id, sql, request.values),
                 size=size,
-                repeat=is_repeat(settings),
+                is_retry=is_repeat(settings),
                 session=request.caller.session,
             )
         )
@@ -319,7 +319,7 @@
 
     def cancel(self, running: Running, left: bool = False) -> None:
         """The client cancels, or has left."""
-        self.admission.leave(running.entry, self.coordinator.abandon)
+        self.admission.cancel(running.entry, self.coordinator.abandon)
 
     def describe(
         self,
--- a/tansycrank/testbed/admission_emulator.py
+++ b/tansycrank/testbed/admission_emulator.py
@@ -81,7 +81,9 @@
     work_ms: float = 40.0
     seed: int = 1
     door: bool = True
-    bounds: Settings = field(default_factory=lambda: Settings(classes=(1.0,), useful=(AIM,)))
+    bounds: Settings = field(
+        default_factory=lambda: Settings(class_weights=(1.0,), useful_times=(AIM,))
+    )
     faults: tuple[tuple[float, str, float], ...] = ()
 
     @property
@@ -195,12 +197,12 @@
         entered: list = []
         entry = router.ask(asker, 0, shards, scene.work_ms, load.remaining, done, mark=mark)
         entered.append(entry)
-        if entry.ended and not entry.is_admitted:
+        if entry.is_ended and not entry.is_admitted:
             entered.clear()
 
     def _settle(self, promise: Promise | None, entered: list, tries: int) -> None:
         if promise is not None and entered and promise.took < 0:
-            promise.took = entered[0].began - promise.at
+            promise.took = entered[0].admitted_at - promise.at
             promise.first = tries == 1
 
     def _turned_away(self, load, router, asker, mark, promise, tries, wait) -> None:
@@ -220,7 +222,9 @@
         self.clock.callLater(delay / 1000, self._ask, *again)
 
     def _shadow(self, load: Load, router: SimRouter, promise: Promise) -> None:
-        left = router.policy.would_wait(self.clock.seconds() * 1000, load.name, load.shard_requests)
+        left = router.policy.expected_wait_on_return(
+            self.clock.seconds() * 1000, load.name, load.shard_requests
+        )
         promise.took, promise.first = promise.wait + left, left < load.remaining
 
     # --- figures ------------------------------------------------------------------------
--- a/tansycrank/testbed/measure_admission.py
+++ b/tansycrank/testbed/measure_admission.py
@@ -165,7 +165,7 @@
 
 def _memory_run(tenants: int, size: int) -> dict:
     """In a process of its own: what the system counts for it, from before the first query on."""
-    policy, clock, points = Policy(Settings(useful=(1000.0,))), [0.0], []
+    policy, clock, points = Policy(Settings(useful_times=(1000.0,))), [0.0], []
     gc.collect()
     base = memory(os.getpid())
 
@@ -180,7 +180,7 @@
         "peak_over_base_mib": round((memory(os.getpid(), "VmHWM") - base) / MIB, 1),
         "refused": sum(policy.counts[k] for k in ("line", "late", "full", "pushed")),
         "tenants known": len(policy.tenants),
-        "places": policy.reservations.kept,
+        "places": policy.reservations.count,
         "cpu_us_a_query": round(used / size * 1e6, 1),
         "points": points,
     }
--- a/tansycrank/testbed/simulated.py
+++ b/tansycrank/testbed/simulated.py
@@ -256,6 +256,6 @@
             job = self.coordinator.submit(query_class, left, requests, finished, repeat)
             return job
 
-        return self.gate.enter(
+        return self.gate.submit(
             asker, query_class, len(shards), remaining, start, done, statement, mark, 100, repeat
         )
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -19,14 +19,15 @@
         self.gate = AdmissionController(self.clock, Policy(Settings(**bounds)))
         self.running, self.heard, self.left = {}, {}, {}
 
-    def ask(self, name, asker=ASKER, remaining=1000.0, mark=0):
+    def ask(self, name, asker=ASKER, remaining=1000.0, fingerprint=0):
         def start(left, done):
             self.running[name], self.left[name] = done, left
             return name
 
-        return self.gate.enter(
+        return self.gate.submit(
             asker, 0, 1, remaining, start,
-            lambda outcome: self.heard.setdefault(name, []).append(outcome), mark=mark,
+            lambda outcome: self.heard.setdefault(name, []).append(outcome),
+            fingerprint=fingerprint,
         )  # fmt: skip
 
     def end(self, name, outcome="answer"):
@@ -87,7 +88,7 @@
 
 def test_the_modules_refusal_leaves_with_the_doors_wait():
     site = LocalCluster()
-    site.ask("q", mark=3)
+    site.ask("q", fingerprint=3)
     site.end("q", PgError(QUERY_REJECTED, "no", "retry_after_ms=900"))
     (answer,) = site.heard["q"]
     assert int(answer.detail.split("=")[1].split()[0]) >= 900 and "reason=module" in answer.detail
@@ -97,8 +98,8 @@
     site = LocalCluster()
     site.crowd()
     entry = site.ask("leaver", remaining=60_000.0)
-    site.gate.leave(entry, lambda running: None)
-    site.gate.leave(entry, lambda running: None)
+    site.gate.cancel(entry, lambda running: None)
+    site.gate.cancel(entry, lambda running: None)
     assert [a.state for a in site.heard["leaver"]] == ["57014"]
     assert entry.id not in site.gate.policy.queue.queries
 
@@ -124,7 +125,7 @@
     clock, started = Clock(), []
     gate = AdmissionController(clock, None)
     for _ in range(100):
-        gate.enter(
+        gate.submit(
             ASKER, 0, 1, 100.0, lambda left, done: started.append(left), lambda outcome: None
         )
     assert len(started) == 100
--- a/tests/admission/test_identity.py
+++ b/tests/admission/test_identity.py
@@ -8,13 +8,19 @@
 from netaddr import IPAddress, IPNetwork
 
 from tansycrank import config
-from tansycrank.admission.identity import Caller, Identity, Networks, Rule, read_address
+from tansycrank.admission.identity import (
+    Caller,
+    NetworkTable,
+    TenantResolver,
+    TenantRule,
+    read_address,
+)
 from tansycrank.admission.settings import Limits
 
 
 def rule(name, tenant=None, **keys):
     patterns = {k: re.compile(keys.pop(k)) for k in ("user", "database", "setting") if k in keys}
-    return Rule(name, tenant or name, Limits(**keys.pop("limits", {})), **patterns, **keys)
+    return TenantRule(name, tenant or name, Limits(**keys.pop("limits", {})), **patterns, **keys)
 
 
 def who(identity, address="10.1.2.3", user="u", database="d", claimed=""):
@@ -22,7 +28,7 @@
 
 
 def test_the_longest_network_wins_then_the_order_of_the_file():
-    identity = Identity(
+    identity = TenantResolver(
         [
             rule("wide", networks=("10.0.0.0/8",)),
             rule("narrow", networks=("10.1.0.0/16",)),
@@ -37,7 +43,7 @@
 
 
 def test_all_keys_given_must_fit_and_names_are_filled_in():
-    identity = Identity(
+    identity = TenantResolver(
         [
             rule("r1", "fleet-{user}", user="fleet_(.*)", networks=("10.0.0.0/8",)),
             rule("r2", "db-{database}", database="shop_.*"),
@@ -54,7 +60,7 @@
 
 @given(st.text(max_size=100), st.text(max_size=100))
 def test_made_up_names_gain_nothing(user, claimed):
-    identity = Identity([rule("known", networks=("10.0.0.0/8",), user="known")])
+    identity = TenantResolver([rule("known", networks=("10.0.0.0/8",), user="known")])
     assert who(identity, "203.0.113.9", user, claimed=claimed) == "net:203.0.113.0/24"
     assert who(identity, "2001:db8:1:2::9", user, claimed=claimed) == "net:2001:db8:1::/48"
 
@@ -64,7 +70,7 @@
 
 @given(st.lists(st.tuples(ADDRESSES, st.integers(0, 32)), max_size=12), ADDRESSES)
 def test_networks_are_found_from_the_longest_as_a_plain_search_finds_them(members, number):
-    networks = Networks()
+    networks = NetworkTable()
     texts = [str(IPNetwork((first, length), version=4).cidr) for first, length in members]
     for text in texts:
         networks.add(text, text)
@@ -76,20 +82,22 @@
 
 
 def test_allow_and_deny_by_the_longest_network():
-    identity = Identity(allow=["10.0.0.0/8", "10.1.5.0/24"], deny=["10.1.0.0/16", "10.1.5.0/24"])
-    assert identity.may_enter("10.2.0.1")
-    assert not identity.may_enter("10.1.0.1")
-    assert not identity.may_enter("10.1.5.1")  # both name it: deny wins
-    assert not identity.may_enter("192.168.0.1")  # there is a list of those allowed
-    assert Identity(deny=["10.0.0.0/8"]).may_enter("192.168.0.1")
-    assert Identity().may_enter("anything")
+    identity = TenantResolver(
+        allow=["10.0.0.0/8", "10.1.5.0/24"], deny=["10.1.0.0/16", "10.1.5.0/24"]
+    )
+    assert identity.may_connect("10.2.0.1")
+    assert not identity.may_connect("10.1.0.1")
+    assert not identity.may_connect("10.1.5.1")  # both name it: deny wins
+    assert not identity.may_connect("192.168.0.1")  # there is a list of those allowed
+    assert TenantResolver(deny=["10.0.0.0/8"]).may_connect("192.168.0.1")
+    assert TenantResolver().may_connect("anything")
 
 
 def test_what_is_remembered_of_callers_is_bounded():
-    identity = Identity()
+    identity = TenantResolver()
     for number in range(10_000):
         who(identity, str(IPAddress(number, 4)))
-    assert len(identity._known) <= 4096
+    assert len(identity._cache) <= 4096
     assert read_address("fe80::1%eth0") == IPAddress("fe80::1")
 
 
--- a/tests/admission/test_machine.py
+++ b/tests/admission/test_machine.py
@@ -16,7 +16,12 @@
 from tansycrank.admission.settings import Limits, Settings
 
 BOUNDS = Settings(
-    classes=(1.0, 3.0), useful=(500.0, 900.0), queries=12, bytes=4000, tenants=4, places=10
+    class_weights=(1.0, 3.0),
+    useful_times=(500.0, 900.0),
+    max_queries=12,
+    max_bytes=4000,
+    max_tenants=4,
+    max_reservations=10,
 )
 
 
@@ -50,17 +55,19 @@
         shard_requests=st.integers(1, 9),
         left=st.floats(1, 3000),
         size=st.integers(0, 1500),
-        mark=st.integers(0, 30),
+        fingerprint=st.integers(0, 30),
         repeat=st.booleans(),
         share=st.sampled_from([0.0, 0.0, 0.2]),
     )
-    def arrives(self, tenant, client, query_class, shard_requests, left, size, mark, repeat, share):
+    def arrives(
+        self, tenant, client, query_class, shard_requests, left, size, fingerprint, repeat, share
+    ):
         self.ids += 1
         self.open[self.ids] = tenant
         self.play(
             QueryArrived(
-                self.ids, tenant, client, query_class, shard_requests, left, mark % 5,
-                mark, size, repeat,
+                self.ids, tenant, client, query_class, shard_requests, left, fingerprint % 5,
+                fingerprint, size, repeat,
                 Limits(min_share=share),
             )
         )  # fmt: skip
@@ -105,26 +112,30 @@
     @invariant()
     def bounds_hold(self):
         policy = self.policy
-        assert policy.queue.scheduler.size == len(policy.queue.queries) <= BOUNDS.queries
+        assert policy.queue.scheduler.size == len(policy.queue.queries) <= BOUNDS.max_queries
         assert (
-            policy.queue.bytes == sum(t.size for t in policy.queue.queries.values()) <= BOUNDS.bytes
+            policy.queue.bytes
+            == sum(t.size for t in policy.queue.queries.values())
+            <= BOUNDS.max_bytes
         )
         assert policy.in_flight.shard_requests == sum(
             t.shard_requests for t in policy.in_flight.queries.values()
         )
-        assert 0 <= policy.reservations.kept <= BOUNDS.places
-        assert policy.reservations.kept == sum(
+        assert 0 <= policy.reservations.count <= BOUNDS.max_reservations
+        assert policy.reservations.count == sum(
             t.reservations.count for t in policy.tenants.values()
         )
         for tenant in policy.tenants.values():
-            assert tenant.reservations.count == sum(map(len, tenant.reservations.places.values()))
+            assert tenant.reservations.count == sum(
+                map(len, tenant.reservations.by_fingerprint.values())
+            )
 
     @invariant()
     def lines_add_up(self):
         for tenant in self.policy.tenants.values():
             mine = [t for t in self.policy.queue.queries.values() if t.tenant == tenant.key]
             assert tenant.queue.size == len(mine)
-            assert tenant.inside == sum(
+            assert tenant.shard_requests_in_flight == sum(
                 t.shard_requests
                 for t in self.policy.in_flight.queries.values()
                 if t.tenant == tenant.key
--- a/tests/admission/test_policy.py
+++ b/tests/admission/test_policy.py
@@ -44,12 +44,23 @@
         while self.queue and len(self.running) < self.slots:
             self.running[self.queue.pop(0)] = self.now + self.work
 
-    def ask(self, tenant="a", client="c", shard_requests=1, remaining=1000.0, mark=0, **more):
+    def ask(
+        self, tenant="a", client="c", shard_requests=1, remaining=1000.0, fingerprint=0, **more
+    ):
         self.ids += 1
         number = self.ids
         self.shard_requests[number], self.tenant_of[number] = shard_requests, tenant
         self.play(
-            QueryArrived(number, tenant, client, 0, shard_requests, remaining, mark=mark, **more)
+            QueryArrived(
+                number,
+                tenant,
+                client,
+                0,
+                shard_requests,
+                remaining,
+                fingerprint=fingerprint,
+                **more,
+            )
         )
         return number
 
@@ -137,7 +148,7 @@
         for _ in range(rng.randrange(3)):
             who[world.ask("a", client="few")] = "few"
         for i in range(8):
-            who[world.ask("a", client="many", mark=world.ids * 100 + i)] = "many"
+            who[world.ask("a", client="many", fingerprint=world.ids * 100 + i)] = "many"
         world.run(world.now + 10)
     for number in world.admitted[before:]:
         if number in who:
@@ -171,21 +182,21 @@
     assert 4 < a / b < 16  # as much work each: ten times as many of the short
 
 
-def turned_away(world, mark):
-    """Ask until one is turned away: its mark and its wait."""
+def turned_away(world, fingerprint):
+    """Ask until one is turned away: its fingerprint and its wait."""
     while True:
-        number = world.ask("a", mark=mark)
+        number = world.ask("a", fingerprint=fingerprint)
         if number in world.refused:
-            return mark, world.refused[number].wait
-        mark += 1
+            return fingerprint, world.refused[number].wait
+        fingerprint += 1
 
 
 def test_who_comes_back_as_told_is_let_in_before_newcomers():
     world = World().load(3, {"a": 900})
-    mark, wait = turned_away(world, 10_000)
+    fingerprint, wait = turned_away(world, 10_000)
     assert wait > 0
     world.load(wait / 1000, {"a": 900})
-    again = world.ask("a", mark=mark)
+    again = world.ask("a", fingerprint=fingerprint)
     world.run(world.now + 700)
     assert again in world.admitted
     assert world.policy.counts["returned"] == 1
@@ -193,13 +204,13 @@
 
 def test_who_comes_back_too_early_hears_the_same_time_and_counts_once():
     world = World().load(3, {"a": 900})
-    mark, wait = turned_away(world, 10_000)
+    fingerprint, wait = turned_away(world, 10_000)
     due = world.now + wait
     tenant = world.policy.tenants["a"]
     arrived, reserved_cost = tenant.arrived, tenant.reservations.reserved_cost
     for _ in range(20):
         world.play(PeriodicTick())
-        again = world.ask("a", mark=mark)
+        again = world.ask("a", fingerprint=fingerprint)
         assert world.refused[again].reason == "early"
         assert world.now + world.refused[again].wait == pytest.approx(due)
     assert (tenant.arrived, tenant.reservations.reserved_cost) == (arrived, reserved_cost)
@@ -207,13 +218,16 @@
 
 def test_the_same_text_of_another_session_is_another_query():
     world = World().load(3, {"a": 900})
-    mark, wait = turned_away(world, 10_000)
-    early, other = world.ask("a", mark=mark), world.ask("a", mark=mark, session=2)
+    fingerprint, wait = turned_away(world, 10_000)
+    early, other = (
+        world.ask("a", fingerprint=fingerprint),
+        world.ask("a", fingerprint=fingerprint, session=2),
+    )
     assert world.refused[early].reason == "early"
     assert other not in world.refused or world.refused[other].reason != "early"
     world.load(wait / 1000, {"a": 900})
     again = world.ask(
-        "a", mark=mark, session=3
+        "a", fingerprint=fingerprint, session=3
     )  # a pool gives it another session: its place is good
     world.run(world.now + 700)
     assert again in world.admitted and world.policy.counts["returned"] >= 1
@@ -223,7 +237,7 @@
     world = World().load(2, {"a": 900})
     tenant = world.policy.tenants["a"]
     arrived = tenant.arrived
-    world.ask("a", repeat=True)
+    world.ask("a", is_retry=True)
     assert tenant.arrived == arrived
 
 
@@ -231,7 +245,7 @@
     world = World().load(3, {"a": 300, "b": 300})
     told = []
     for i in range(400):
-        number = world.ask(f"n{i}", mark=1000 + i, remaining=1.0)
+        number = world.ask(f"n{i}", fingerprint=1000 + i, remaining=1.0)
         if number in world.refused:
             told.append(world.refused[number].wait)
     assert len(told) > 300
@@ -244,22 +258,23 @@
 
 
 def test_a_hundred_thousand_tenants_once_each_stay_within_the_bounds():
-    world = World(tenants=512, queries=200, places=1000)
+    world = World(max_tenants=512, max_queries=200, max_reservations=1000)
     for i in range(100_000):
-        world.ask(f"tenant-{i}", mark=i + 1)
+        world.ask(f"tenant-{i}", fingerprint=i + 1)
         if i % 10 == 0:
             world.run(world.now + 5)
     policy = world.policy
     assert len(policy.tenants) <= 512 + 64 and policy.queue.scheduler.size <= 200
     assert (
-        policy.reservations.kept <= 1000 and len(policy.reservations._expiry) <= 2 * 1000 + 1024 + 1
+        policy.reservations.count <= 1000
+        and len(policy.reservations._expiry_heap) <= 2 * 1000 + 1024 + 1
     )
     assert len(policy.queue._deadlines) <= 2 * 200 + 1024 + 1
     assert len(policy.queue.scheduler.children) <= 3 * 200 + 64
 
 
 def test_a_new_name_for_each_query_leaves_old_tenants_their_part():
-    world = World(tenants=64, queries=300)
+    world = World(max_tenants=64, max_queries=300)
     rng = random.Random(5)
     while world.now < 6000:
         for i in range(20):
@@ -272,7 +287,7 @@
 
 
 def test_a_tenant_forgotten_and_back_does_not_gain():
-    policy = Policy(Settings(tenants=64))
+    policy = Policy(Settings(max_tenants=64))
     tenant = policy._tenant("x", Limits())
     tenant.queue.finish_tag = 500.0
     for i in range(200):
@@ -282,7 +297,7 @@
 
 
 def test_the_full_line_pushes_out_who_holds_most_of_it():
-    world = World(slots=1, work=1000.0, queries=10)
+    world = World(slots=1, work=1000.0, max_queries=10)
     for _ in range(30):
         world.ask("big", remaining=1e9)
     assert world.policy.queue.scheduler.size == 10
@@ -292,7 +307,7 @@
 
 
 def test_bytes_in_line_are_bounded():
-    world = World(slots=1, work=1000.0, bytes=1000)
+    world = World(slots=1, work=1000.0, max_bytes=1000)
     for _ in range(40):
         world.ask("a", remaining=1e9, size=300)
     assert world.policy.queue.bytes <= 1000
@@ -330,7 +345,7 @@
     before, drain_rate = world.policy.limit.shard_requests, world.policy.drain_rate
     marks = []
     for i in range(300):
-        number = world.ask("a", mark=10_000 + i)
+        number = world.ask("a", fingerprint=10_000 + i)
         if number in world.refused:
             marks.append((10_000 + i, world.now + world.refused[number].wait))
     assert len(marks) > 200
@@ -339,7 +354,7 @@
     marks.sort(key=lambda m: m[1])
     while world.now < 13_000:
         while marks and marks[0][1] <= world.now:
-            number = world.ask("a", mark=marks.pop(0)[0], remaining=400.0)
+            number = world.ask("a", fingerprint=marks.pop(0)[0], remaining=400.0)
             if number in world.refused:
                 assert world.refused[number].corrected
                 corrected += 1
@@ -352,7 +367,7 @@
 
 def test_the_modules_refusal_gets_a_place_no_sooner_than_the_module_asked():
     world = World()
-    number = world.ask("a", mark=5)
+    number = world.ask("a", fingerprint=5)
     world.queue.clear()
     world.running.clear()
     world.play(QueryEnded(number, "refused", 3.0, retry_after_ms=700.0))
@@ -364,7 +379,7 @@
     world = World(slots=20).load(5, {"a": 1500})
     before = world.policy.limit.shard_requests
     world.now += 2000
-    world.play(PeriodicTick(late=2000.0))
+    world.play(PeriodicTick(timer_lag=2000.0))
     world.load(0.5, {"a": 1500})
     assert world.policy.limit.shard_requests > before / 2
 
@@ -389,15 +404,15 @@
     policy, number = Policy(Settings()), 0
     while not policy.queue.queries:  # until nothing more is let in
         number += 1
-        policy.step(0.0, [QueryArrived(number, "b", "c", 0, 9, 900.0, mark=100 + number)])
+        policy.step(0.0, [QueryArrived(number, "b", "c", 0, 9, 900.0, fingerprint=100 + number)])
     reservations = policy.tenants["b"].reservations
-    policy.reservations.keep(
+    policy.reservations.add(
         reservations, "b", 100 + number, 0, 0.0, 400.0, 9.0
     )  # its first was told 400 ms
     refused = [one for one in policy.step(900.0, [PeriodicTick()]) if isinstance(one, Reject)]
     assert [one.id for one in refused] == [number] and refused[0].wait >= 0.0
     assert (
-        policy.reservations.kept
+        policy.reservations.count
         == reservations.count
-        == sum(map(len, reservations.places.values()))
+        == sum(map(len, reservations.by_fingerprint.values()))
     )
--- a/tests/admission/test_reader_scheduler.py
+++ b/tests/admission/test_reader_scheduler.py
@@ -81,7 +81,7 @@
     for reader in readers:
         turns.wake(reader, "a")
     last = readers[-1]
-    turns.forget(last, "a")
+    turns.remove(last, "a")
     for _ in range(30):
         clock.turn()
     assert last.seen == 0 and all(r.seen for r in readers[:-1])
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -81,8 +81,8 @@
 
     folder = Path(__file__).parent.parent / "docs/operate"
     page = "".join((folder / name).read_text(encoding="utf-8") for name in ("router.md", "door.md"))
-    for record in (*config.SINGLE.values(), *config.NAMED.values()):
-        for field in msgspec.structs.fields(record):
+    for section_type in (*config.SINGLE_SECTIONS.values(), *config.NAMED_SECTIONS.values()):
+        for field in msgspec.structs.fields(section_type):
             assert field.name in page, field.name
 
 
--- a/tests/test_edge_forms.py
+++ b/tests/test_edge_forms.py
@@ -77,7 +77,7 @@
 
 
 def test_the_settings_file_keeps_its_sections_and_keys():
-    sections = config.SINGLE | config.NAMED
+    sections = config.SINGLE_SECTIONS | config.NAMED_SECTIONS
     assert {name: " ".join(keys(record)) for name, record in sections.items()} == SETTINGS_FILE
 
 
