--- a/tansycrank/http_router/daemon.py
+++ b/tansycrank/http_router/daemon.py
@@ -25,7 +25,7 @@
 from tansycrank.http_router.http_server import HttpServer
 from tansycrank.http_router.maintenance import Maintenance
 from tansycrank.http_router.settings import ConfigError, EndpointListDocument, Settings
-from tansycrank.http_router.version_reset import VersionReset
+from tansycrank.http_router.version_reset import VersionResetDetector
 from tansycrank.pending_notifications import PendingNotifications
 from tansycrank.stall_metrics import StallMetrics
 
@@ -83,7 +83,7 @@
         )
         self.discovery = DiscoveryClient(reactor, *settings.discovery, self)
         self.pool.notifications = PendingNotifications(reactor, self.discovery.read_available)
-        self._version_reset = VersionReset(reactor, settings.seed, self.discovery.poll_once)
+        self._version_reset = VersionResetDetector(reactor, settings.seed, self.discovery.poll_once)
         self.coordinator = Coordinator(
             reactor,
             settings.module,
@@ -204,7 +204,7 @@
         versions = {"version": document.version, "held": self.names.version}
         if not self._version_reset.is_suspected:
             log("older_endpoint_list_received", **versions)
-        if not self._version_reset.is_confirmed(document.full):
+        if not self._version_reset.observe_older_list(document.full):
             return True
         log("endpoint_list_versions_reset", **versions)
         return False
--- a/tansycrank/http_router/version_reset.py
+++ b/tansycrank/http_router/version_reset.py
@@ -12,7 +12,7 @@
 MIN_JITTER = 0.75  # of the interval between polls, 1.25 at most
 
 
-class VersionReset:
+class VersionResetDetector:
     """Tells an outdated list, which is ignored, from the first one after a reset.
 
     `poll` is called until a list of the version held or a newer one comes, or the reset is
@@ -30,13 +30,13 @@
         """Whether only lists of lower versions have come since some time."""
         return self._first_at is not None
 
-    def is_confirmed(self, is_whole: bool) -> bool:
+    def observe_older_list(self, is_snapshot: bool) -> bool:
         """Note a list of a lower version than the one held; whether it has to be believed."""
         now = self._reactor.seconds()
         if self._first_at is None:
             self._first_at = now
             self._schedule_poll()
-        return is_whole and now - self._first_at >= CONFIRMATION_SECONDS
+        return is_snapshot and now - self._first_at >= CONFIRMATION_SECONDS
 
     def clear(self) -> None:
         """Note a list that was believed."""
