--- a/tests/http_router/test_belief.py
+++ b/tests/http_router/test_belief.py
@@ -5,7 +5,7 @@
 import random
 
 from live import Live, answer, entry, post
-from test_discovery import HEAD, line
+from test_discovery import CHUNKED_RESPONSE_HEAD, endpoint_list_chunk
 
 
 def out(live):
@@ -68,7 +68,7 @@
 def test_nothing_is_kept_of_thousands_of_clients_queries_and_nodes():
     live = Live()
     watch = live.discovery[0].accept()
-    watch.say(HEAD)
+    watch.say(CHUNKED_RESPONSE_HEAD)
     for n in range(1500):
         client = live.client()
         live.ask(post(id=f"r{n}", shards=((n % 9, 1.0),)), client)
@@ -80,7 +80,7 @@
         if n % 10 == 0:
             old, new = n // 10 + 1, n // 10 + 4
             replaced = entry(new, addr=f"127.0.1.{new % 250 + 1}:7070")
-            watch.say(line(5 + n, replaced, entry(old, "terminated")))
+            watch.say(endpoint_list_chunk(5 + n, replaced, entry(old, "terminated")))
             live.run(1.0)
             watch.say(b"1\r\n\n\r\n")
     live.run(3)
--- a/tests/http_router/test_discovery.py
+++ b/tests/http_router/test_discovery.py
@@ -13,14 +13,14 @@
 from tansycrank.http_router.endpoint_directory import REMOVED_RETENTION_MS, EndpointDirectory
 from tansycrank.http_router.settings import EndpointDocument, EndpointListDocument
 
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+CHUNKED_RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 def chunk(data):
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def line(version, *servers, full=False):
+def endpoint_list_chunk(version, *servers, full=False):
     return chunk(
         json.dumps({"version": version, "full": full, "servers": servers}).encode() + b"\n"
     )
@@ -46,7 +46,10 @@
 
 
 def test_changes_reach_the_module_and_drained_nodes_get_nothing(live):
-    live.watch.say(HEAD + line(5, entry(1, "terminating"), entry(2, "terminated")))
+    live.watch.say(
+        CHUNKED_RESPONSE_HEAD
+        + endpoint_list_chunk(5, entry(1, "terminating"), entry(2, "terminated"))
+    )
     live.run(0)
     assert states(live) == {
         1: routing.EndpointStatus.DRAINING,
@@ -58,7 +61,7 @@
 
 
 def test_a_whole_list_says_who_is_gone_and_one_cut_anywhere_is_read(live):
-    data = HEAD + line(9, entry(2), entry(4), full=True)
+    data = CHUNKED_RESPONSE_HEAD + endpoint_list_chunk(9, entry(2), entry(4), full=True)
     for at in range(0, len(data), 7):
         live.watch.say(data[at : at + 7])
     live.run(0)
@@ -69,8 +72,8 @@
 
 
 def test_an_older_list_brings_nobody_back(live):
-    live.watch.say(HEAD + line(9, entry(1, "terminated")))
-    live.watch.say(line(7, entry(1), entry(2), entry(3), full=True))
+    live.watch.say(CHUNKED_RESPONSE_HEAD + endpoint_list_chunk(9, entry(1, "terminated")))
+    live.watch.say(endpoint_list_chunk(7, entry(1), entry(2), entry(3), full=True))
     live.run(0)
     assert sorted(states(live)) == [2, 3]
 
@@ -84,12 +87,12 @@
     else:
         watch.accept()
         if end == "reset":
-            watch.say(HEAD)
+            watch.say(CHUNKED_RESPONSE_HEAD)
             watch.transport.end()
         elif end == "503":
             watch.say(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
         elif end == "noise":
-            watch.say(HEAD + chunk(b"{no json\n"))
+            watch.say(CHUNKED_RESPONSE_HEAD + chunk(b"{no json\n"))
         else:
             live.run(2.5)
     live.run(0.5)
@@ -113,7 +116,7 @@
 
 
 def test_beats_keep_a_watch(live):
-    live.watch.say(HEAD)
+    live.watch.say(CHUNKED_RESPONSE_HEAD)
     for _ in range(6):
         live.run(2.0)
         live.watch.say(chunk(b"\n"))
@@ -131,7 +134,10 @@
 
 
 def test_a_node_without_a_usable_address_harms_no_other(live):
-    live.watch.say(HEAD + line(5, entry(1, addr="nowhere"), entry(3, addr="127.0.0.33:7070")))
+    live.watch.say(
+        CHUNKED_RESPONSE_HEAD
+        + endpoint_list_chunk(5, entry(1, addr="nowhere"), entry(3, addr="127.0.0.33:7070"))
+    )
     live.run(0)
     live.ask(post(shards=((0, 0.5), (2, 0.5))))
     assert live.sent()
@@ -268,7 +274,7 @@
     """The first line of an indented list is no malformed object."""
     body = indented(5, entry(1, "terminating")) + b"\n" + indented(6, entry(2), entry(4), full=True)
     pieces = [body[at : at + length] for at in range(0, len(body), length)]
-    live.watch.say(HEAD if framing == "chunked" else b"HTTP/1.1 200 OK\r\n\r\n")
+    live.watch.say(CHUNKED_RESPONSE_HEAD if framing == "chunked" else b"HTTP/1.1 200 OK\r\n\r\n")
     for piece in pieces:
         live.watch.say(chunk(piece) if framing == "chunked" else piece)
     live.run(0)
@@ -290,13 +296,13 @@
     ],
 )
 def test_what_cannot_become_a_list_ends_the_watch(live, noise):
-    live.watch.say(HEAD + chunk(noise))
+    live.watch.say(CHUNKED_RESPONSE_HEAD + chunk(noise))
     live.run(0.5)
     assert len(live.discovery) == 2
 
 
 def test_an_object_without_an_end_is_bounded(live):
-    live.watch.say(HEAD + chunk(b'{"version": 5, "full": true, "servers": [\n'))
+    live.watch.say(CHUNKED_RESPONSE_HEAD + chunk(b'{"version": 5, "full": true, "servers": [\n'))
     for _ in range(70):
         if not live.watch.transport.over:
             live.watch.say(chunk(b" " * 70 + b"0" * 60_000 + b",\n"))
@@ -306,7 +312,7 @@
 
 def test_a_trickle_that_ends_no_line_is_silence(live):
     """Bytes without an end of line do not count as a heartbeat."""
-    live.watch.say(HEAD)
+    live.watch.say(CHUNKED_RESPONSE_HEAD)
     for _ in range(14):
         live.run(0.25)
         if live.watch.protocol.ended:
@@ -346,7 +352,7 @@
     live.run(0)
     assert [peer.port for peer in live.discovery[asked:]] == [8600]
     watch = live.discovery[-1].accept()
-    watch.say(HEAD + line(5, entry(1, "terminated")))
+    watch.say(CHUNKED_RESPONSE_HEAD + endpoint_list_chunk(5, entry(1, "terminated")))
     live.run(2.9)  # the lapsed wait for the old address opens no second watch
     assert len(live.discovery) == asked + 1 and 1 not in states(live)
 
@@ -442,8 +448,8 @@
 
 def test_the_list_of_a_discovery_that_lost_its_versions_is_believed_after_a_while(live):
     """Guards against routers that serve from a list of the past for good."""
-    live.watch.say(HEAD + line(40, entry(1), entry(2), full=True))
-    live.watch.say(line(3, entry(2), entry(3), full=True))
+    live.watch.say(CHUNKED_RESPONSE_HEAD + endpoint_list_chunk(40, entry(1), entry(2), full=True))
+    live.watch.say(endpoint_list_chunk(3, entry(2), entry(3), full=True))
     for _ in range(9):  # each half a second
         live.run(0.5)
         answer_poll(live, 3, entry(2), entry(3))
@@ -452,7 +458,7 @@
         live.run(0.5)
         answer_poll(live, 3, entry(2), entry(3))
     assert live.daemon.names.version == 3
-    live.watch.say(line(4, entry(2, "terminating")))  # and its changes are heard
+    live.watch.say(endpoint_list_chunk(4, entry(2, "terminating")))  # and its changes are heard
     assert live.daemon.names.version == 4
     polls = len(live.discovery)
     live.run(2.0)
@@ -460,18 +466,18 @@
 
 
 def test_an_outdated_list_among_newer_ones_is_not_believed(live):
-    live.watch.say(HEAD + line(40, entry(1), entry(2), full=True))
+    live.watch.say(CHUNKED_RESPONSE_HEAD + endpoint_list_chunk(40, entry(1), entry(2), full=True))
     for version in range(41, 51):
-        live.watch.say(line(3, entry(3), full=True))
+        live.watch.say(endpoint_list_chunk(3, entry(3), full=True))
         live.run(1.0)
         answer_poll(live, version, entry(1), entry(2))
     assert live.daemon.names.version == 50
 
 
 def test_an_older_change_alone_is_never_believed(live):
-    live.watch.say(HEAD + line(40, entry(1), entry(2), full=True))
+    live.watch.say(CHUNKED_RESPONSE_HEAD + endpoint_list_chunk(40, entry(1), entry(2), full=True))
     for _ in range(10):
-        live.watch.say(line(3, entry(1, "terminating")))
+        live.watch.say(endpoint_list_chunk(3, entry(1, "terminating")))
         live.run(1.0)
     assert live.daemon.names.version == 40
     assert states(live)[1] is routing.EndpointStatus.IN_SERVICE
--- a/tests/http_router/test_endings.py
+++ b/tests/http_router/test_endings.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
 from live import TOLD, Live, answer, config, entry, frame, post
-from test_discovery import HEAD, line
+from test_discovery import CHUNKED_RESPONSE_HEAD, endpoint_list_chunk
 
 WINDOW, GRACE, NODES = 0.25, 0.1, 4  # s, s
 AFTER_END = 0.1  # s after the end of its query in which a frame may still leave
@@ -64,7 +64,7 @@
                 limits={"sockets": 256, "memory_mb": 64},
             )
         )
-        self.live.discovery[0].accept().say(HEAD + line(5))
+        self.live.discovery[0].accept().say(CHUNKED_RESPONSE_HEAD + endpoint_list_chunk(5))
         self.spoke = [self.live.discovery[0]]
         self.asked, self.clients, self.peers = {}, [], []
         self.told = {}  # by node: when it was told to go
@@ -320,9 +320,9 @@
             return
         self.version += 1
         if watch not in self.spoke:
-            watch.say(HEAD)
+            watch.say(CHUNKED_RESPONSE_HEAD)
             self.spoke.append(watch)
-        watch.say(line(self.version, entry(node, state)))
+        watch.say(endpoint_list_chunk(self.version, entry(node, state)))
         if state == "in_service":
             self.told.pop(node, None)
         else:
--- a/tests/http_router/test_size.py
+++ b/tests/http_router/test_size.py
@@ -8,7 +8,7 @@
 
 import pytest
 from live import TOLD, Live, answer, config, entry, post, status
-from test_discovery import HEAD, line
+from test_discovery import CHUNKED_RESPONSE_HEAD, endpoint_list_chunk
 
 from tansycrank import routing
 from tansycrank.http_router import settings as configuration
@@ -44,7 +44,7 @@
 def live():
     live = Live(large())
     live.watch = live.discovery[0].accept()
-    live.watch.say(HEAD)
+    live.watch.say(CHUNKED_RESPONSE_HEAD)
     return live
 
 
@@ -58,7 +58,7 @@
 
 
 def test_a_whole_list_of_as_many_new_nodes_is_taken(live):
-    live.watch.say(line(5, *(node(n) for n in range(SIZE, 2 * SIZE)), full=True))
+    live.watch.say(endpoint_list_chunk(5, *(node(n) for n in range(SIZE, 2 * SIZE)), full=True))
     live.run(0)
     router = live.daemon.coordinator.loop.policy
     assert (
@@ -93,7 +93,7 @@
     odd = [node(n, "on_holiday") for n in range(0, 300)]
     twice = [node(n) for n in range(300, 600)] * 2
     lost = [node(n) | {"addr": "nowhere"} for n in range(600, 700)]
-    live.watch.say(line(9, *odd, *twice, *lost))
+    live.watch.say(endpoint_list_chunk(9, *odd, *twice, *lost))
     live.run(0)
     told = [one for one in logged(caplog) if "list" in one["event"] or "address" in one["event"]]
     assert [one["event"] for one in told] == [
@@ -109,8 +109,10 @@
 
 
 def test_a_version_that_jumps_or_falls_loses_no_node(live):
-    live.watch.say(line(900, node(3, "terminating")))
-    live.watch.say(line(17, *(node(n, "terminated") for n in range(SIZE)), full=True))
+    live.watch.say(endpoint_list_chunk(900, node(3, "terminating")))
+    live.watch.say(
+        endpoint_list_chunk(17, *(node(n, "terminated") for n in range(SIZE)), full=True)
+    )
     live.run(0)
     states = [one.status for one in live.daemon.coordinator.loop.policy.endpoints.values()]
     assert (
@@ -124,7 +126,7 @@
     gone.
     """
     caplog.set_level("INFO", "tansycrank")
-    live.watch.say(line(9, full=True))
+    live.watch.say(endpoint_list_chunk(9, full=True))
     live.run(0)
     assert served(live, "q1", range(0, 3 * SIZE, 97)) == 200
     assert [one["event"] for one in logged(caplog)].count("empty_endpoint_list_received") == 1
