--- a/tansycrank/http_router/node_connection.py
+++ b/tansycrank/http_router/node_connection.py
@@ -40,9 +40,7 @@
     """Time limits in seconds, shared by all connections of a pool."""
 
     connect_timeout: float
-    revoked_frame_timeout: (
-        float  # for a partly sent frame with a revoked call to be sent completely
-    )
+    revoked_frame_timeout: float  # for sending the rest of a frame with a revoked call
     idle_timeout: float  # after which an idle connection is closed
 
 
@@ -187,7 +185,7 @@
     def revoke(self, call: OutgoingCall) -> None:
         """Prevent a call from starting because it is not needed any more or its node is draining.
 
-        If its frame was sent only in part, the connection is closed unless the rest is sent soon:
+        If its frame is not sent completely yet, the connection is closed unless that happens soon:
         otherwise a hung node would start the call when it resumes reading.
         """
         if not call.was_written:
--- a/tests/http_router/test_node_connections.py
+++ b/tests/http_router/test_node_connections.py
@@ -1,4 +1,4 @@
-"""Connections to data nodes: calls, spoilt answers, exactly one outcome a send."""
+"""Connections to data nodes: calls, malformed answers, one outcome for each call."""
 
 import pytest
 from helpers import Lives
@@ -14,46 +14,50 @@
 VALUE = "0123456789abcdef"
 
 
-class Node:
-    """ConnectionPool with one node, whose end of the links is played."""
+class PoolHarness:
+    """A ConnectionPool with one data node, the peers of whose connections the test controls."""
 
-    def __init__(self, streams=8, call_batch_size=4, max_links=8):
+    def __init__(self, max_calls_per_connection=8, call_batch_size=4, max_connections=8):
         self.reactor = MemoryReactorClock()
         self.log = []
         self.pool = ConnectionPool(
             self.reactor,
-            streams,
+            max_calls_per_connection,
             call_batch_size,
             250.0,
             10_000.0,
-            max_links,
+            max_connections,
             lambda *a, **k: self.log.append(a),
         )
         self.pool.set_address(1, "127.0.0.1", 7070)
         self.lives = Lives()
-        self.ends = {}
+        self.results = {}
 
-    def send(self, *ids, time_out=1000.0, endpoint=1, connect_within=0.0, leave_within=0.0):
-        sendings = [
+    def send(
+        self, *ids, timeout_ms=1000.0, endpoint=1, connect_limit_ms=0.0, transmit_limit_ms=0.0
+    ):
+        calls = [
             self.pool.send(
                 id.encode(),
                 endpoint,
                 0,
                 b"text",
-                time_out,
-                self.handle(id),
-                self.lives.attempt(self.reactor.seconds() * 1000, endpoint, time_out, leave_within),
-                connect_within,
+                timeout_ms,
+                self.record_outcome(id),
+                self.lives.attempt(
+                    self.reactor.seconds() * 1000, endpoint, timeout_ms, transmit_limit_ms
+                ),
+                connect_limit_ms,
                 b"",
-                leave_within,
+                transmit_limit_ms,
             )
             for id in ids
         ]
         self.pool.flush()
-        return sendings
+        return calls
 
-    def handle(self, id):
-        return lambda outcome, value, load: self.ends.setdefault(id, []).append(
+    def record_outcome(self, id):
+        return lambda outcome, value, load: self.results.setdefault(id, []).append(
             (outcome, value, load)
         )
 
@@ -61,52 +65,55 @@
     def peers(self):
         return [Peer(host, port, factory) for host, port, factory, *_ in self.reactor.tcpClients]
 
-    def up(self, *ids, **more):
-        """These sends are out on one link; its far end."""
-        at = len(self.reactor.tcpClients)
-        self.send(*ids, **more)
-        peer = self.peers[at].accept()
+    def send_and_accept(self, *ids, **options):
+        """Send these calls on one new connection and return its peer."""
+        previous_count = len(self.reactor.tcpClients)
+        self.send(*ids, **options)
+        peer = self.peers[previous_count].accept()
         assert [id for id, *_ in peer.calls()] == list(ids)
         return peer
 
 
-def outcomes(node):
-    return {id: [outcome for outcome, *_ in ends] for id, ends in node.ends.items()}
+def outcomes(harness):
+    return {id: [outcome for outcome, *_ in results] for id, results in harness.results.items()}
 
 
 def test_calls_of_a_step_share_frames_up_to_the_batch_size():
-    node = Node()
-    node.send(*(f"q.{n}" for n in range(6)))
-    peers = [peer.accept() for peer in node.peers]
+    harness = PoolHarness()
+    harness.send(*(f"q.{n}" for n in range(6)))
+    peers = [peer.accept() for peer in harness.peers]
     assert [len(peer.calls()) for peer in peers] == [4, 2]
 
 
-def test_a_call_takes_an_idle_connection_before_a_new_one():
-    node = Node()
-    first = node.up("a.1")
+def test_an_idle_connection_is_preferred_to_a_new_one():
+    harness = PoolHarness()
+    first = harness.send_and_accept("a.1")
     first.say(answer("a.1"))
-    node.send("b.1")
-    assert len(node.peers) == 1 and [id for id, *_ in first.calls()] == ["b.1"]
-    node.send("c.1")
-    assert len(node.peers) == 2
+    harness.send("b.1")
+    assert len(harness.peers) == 1 and [id for id, *_ in first.calls()] == ["b.1"]
+    harness.send("c.1")
+    assert len(harness.peers) == 2
 
 
 def test_connections_and_calls_on_each_stay_within_their_limits():
-    node = Node(streams=2, max_links=2)
+    harness = PoolHarness(max_calls_per_connection=2, max_connections=2)
     for n in range(6):
-        node.send(f"q.{n}")
-    for peer in node.peers:
+        harness.send(f"q.{n}")
+    for peer in harness.peers:
         peer.accept()
-    node.reactor.advance(0)
-    assert len(node.peers) == 2
-    assert sorted(outcomes(node)) == ["q.4", "q.5"] and node.ends["q.4"][0][0] is Outcome.NOT_SENT
-
-
-def test_the_remaining_time_is_that_of_the_moment_of_writing():
-    node = Node()
-    node.send("a.1", time_out=500.0)
-    node.reactor.advance(0.2)
-    [(_, _, wait, text)] = node.peers[0].accept().calls()
+    harness.reactor.advance(0)
+    assert len(harness.peers) == 2
+    assert (
+        sorted(outcomes(harness)) == ["q.4", "q.5"]
+        and harness.results["q.4"][0][0] is Outcome.NOT_SENT
+    )
+
+
+def test_the_remaining_time_is_computed_when_the_frame_is_written():
+    harness = PoolHarness()
+    harness.send("a.1", timeout_ms=500.0)
+    harness.reactor.advance(0.2)
+    [(_, _, wait, text)] = harness.peers[0].accept().calls()
     assert wait == 300 and text == b"text"
 
 
@@ -118,217 +125,217 @@
         ("busy", Outcome.REJECTED),
     ],
 )
-def test_each_end_has_its_outcome(end, outcome):
-    node = Node()
-    node.up("a.1").say(answer("a.1", end, report="x=7,y=0.61"))
-    assert node.ends["a.1"] == [(outcome, VALUE if end == "ok" else "", (7.0, 0.61))]
+def test_each_answer_status_has_its_outcome(end, outcome):
+    harness = PoolHarness()
+    harness.send_and_accept("a.1").say(answer("a.1", end, report="x=7,y=0.61"))
+    assert harness.results["a.1"] == [(outcome, VALUE if end == "ok" else "", (7.0, 0.61))]
 
 
-def test_no_connection_proves_that_it_never_ran():
-    node = Node()
-    node.send("refused.1")
-    node.peers[0].refuse()
-    assert outcomes(node) == {"refused.1": [Outcome.CONNECT_FAILED]}
+def test_a_refused_connection_ends_its_call_as_never_executed():
+    harness = PoolHarness()
+    harness.send("refused.1")
+    harness.peers[0].refuse()
+    assert outcomes(harness) == {"refused.1": [Outcome.CONNECT_FAILED]}
 
 
-def test_a_connection_lost_may_have_run_what_was_out():
-    node = Node()
-    node.up("a.1", "a.2").transport.end()
-    assert outcomes(node) == {"a.1": [Outcome.CONNECTION_LOST], "a.2": [Outcome.CONNECTION_LOST]}
-    assert node.pool.connection_count == 0
+def test_calls_sent_on_a_lost_connection_may_have_been_executed():
+    harness = PoolHarness()
+    harness.send_and_accept("a.1", "a.2").transport.end()
+    assert outcomes(harness) == {"a.1": [Outcome.CONNECTION_LOST], "a.2": [Outcome.CONNECTION_LOST]}
+    assert harness.pool.connection_count == 0
 
 
 def test_a_call_times_out_and_its_late_answer_is_ignored():
-    node = Node()
-    peer = node.up("a.1")
+    harness = PoolHarness()
+    peer = harness.send_and_accept("a.1")
     peer.say(answer("a.1", "busy")[:4])
-    node.reactor.advance(1.0)
-    assert outcomes(node) == {"a.1": [Outcome.TIMED_OUT]}
-    node = Node()
-    peer = node.up("a.1", "a.2")
-    [_sending] = node.send("b.1")
+    harness.reactor.advance(1.0)
+    assert outcomes(harness) == {"a.1": [Outcome.TIMED_OUT]}
+    harness = PoolHarness()
+    peer = harness.send_and_accept("a.1", "a.2")
+    [_call] = harness.send("b.1")
     peer.say(answer("a.2"))
-    node.reactor.advance(1.0)
+    harness.reactor.advance(1.0)
     peer.calls()
     assert peer.given_up == ["a.1"]
-    assert outcomes(node)["a.1"] == [Outcome.TIMED_OUT]
+    assert outcomes(harness)["a.1"] == [Outcome.TIMED_OUT]
     peer.say(answer("a.1"))
-    assert outcomes(node)["a.1"] == [Outcome.TIMED_OUT] and not peer.transport.over
+    assert outcomes(harness)["a.1"] == [Outcome.TIMED_OUT] and not peer.transport.over
 
 
 def test_a_silent_connection_accepts_no_more_calls():
-    node = Node()
-    peer = node.up("a.1")
-    node.reactor.advance(1.0)
+    harness = PoolHarness()
+    peer = harness.send_and_accept("a.1")
+    harness.reactor.advance(1.0)
     assert peer.transport.over
-    node.send("b.1")
-    assert len(node.peers) == 2
+    harness.send("b.1")
+    assert len(harness.peers) == 2
 
 
-@pytest.mark.parametrize("waited, over", [(0.3, True), (0.1, False)])
+@pytest.mark.parametrize("silence, is_closed", [(0.3, True), (0.1, False)])
 def test_a_connection_silent_for_a_connect_timeout_is_closed_when_its_call_is_cancelled(
-    waited, over
+    silence, is_closed
 ):
-    """Without this, a dead connection takes each readmission attempt of its node."""
-    node = Node()
-    [sending] = node.send("a.1")
-    peer = node.peers[0].accept()
-    node.reactor.advance(waited)
-    node.pool.cancel(sending)
-    assert peer.transport.over == over
-    node.send("b.1")
-    assert len(node.peers) == 1 + over
-
-
-def test_a_connection_that_answered_meanwhile_is_kept():
-    node = Node()
-    first, _second = node.send("a.1", "a.2")
-    peer = node.peers[0].accept()
-    node.reactor.advance(0.2)
+    """Otherwise a dead connection would be used for each attempt to readmit its node."""
+    harness = PoolHarness()
+    [call] = harness.send("a.1")
+    peer = harness.peers[0].accept()
+    harness.reactor.advance(silence)
+    harness.pool.cancel(call)
+    assert peer.transport.over == is_closed
+    harness.send("b.1")
+    assert len(harness.peers) == 1 + is_closed
+
+
+def test_a_connection_that_received_an_answer_is_kept():
+    harness = PoolHarness()
+    first, _second = harness.send("a.1", "a.2")
+    peer = harness.peers[0].accept()
+    harness.reactor.advance(0.2)
     peer.say(answer("a.2"))
-    node.reactor.advance(0.2)
-    node.pool.cancel(first)
+    harness.reactor.advance(0.2)
+    harness.pool.cancel(first)
     assert not peer.transport.over
 
 
-def test_a_cancel_before_the_connection_is_up_sends_nothing():
-    node = Node()
-    first, _ = node.send("a.1", "a.2")
-    node.pool.cancel(first)
-    peer = node.peers[0].accept()
+def test_a_call_cancelled_before_its_connection_is_established_is_not_sent():
+    harness = PoolHarness()
+    first, _ = harness.send("a.1", "a.2")
+    harness.pool.cancel(first)
+    peer = harness.peers[0].accept()
     assert [id for id, *_ in peer.calls()] == ["a.2"]
-    assert outcomes(node) == {"a.1": [Outcome.NOT_SENT]}
+    assert outcomes(harness) == {"a.1": [Outcome.NOT_SENT]}
 
 
 def test_cancelling_a_sent_call_notifies_the_node():
-    node = Node()
-    at = len(node.peers)
-    [sending] = node.send("a.1")
-    peer = node.peers[at].accept()
-    node.pool.cancel(sending)
+    harness = PoolHarness()
+    previous_count = len(harness.peers)
+    [call] = harness.send("a.1")
+    peer = harness.peers[previous_count].accept()
+    harness.pool.cancel(call)
     peer.calls()
-    assert peer.given_up == ["a.1"] and outcomes(node) == {"a.1": [Outcome.CANCELLED]}
+    assert peer.given_up == ["a.1"] and outcomes(harness) == {"a.1": [Outcome.CANCELLED]}
 
 
-SPOILT = {
-    "noise": b"\x91\x07\xfe\x44\x10\x22\x90",
+MALFORMED_ANSWERS = {
+    "random bytes": b"\x91\x07\xfe\x44\x10\x22\x90",
     "3 GB": (3_000_000_000).to_bytes(4, "little") + b"A" + b"x" * 200,
     "length 0": b"\0\0\0\0A",
-    "letter": frame(b"\x01", b"a.1 ok 17 -\nvalue"),
-    "no line": frame(b"A", b"7c"),
-    "a line without an end": (60_000).to_bytes(4, "little") + b"A" + b"y" * 2000,
-    "end": frame(b"A", b"a.1 ? 17 -\nvalue"),
-    "no end": frame(b"A", b"a.1  17 -\nvalue"),
-    "an id that is not out": answer("zz.9"),
-    "a value that is no text": frame(b"A", b"a.1 ok 17 -\n\xff\xfe"),
+    "unknown type": frame(b"\x01", b"a.1 ok 17 -\nvalue"),
+    "no answer line": frame(b"A", b"7c"),
+    "an answer line without an end": (60_000).to_bytes(4, "little") + b"A" + b"y" * 2000,
+    "unknown status": frame(b"A", b"a.1 ? 17 -\nvalue"),
+    "no status": frame(b"A", b"a.1  17 -\nvalue"),
+    "an id that is not in flight": answer("zz.9"),
+    "a value that is not UTF-8": frame(b"A", b"a.1 ok 17 -\n\xff\xfe"),
 }
 
 
-@pytest.mark.parametrize("name", SPOILT)
+@pytest.mark.parametrize("name", MALFORMED_ANSWERS)
 def test_a_malformed_answer_closes_the_connection_and_its_calls_are_lost(name):
-    node = Node()
-    peer = node.up("a.1", "a.2")
-    peer.say(SPOILT[name])
-    assert outcomes(node) == {"a.1": [Outcome.CONNECTION_LOST], "a.2": [Outcome.CONNECTION_LOST]}
+    harness = PoolHarness()
+    peer = harness.send_and_accept("a.1", "a.2")
+    peer.say(MALFORMED_ANSWERS[name])
+    assert outcomes(harness) == {"a.1": [Outcome.CONNECTION_LOST], "a.2": [Outcome.CONNECTION_LOST]}
     assert peer.transport.over
 
 
 def test_a_stalled_frame_closes_the_connection():
-    node = Node()
-    peer = node.up("a.1")
+    harness = PoolHarness()
+    peer = harness.send_and_accept("a.1")
     peer.say(answer("a.1")[:-3])
-    node.reactor.advance(0.6)
-    node.pool.run_maintenance()
-    assert outcomes(node) == {"a.1": [Outcome.CONNECTION_LOST]} and peer.transport.over
+    harness.reactor.advance(0.6)
+    harness.pool.run_maintenance()
+    assert outcomes(harness) == {"a.1": [Outcome.CONNECTION_LOST]} and peer.transport.over
 
 
-@pytest.mark.parametrize("behind", [b"\x91\x07\xfe\x44\x10\x22", b"\x09", b"zzzzzzzzz"])
-def test_noise_after_a_valid_answer_closes_the_connection_and_keeps_the_answer(behind):
-    node = Node()
-    peer = node.up("a.1")
-    peer.say(answer("a.1") + behind)
-    assert outcomes(node) == {"a.1": [Outcome.SUCCEEDED]} and peer.transport.over
+@pytest.mark.parametrize("trailing_bytes", [b"\x91\x07\xfe\x44\x10\x22", b"\x09", b"zzzzzzzzz"])
+def test_malformed_bytes_after_an_answer_close_the_connection_and_keep_the_answer(trailing_bytes):
+    harness = PoolHarness()
+    peer = harness.send_and_accept("a.1")
+    peer.say(answer("a.1") + trailing_bytes)
+    assert outcomes(harness) == {"a.1": [Outcome.SUCCEEDED]} and peer.transport.over
 
 
-def test_noise_behind_an_answer_while_others_wait_means_that_its_length_did_not_fit():
-    node = Node()
-    node.up("a.1", "a.2").say(answer("a.1", value="0123") + b"zzzzzzzzz")
-    assert outcomes(node) == {"a.1": [Outcome.CONNECTION_LOST], "a.2": [Outcome.CONNECTION_LOST]}
+def test_malformed_bytes_after_an_answer_discard_it_while_other_calls_wait():
+    harness = PoolHarness()
+    harness.send_and_accept("a.1", "a.2").say(answer("a.1", value="0123") + b"zzzzzzzzz")
+    assert outcomes(harness) == {"a.1": [Outcome.CONNECTION_LOST], "a.2": [Outcome.CONNECTION_LOST]}
 
 
-def test_a_second_copy_of_an_answer_does_no_harm():
-    node = Node()
-    peer = node.up("a.1")
+def test_a_duplicate_answer_is_ignored():
+    harness = PoolHarness()
+    peer = harness.send_and_accept("a.1")
     peer.say(answer("a.1") + answer("a.1"))
-    assert outcomes(node) == {"a.1": [Outcome.SUCCEEDED]} and not peer.transport.over
+    assert outcomes(harness) == {"a.1": [Outcome.SUCCEEDED]} and not peer.transport.over
 
 
-def test_a_load_report_that_cannot_be_read_is_none():
-    node = Node()
-    node.up("a.1").say(answer("a.1", report="%%%"))
-    assert node.ends["a.1"] == [(Outcome.SUCCEEDED, VALUE, ())]
+def test_a_malformed_load_report_counts_as_empty():
+    harness = PoolHarness()
+    harness.send_and_accept("a.1").say(answer("a.1", report="%%%"))
+    assert harness.results["a.1"] == [(Outcome.SUCCEEDED, VALUE, ())]
 
 
-def test_a_frame_the_node_could_not_use_may_have_run():
-    node = Node()
-    node.up("a.1").say(frame(b"E", b"bad"))
-    assert outcomes(node) == {"a.1": [Outcome.CONNECTION_LOST]}
+def test_calls_of_a_rejected_frame_may_have_been_executed():
+    harness = PoolHarness()
+    harness.send_and_accept("a.1").say(frame(b"E", b"bad"))
+    assert outcomes(harness) == {"a.1": [Outcome.CONNECTION_LOST]}
 
 
 def test_idle_connections_close_before_the_node_closes_them():
-    node = Node()
-    peer = node.up("a.1")
+    harness = PoolHarness()
+    peer = harness.send_and_accept("a.1")
     peer.say(answer("a.1"))
-    node.reactor.advance(7.9)
-    node.pool.run_maintenance()
+    harness.reactor.advance(7.9)
+    harness.pool.run_maintenance()
     assert not peer.transport.over
-    node.reactor.advance(0.2)
-    node.pool.run_maintenance()
+    harness.reactor.advance(0.2)
+    harness.pool.run_maintenance()
     assert peer.transport.over
 
 
 def test_a_removed_endpoint_finishes_its_calls_and_gets_no_new_one():
-    node = Node()
-    peer = node.up("a.1")
-    node.pool.remove_endpoint(1)
-    node.send("b.1")
-    node.reactor.advance(0)
-    assert outcomes(node) == {"b.1": [Outcome.CONNECT_FAILED]}
+    harness = PoolHarness()
+    peer = harness.send_and_accept("a.1")
+    harness.pool.remove_endpoint(1)
+    harness.send("b.1")
+    harness.reactor.advance(0)
+    assert outcomes(harness) == {"b.1": [Outcome.CONNECT_FAILED]}
     peer.say(answer("a.1"))
-    assert outcomes(node)["a.1"] == [Outcome.SUCCEEDED] and peer.transport.over
+    assert outcomes(harness)["a.1"] == [Outcome.SUCCEEDED] and peer.transport.over
 
 
 def test_an_endpoint_with_a_new_address_is_called_there():
-    node = Node()
-    node.up("a.1")
-    node.pool.set_address(1, "127.0.0.2", 7070)
-    node.send("b.1")
-    assert node.peers[-1].host == "127.0.0.2"
+    harness = PoolHarness()
+    harness.send_and_accept("a.1")
+    harness.pool.set_address(1, "127.0.0.2", 7070)
+    harness.send("b.1")
+    assert harness.peers[-1].host == "127.0.0.2"
 
 
 @given(st.binary(max_size=300), st.lists(st.integers(1, 60), max_size=8))
-def test_no_bytes_break_the_reader_or_grow_it(noise, cuts):
-    data = answer("a.1") + noise
-    reader, found = frames.FrameReader(), []
+def test_the_frame_reader_accepts_arbitrary_bytes(trailing_bytes, chunk_lengths):
+    data = answer("a.1") + trailing_bytes
+    reader, records = frames.FrameReader(), []
     try:
-        for cut in [*cuts, len(data)]:
-            found += reader.feed(data[:cut])
-            data = data[cut:]
+        for length in [*chunk_lengths, len(data)]:
+            records += reader.feed(data[:length])
+            data = data[length:]
     except frames.FrameError:
         pass
-    assert found and found[0].value == VALUE
+    assert records and records[0].value == VALUE
 
 
-def test_every_send_ends_once_whatever_the_node_does():
+def test_each_call_ends_exactly_once_however_its_node_behaves():
     live = Live()
     live.discovery[0].refuse()
     for n in range(4):
         live.ask(post(id=f"r{n}", shards=((n, 0.5), (n + 4, 0.5))))
     sent = live.sent()
-    for at, (peer, id, _) in enumerate(sent):
-        if at % 3 == 0:
+    for index, (peer, id, _) in enumerate(sent):
+        if index % 3 == 0:
             peer.transport.end()
-        elif at % 3 == 1 and not peer.transport.over:
+        elif index % 3 == 1 and not peer.transport.over:
             peer.say(answer(id))
     live.run(3)
     coordinator = live.daemon.coordinator
@@ -338,121 +345,123 @@
 
 
 def test_a_call_is_revoked_from_a_connection_that_is_not_established_in_time():
-    """Calls to an unreachable machine do not wait for the connect timeout."""
-    node = Node()
-    node.send("a.1", "a.2", connect_within=60.0)
-    node.reactor.advance(0.05)
-    assert not node.ends
-    node.reactor.advance(0.02)
-    assert outcomes(node) == {"a.1": [Outcome.CONNECT_FAILED], "a.2": [Outcome.CONNECT_FAILED]}
-    late = node.peers[0].accept()
-    assert not late.calls()  # it never leaves: another attempt may be out by now
-    node.send("b.1", connect_within=60.0)
-    assert [id for id, *_ in late.calls()] == ["b.1"]
-    node.reactor.advance(0.2)
-    assert "b.1" not in node.ends  # what was written is waited for
+    """Calls to an unreachable host do not wait for the connect timeout."""
+    harness = PoolHarness()
+    harness.send("a.1", "a.2", connect_limit_ms=60.0)
+    harness.reactor.advance(0.05)
+    assert not harness.results
+    harness.reactor.advance(0.02)
+    assert outcomes(harness) == {"a.1": [Outcome.CONNECT_FAILED], "a.2": [Outcome.CONNECT_FAILED]}
+    peer = harness.peers[0].accept()
+    assert not peer.calls()  # never sent: another attempt may be in flight by now
+    harness.send("b.1", connect_limit_ms=60.0)
+    assert [id for id, *_ in peer.calls()] == ["b.1"]
+    harness.reactor.advance(0.2)
+    assert "b.1" not in harness.results  # a call that was sent is not ended by its connect limit
 
 
 def test_a_call_without_a_connect_limit_waits_for_the_connect_timeout():
-    node = Node()
-    node.send("a.1")
-    node.reactor.advance(0.2)
-    assert not node.ends
+    harness = PoolHarness()
+    harness.send("a.1")
+    harness.reactor.advance(0.2)
+    assert not harness.results
 
 
 def test_a_call_prefers_an_established_connection_to_a_pending_one():
-    """A silent node keeps a pending connection whose calls were revoked."""
-    node = Node()
-    first = node.up("a.1")
-    node.send("b.1", connect_within=60.0)
-    assert len(node.peers) == 2
-    node.reactor.advance(0.07)
+    """An unresponsive node leaves a pending connection whose calls were revoked."""
+    harness = PoolHarness()
+    first = harness.send_and_accept("a.1")
+    harness.send("b.1", connect_limit_ms=60.0)
+    assert len(harness.peers) == 2
+    harness.reactor.advance(0.07)
     first.say(answer("a.1"))
-    node.send("c.1")
-    assert [id for id, *_ in first.calls()] == ["c.1"] and len(node.peers) == 2
+    harness.send("c.1")
+    assert [id for id, *_ in first.calls()] == ["c.1"] and len(harness.peers) == 2
 
 
-def stuck(node, *ids):
-    """These sends are given to a socket whose system takes nothing more; its far end."""
-    peer = node.up("first.1")
+def send_into_full_socket(harness, *ids):
+    """Write these calls to a socket that accepts no more bytes and return its peer."""
+    peer = harness.send_and_accept("first.1")
     peer.say(answer("first.1"))
     peer.transport.stuck = True
-    node.send(*ids)
-    assert len(node.peers) == 1
+    harness.send(*ids)
+    assert len(harness.peers) == 1
     return peer
 
 
 def test_a_draining_endpoint_gets_no_call_that_waits_for_its_connection():
-    """A connection may come up long after its node began to drain."""
-    node = Node()
-    node.send("a.1")
-    node.pool.revoke_unsent(1)
-    assert outcomes(node) == {"a.1": [Outcome.NOT_SENT]}
-    assert not node.peers[0].accept().calls()
+    """A connection may be established long after its node began to drain."""
+    harness = PoolHarness()
+    harness.send("a.1")
+    harness.pool.revoke_unsent(1)
+    assert outcomes(harness) == {"a.1": [Outcome.NOT_SENT]}
+    assert not harness.peers[0].accept().calls()
 
 
 def test_a_removed_endpoint_gets_no_call_that_waits_for_its_connection():
-    node = Node()
-    node.send("a.1")
-    node.pool.remove_endpoint(1)
-    assert outcomes(node) == {"a.1": [Outcome.NOT_SENT]} and node.pool.connection_count == 0
+    harness = PoolHarness()
+    harness.send("a.1")
+    harness.pool.remove_endpoint(1)
+    assert outcomes(harness) == {"a.1": [Outcome.NOT_SENT]} and harness.pool.connection_count == 0
 
 
 def test_a_frame_waits_for_the_one_before_and_can_be_revoked():
-    node = Node(max_links=1)
-    peer = stuck(node, "a.1")
-    b, c = node.send("b.1")[0], node.send("c.1")[0]
+    harness = PoolHarness(max_connections=1)
+    peer = send_into_full_socket(harness, "a.1")
+    b, c = harness.send("b.1")[0], harness.send("c.1")[0]
     assert [id for id, *_ in peer.calls()] == ["a.1"]
-    node.pool.revoke(b)
-    assert outcomes(node)["b.1"] == [Outcome.NOT_SENT] and not c.ended
+    harness.pool.revoke(b)
+    assert outcomes(harness)["b.1"] == [Outcome.NOT_SENT] and not c.ended
     peer.transport.stuck = False
     peer.protocol.resumeProducing()
     assert [id for id, *_ in peer.calls()] == ["c.1"]
 
 
-@pytest.mark.parametrize("end", ["withdraw", "cancel", "drain", "time out"])
-def test_a_revoked_frame_that_does_not_leave_closes_its_connection(end):
-    """A hung node may read on later and start calls that were revoked."""
-    node = Node()
-    peer = stuck(node, "a.1", "a.2")
-    sending = peer.protocol.sent_calls[b"a.1"]
-    if end == "withdraw":
-        node.pool.revoke(sending)
-    elif end == "cancel":
-        node.pool.cancel(sending)
-    elif end == "drain":
-        node.pool.revoke_unsent(1)
+@pytest.mark.parametrize("reason", ["revoke", "cancel", "drain", "time out"])
+def test_a_revoked_frame_that_is_not_sent_closes_its_connection(reason):
+    """A hung node may resume reading and start calls that were revoked."""
+    harness = PoolHarness()
+    peer = send_into_full_socket(harness, "a.1", "a.2")
+    call = peer.protocol.sent_calls[b"a.1"]
+    if reason == "revoke":
+        harness.pool.revoke(call)
+    elif reason == "cancel":
+        harness.pool.cancel(call)
+    elif reason == "drain":
+        harness.pool.revoke_unsent(1)
     else:
-        node.reactor.advance(1.0)
-    assert end == "time out" or not peer.transport.over
-    node.reactor.advance(0.11)
+        harness.reactor.advance(1.0)
+    assert reason == "time out" or not peer.transport.over
+    harness.reactor.advance(0.11)
     assert peer.transport.over
-    if end != "time out":  # its last byte has not left: it never ran
-        assert outcomes(node)["a.2"] == [Outcome.CONNECT_FAILED]
-    assert not node.reactor.getDelayedCalls()
+    if reason != "time out":  # its last byte was not sent: never executed
+        assert outcomes(harness)["a.2"] == [Outcome.CONNECT_FAILED]
+    assert not harness.reactor.getDelayedCalls()
 
 
-def test_a_revoked_frame_that_leaves_in_time_keeps_its_connection():
-    node = Node()
-    peer = stuck(node, "a.1", "a.2")
-    node.pool.revoke(peer.protocol.sent_calls[b"a.1"])
+def test_a_revoked_frame_that_is_sent_in_time_keeps_its_connection():
+    harness = PoolHarness()
+    peer = send_into_full_socket(harness, "a.1", "a.2")
+    harness.pool.revoke(peer.protocol.sent_calls[b"a.1"])
     peer.transport.stuck = False
     peer.protocol.resumeProducing()
-    node.reactor.advance(0.2)
+    harness.reactor.advance(0.2)
     assert not peer.transport.over
     peer.transport.end()
-    assert outcomes(node)["a.2"] == [Outcome.CONNECTION_LOST]  # all of it had left: it may have run
-
-
-def test_a_connection_that_breaks_under_a_half_written_frame_proves_that_it_never_ran():
-    node = Node(max_links=1)
-    early = node.up("early.1")
-    early.transport.stuck = True
-    node.send("a.1")
-    assert [id for id, *_ in early.calls()] == ["a.1"]
-    node.send("b.1")
-    early.transport.end()
-    assert outcomes(node) == {
+    assert outcomes(harness)["a.2"] == [
+        Outcome.CONNECTION_LOST
+    ]  # it was sent completely and may have been executed
+
+
+def test_calls_of_a_partly_sent_frame_end_as_never_executed_on_connection_loss():
+    harness = PoolHarness(max_connections=1)
+    peer = harness.send_and_accept("early.1")
+    peer.transport.stuck = True
+    harness.send("a.1")
+    assert [id for id, *_ in peer.calls()] == ["a.1"]
+    harness.send("b.1")
+    peer.transport.end()
+    assert outcomes(harness) == {
         "early.1": [Outcome.CONNECTION_LOST],
         "a.1": [Outcome.CONNECT_FAILED],
         "b.1": [Outcome.CONNECT_FAILED],
@@ -460,55 +469,59 @@
 
 
 def test_a_reused_id_avoids_the_connection_that_may_still_answer_it():
-    """A late answer must not be taken for that of another call of the same id."""
-    node = Node()
-    peer = node.up("a.1", "b.1")
-    node.pool.cancel(peer.protocol.sent_calls[b"a.1"])
+    """A late answer must not be attributed to another call with the same id."""
+    harness = PoolHarness()
+    peer = harness.send_and_accept("a.1", "b.1")
+    harness.pool.cancel(peer.protocol.sent_calls[b"a.1"])
     peer.say(answer("b.1"))
-    node.send("a.1")
-    assert len(node.peers) == 2
+    harness.send("a.1")
+    assert len(harness.peers) == 2
     peer.say(answer("a.1", "busy"))
-    assert outcomes(node)["a.1"] == [Outcome.CANCELLED]
+    assert outcomes(harness)["a.1"] == [Outcome.CANCELLED]
 
 
-@pytest.mark.parametrize("waits", ["for its connection", "behind another frame", "half written"])
-def test_a_call_never_leaves_after_its_transmit_limit(waits):
-    """A retry with an idempotency key must not leave after the deduplication window."""
-    node = Node(max_links=1)
-    if waits == "for its connection":
-        node.send("a.1", leave_within=90.0)
+@pytest.mark.parametrize("waiting", ["for its connection", "behind another frame", "partly sent"])
+def test_a_call_is_never_sent_after_its_transmit_limit(waiting):
+    """A retry with an idempotency key must not be sent after the deduplication window."""
+    harness = PoolHarness(max_connections=1)
+    if waiting == "for its connection":
+        harness.send("a.1", transmit_limit_ms=90.0)
         peer = None
     else:
-        peer = stuck(node, *(["b.1"] if waits == "behind another frame" else []))
-        node.send("a.1", leave_within=90.0)
+        peer = send_into_full_socket(
+            harness, *(["b.1"] if waiting == "behind another frame" else [])
+        )
+        harness.send("a.1", transmit_limit_ms=90.0)
         assert [id for id, *_ in peer.calls()] == (
-            ["b.1"] if waits == "behind another frame" else ["a.1"]
+            ["b.1"] if waiting == "behind another frame" else ["a.1"]
         )
-    node.reactor.advance(0.08)
-    assert "a.1" not in node.ends
-    node.reactor.advance(0.02)
-    assert outcomes(node)["a.1"] == [Outcome.CONNECT_FAILED]
-    if waits == "half written":
-        assert peer.transport.over  # what the system has of it can never become a whole frame
+    harness.reactor.advance(0.08)
+    assert "a.1" not in harness.results
+    harness.reactor.advance(0.02)
+    assert outcomes(harness)["a.1"] == [Outcome.CONNECT_FAILED]
+    if waiting == "partly sent":
+        assert peer.transport.over  # so the partly sent frame is never completed
     else:
-        peer = peer or node.peers[0].accept()
+        peer = peer or harness.peers[0].accept()
         peer.transport.stuck = False
         peer.protocol.resumeProducing()
         assert not peer.calls()
 
 
-def test_a_call_that_left_in_time_is_waited_for_beyond_its_transmit_limit():
-    node = Node()
-    peer = node.up("a.1", leave_within=90.0)
-    node.reactor.advance(0.2)
+def test_a_call_sent_in_time_is_not_ended_at_its_transmit_limit():
+    harness = PoolHarness()
+    peer = harness.send_and_accept("a.1", transmit_limit_ms=90.0)
+    harness.reactor.advance(0.2)
     peer.say(answer("a.1"))
-    assert outcomes(node) == {"a.1": [Outcome.SUCCEEDED]} and not node.reactor.getDelayedCalls()
+    assert (
+        outcomes(harness) == {"a.1": [Outcome.SUCCEEDED]} and not harness.reactor.getDelayedCalls()
+    )
 
 
 def test_a_call_queued_behind_a_stalled_frame_ends_at_its_connect_limit():
     """A hung node with a full socket must not hold queued calls until their timeout."""
-    node = Node(max_links=1)
-    peer = stuck(node, "a.1")
-    node.send("b.1", connect_within=60.0)
-    node.reactor.advance(0.07)
-    assert outcomes(node)["b.1"] == [Outcome.CONNECT_FAILED] and not peer.transport.over
+    harness = PoolHarness(max_connections=1)
+    peer = send_into_full_socket(harness, "a.1")
+    harness.send("b.1", connect_limit_ms=60.0)
+    harness.reactor.advance(0.07)
+    assert outcomes(harness)["b.1"] == [Outcome.CONNECT_FAILED] and not peer.transport.over
