--- a/tests/http_router/test_belief.py
+++ b/tests/http_router/test_belief.py
@@ -1,6 +1,4 @@
-"""What the module believes against what passes on the links; and that nothing is kept of what is
-gone.
-"""
+"""The state of the routing policy agrees with the connections, and ended state is released."""
 
 import random
 
@@ -8,48 +6,48 @@
 from test_discovery import CHUNKED_RESPONSE_HEAD, endpoint_list_chunk
 
 
-def out(live):
-    """Parts out by node: as the module believes, and as the links have them."""
-    believed = {
-        s.id: s.in_flight
-        for s in live.daemon.coordinator.loop.policy.endpoints.values()
-        if s.in_flight
+def calls_in_flight(live):
+    """Return the shard requests in flight by endpoint, as counted by policy and connections."""
+    by_policy = {
+        endpoint.id: endpoint.in_flight
+        for endpoint in live.daemon.coordinator.loop.policy.endpoints.values()
+        if endpoint.in_flight
     }
-    pools = live.daemon.pool
-    held = {
-        n.endpoint: sum(connection.load for connection in n.connections)
-        for n in pools.endpoints.values()
+    pool = live.daemon.pool
+    by_connections = {
+        endpoint.endpoint: sum(connection.load for connection in endpoint.connections)
+        for endpoint in pool.endpoints.values()
     }
-    return believed, {server: load for server, load in held.items() if load}
+    return by_policy, {endpoint: load for endpoint, load in by_connections.items() if load}
 
 
-def test_parts_out_and_times_agree_with_the_links():
+def test_in_flight_counts_of_policy_and_connections_agree():
     live, rng = Live(), random.Random(5)
     live.discovery[0].refuse()
-    open_parts, sent_at = [], {}
+    pending, sent_at = [], {}
     for n in range(300):
         if rng.random() < 0.6:
             live.ask(post(id=f"r{n}", shards=((n % 9, 0.5), ((n + 1) % 9, 0.5)), deadline=1900))
         for peer, id, _ in live.sent():
-            open_parts.append((peer, id))
+            pending.append((peer, id))
             sent_at[id] = live.reactor.seconds()
-        believed, held = out(live)
-        assert believed == held
-        if open_parts and rng.random() < 0.8:
-            peer, id = open_parts.pop(rng.randrange(len(open_parts)))
+        by_policy, by_connections = calls_in_flight(live)
+        assert by_policy == by_connections
+        if pending and rng.random() < 0.8:
+            peer, id = pending.pop(rng.randrange(len(pending)))
             if not peer.transport.over:
-                kind = rng.random()
-                peer.transport.end() if kind < 0.05 else peer.say(
-                    answer(id, "err" if kind < 0.1 else "ok")
+                choice = rng.random()
+                peer.transport.end() if choice < 0.05 else peer.say(
+                    answer(id, "err" if choice < 0.1 else "ok")
                 )
         live.run(0.005)
     live.run(3)
-    assert out(live) == ({}, {})
+    assert calls_in_flight(live) == ({}, {})
     coordinator = live.daemon.coordinator
     assert sum(coordinator.outcomes.values()) == coordinator.counts["sends"] > 100
 
 
-def test_took_is_the_time_between_write_and_answer():
+def test_latency_is_measured_from_write_to_answer():
     live = Live()
     live.ask(post())
     [(peer, id, _)] = live.sent()
@@ -65,7 +63,7 @@
     )
 
 
-def test_nothing_is_kept_of_thousands_of_clients_queries_and_nodes():
+def test_no_state_remains_of_ended_queries_clients_and_nodes():
     live = Live()
     watch = live.discovery[0].accept()
     watch.say(CHUNKED_RESPONSE_HEAD)
@@ -78,22 +76,22 @@
         client[1].end()
         live.nodes = [peer for peer in live.nodes if not peer.transport.over]
         if n % 10 == 0:
-            old, new = n // 10 + 1, n // 10 + 4
-            replaced = entry(new, addr=f"127.0.1.{new % 250 + 1}:7070")
-            watch.say(endpoint_list_chunk(5 + n, replaced, entry(old, "terminated")))
+            removed, added = n // 10 + 1, n // 10 + 4
+            replaced = entry(added, addr=f"127.0.1.{added % 250 + 1}:7070")
+            watch.say(endpoint_list_chunk(5 + n, replaced, entry(removed, "terminated")))
             live.run(1.0)
             watch.say(b"1\r\n\n\r\n")
     live.run(3)
-    coordinator, router = live.daemon.coordinator, live.daemon.coordinator.loop.policy
+    coordinator, policy = live.daemon.coordinator, live.daemon.coordinator.loop.policy
     assert coordinator.counts["taken"] == 1500
     assert not coordinator.queries and not coordinator._parts and not coordinator._by_number
     assert (
-        not router.queries.by_id
-        and not router.queries.by_number
-        and not router.queries.shard_requests
-        and not router.queries.attempts_in_flight
+        not policy.queries.by_id
+        and not policy.queries.by_number
+        and not policy.queries.shard_requests
+        and not policy.queries.attempts_in_flight
     )
     assert not live.daemon.server.connections and not live.daemon.server.idle_after_query
-    assert len(router.endpoints) <= 6 and len(live.daemon.names) < 100
+    assert len(policy.endpoints) <= 6 and len(live.daemon.names) < 100
     assert len(live.daemon.pool.endpoints) == 3 and live.daemon.pool.connection_count <= 6
-    assert len(router.timers) < 100 and len(router._budget._accepted._entries) < 100
+    assert len(policy.timers) < 100 and len(policy._budget._accepted._entries) < 100
--- a/tests/http_router/test_discovery.py
+++ b/tests/http_router/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the watch, its lines, its silence; names and their numbers; the configuration."""
+"""Discovery: watches, polls, the endpoint directory; and the parsing of the configuration."""
 
 import json
 
@@ -35,7 +35,8 @@
 
 def states(live):
     return {
-        server: one.status for server, one in live.daemon.coordinator.loop.policy.endpoints.items()
+        endpoint: state.status
+        for endpoint, state in live.daemon.coordinator.loop.policy.endpoints.items()
     }
 
 
@@ -45,7 +46,7 @@
     )
 
 
-def test_changes_reach_the_module_and_drained_nodes_get_nothing(live):
+def test_changes_reach_the_policy_and_draining_nodes_get_no_requests(live):
     live.watch.say(
         CHUNKED_RESPONSE_HEAD
         + endpoint_list_chunk(5, entry(1, "terminating"), entry(2, "terminated"))
@@ -60,10 +61,10 @@
     assert {peer.host for peer, _, _ in live.sent()} == {"127.0.0.3"}
 
 
-def test_a_whole_list_says_who_is_gone_and_one_cut_anywhere_is_read(live):
+def test_a_snapshot_removes_unlisted_nodes_and_may_arrive_in_small_chunks(live):
     data = CHUNKED_RESPONSE_HEAD + endpoint_list_chunk(9, entry(2), entry(4), full=True)
-    for at in range(0, len(data), 7):
-        live.watch.say(data[at : at + 7])
+    for start in range(0, len(data), 7):
+        live.watch.say(data[start : start + 7])
     live.run(0)
     assert states(live) == {
         2: routing.EndpointStatus.IN_SERVICE,
@@ -71,27 +72,27 @@
     }
 
 
-def test_an_older_list_brings_nobody_back(live):
+def test_an_older_list_does_not_restore_removed_nodes(live):
     live.watch.say(CHUNKED_RESPONSE_HEAD + endpoint_list_chunk(9, entry(1, "terminated")))
     live.watch.say(endpoint_list_chunk(7, entry(1), entry(2), entry(3), full=True))
     live.run(0)
     assert sorted(states(live)) == [2, 3]
 
 
-@pytest.mark.parametrize("end", ["refused", "reset", "503", "noise", "silent"])
-def test_a_watch_that_fails_is_asked_for_again(end):
+@pytest.mark.parametrize("failure", ["refused", "reset", "503", "malformed", "silent"])
+def test_a_failed_watch_is_reopened(failure):
     live = Live()
     watch = live.discovery[0]
-    if end == "refused":
+    if failure == "refused":
         watch.refuse()
     else:
         watch.accept()
-        if end == "reset":
+        if failure == "reset":
             watch.say(CHUNKED_RESPONSE_HEAD)
             watch.transport.end()
-        elif end == "503":
+        elif failure == "503":
             watch.say(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-        elif end == "noise":
+        elif failure == "malformed":
             watch.say(CHUNKED_RESPONSE_HEAD + chunk(b"{no json\n"))
         else:
             live.run(2.5)
@@ -99,14 +100,14 @@
     assert len(live.discovery) == 2
 
 
-def test_the_whole_list_once_may_be_written_over_several_lines(live):
+def test_the_document_of_a_poll_may_span_several_lines(live):
     live.daemon.discovery.poll_once()
     live.run(0)
-    call = live.discovery[1].accept()
-    assert call.transport.take().startswith(b"GET /api/targets HTTP/1.1\r\n")
-    told = {"version": 9, "full": True, "servers": [entry(2), entry(4)]}
-    text = json.dumps(told, indent=1).encode() + b"\n"
-    call.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(text) + text)
+    poll = live.discovery[1].accept()
+    assert poll.transport.take().startswith(b"GET /api/targets HTTP/1.1\r\n")
+    document = {"version": 9, "full": True, "servers": [entry(2), entry(4)]}
+    text = json.dumps(document, indent=1).encode() + b"\n"
+    poll.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(text) + text)
     live.run(0)
     assert states(live) == {
         2: routing.EndpointStatus.IN_SERVICE,
@@ -115,7 +116,7 @@
     assert len(live.discovery) == 2 and live.daemon.discovery.poll is None
 
 
-def test_beats_keep_a_watch(live):
+def test_heartbeats_keep_a_watch_open(live):
     live.watch.say(CHUNKED_RESPONSE_HEAD)
     for _ in range(6):
         live.run(2.0)
@@ -133,7 +134,7 @@
     assert status(transport.take()) == 200
 
 
-def test_a_node_without_a_usable_address_harms_no_other(live):
+def test_a_node_with_an_invalid_address_does_not_affect_others(live):
     live.watch.say(
         CHUNKED_RESPONSE_HEAD
         + endpoint_list_chunk(5, entry(1, addr="nowhere"), entry(3, addr="127.0.0.33:7070"))
@@ -143,44 +144,46 @@
     assert live.sent()
 
 
-def test_numbers_are_kept_while_a_node_may_come_back_and_forgotten_after():
-    names = EndpointDirectory(("a", "b"))
+def test_a_removed_node_keeps_its_number_for_the_retention_time():
+    directory = EndpointDirectory(("a", "b"))
 
-    def heard(now, *entries):
+    def apply_delta(now, *entries):
         document = msgspec.convert({"version": 1, "servers": list(entries)}, EndpointListDocument)
-        return names.apply(document, routing.EndpointListKind.DELTA, now)
+        return directory.apply(document, routing.EndpointListKind.DELTA, now)
 
-    heard(0, entry(1), entry(2))
-    heard(10, entry(1, "terminated"))
-    event, places = heard(20, entry(1))
-    assert event.entries[0].endpoint == 1 and places == {1: "127.0.0.1:7070"}
-    heard(30, entry(1, "terminated"))
+    apply_delta(0, entry(1), entry(2))
+    apply_delta(10, entry(1, "terminated"))
+    event, addresses = apply_delta(20, entry(1))
+    assert event.entries[0].endpoint == 1 and addresses == {1: "127.0.0.1:7070"}
+    apply_delta(30, entry(1, "terminated"))
     for n in range(3, 2000):
-        heard(30 + REMOVED_RETENTION_MS * n, entry(n))
-        heard(40 + REMOVED_RETENTION_MS * n, entry(n, "terminated"))
-    assert len(names) <= 3
-    event, _ = heard(REMOVED_RETENTION_MS * 3000, entry(1))
+        apply_delta(30 + REMOVED_RETENTION_MS * n, entry(n))
+        apply_delta(40 + REMOVED_RETENTION_MS * n, entry(n, "terminated"))
+    assert len(directory) <= 3
+    event, _ = apply_delta(REMOVED_RETENTION_MS * 3000, entry(1))
     assert event.entries[0].endpoint > 1
 
 
-def test_settings_hold_what_the_sockets_need():
-    found = configuration.parse(config(), {})
-    assert found.listen == ("127.0.0.1", 7000) and found.discovery == ("127.0.0.9", 8500)
-    assert found.classes == {"look": 0, "book": 1} and found.streams == 8 and found.idle == 10_000.0
-    assert found.max_clients + found.max_links < found.sockets
-    assert found.seed == 0x8C1F30D27A5BE964
+def test_settings_provide_addresses_and_connection_limits():
+    parsed = configuration.parse(config(), {})
+    assert parsed.listen == ("127.0.0.1", 7000) and parsed.discovery == ("127.0.0.9", 8500)
+    assert (
+        parsed.classes == {"look": 0, "book": 1} and parsed.streams == 8 and parsed.idle == 10_000.0
+    )
+    assert parsed.max_clients + parsed.max_links < parsed.sockets
+    assert parsed.seed == 0x8C1F30D27A5BE964
 
 
-def test_the_environment_stands_in_for_what_the_file_lacks():
-    found = configuration.parse(
+def test_the_environment_provides_addresses_missing_from_the_file():
+    parsed = configuration.parse(
         config(listen="", discovery=""),
         {"NODE_LISTEN": "127.0.0.5:7171", "NODE_DISCOVERY": "127.0.0.6:8181"},
     )
-    assert found.listen == ("127.0.0.5", 7171) and found.discovery == ("127.0.0.6", 8181)
+    assert parsed.listen == ("127.0.0.5", 7171) and parsed.discovery == ("127.0.0.6", 8181)
 
 
 @pytest.mark.parametrize(
-    "raw, said",
+    "raw, expected_text",
     [
         (b"{", "NODE_CONFIG"),
         (config(listen="nowhere"), "listen"),
@@ -190,41 +193,41 @@
         (config(discovery="127.0.0.1:99999"), "discovery"),
     ],
 )
-def test_a_configuration_that_cannot_be_used_says_where(raw, said):
-    with pytest.raises(configuration.ConfigError, match=said):
+def test_an_invalid_configuration_is_reported_with_its_key(raw, expected_text):
+    with pytest.raises(configuration.ConfigError, match=expected_text):
         configuration.parse(raw, {})
 
 
-def changed(raw, path, value):
-    """The configuration with one value replaced; ... takes it out."""
-    complete = json.loads(raw)
-    at = complete
+def with_value(raw, path, value):
+    """Return the configuration with the value at a path replaced, or removed if it is `...`."""
+    config_document = json.loads(raw)
+    parent = config_document
     for key in path[:-1]:
-        at = at[key]
+        parent = parent[key]
     if value is ...:
-        del at[path[-1]]
+        del parent[path[-1]]
     else:
-        at[path[-1]] = value
-    return json.dumps(complete).encode()
+        parent[path[-1]] = value
+    return json.dumps(config_document).encode()
 
 
-def figures(node, path=()):
-    """The places of all numbers in a configuration."""
+def number_paths(node, path=()):
+    """Yield the paths of all numbers in a configuration."""
     for key, value in node.items() if isinstance(node, dict) else enumerate(node):
         if isinstance(value, dict | list):
-            yield from figures(value, (*path, key))
+            yield from number_paths(value, (*path, key))
         elif isinstance(value, int | float) and not isinstance(value, bool):
             yield *path, key
 
 
-BUDGET = {"extraFloor": 5, "repeatRatio": 0.05, "countedOver": 2000.0}
-WHOLE = config(settings=TOLD | {"rules": TOLD["rules"] | BUDGET})
+RETRY_BUDGET = {"extraFloor": 5, "repeatRatio": 0.05, "countedOver": 2000.0}
+COMPLETE_CONFIG = config(settings=TOLD | {"rules": TOLD["rules"] | RETRY_BUDGET})
 
 
 @pytest.mark.parametrize(
     "path",
     [
-        *figures({"settings": json.loads(WHOLE)["settings"]}),
+        *number_paths({"settings": json.loads(COMPLETE_CONFIG)["settings"]}),
         ("settings", "discovery"),
         ("settings", "rules"),
         ("settings", "services", 0, "effect"),
@@ -233,50 +236,56 @@
     ],
     ids=lambda path: ".".join(map(str, path)),
 )
-def test_an_absurd_value_anywhere_in_the_settings_is_named_with_its_place(path):
-    """Otherwise the fault shows later, or without its place."""
-    named = (
+def test_an_invalid_value_in_the_settings_is_reported_with_its_path(path):
+    """Otherwise the error shows up later, or without its path."""
+    reported_path = (
         path[:-1] if isinstance(path[-1], int) else path
-    )  # of a list that is too short its end is told
-    place = ".".join(map(str, named)).replace(".0", "[0]").replace(".1", "[1]")
-    optional = path[-1] in ("streamsPerConn", "connectTimeout", "connIdle")
-    for absurd in ("x", None, [], -1, *([] if optional else [...])):
+    )  # a list that is too short is reported with its own path
+    reported_text = ".".join(map(str, reported_path)).replace(".0", "[0]").replace(".1", "[1]")
+    is_optional = path[-1] in ("streamsPerConn", "connectTimeout", "connIdle")
+    for invalid in ("x", None, [], -1, *([] if is_optional else [...])):
         with pytest.raises(configuration.ConfigError) as raised:
-            configuration.parse(changed(WHOLE, path, absurd), {})
-        assert place in str(raised.value)
+            configuration.parse(with_value(COMPLETE_CONFIG, path, invalid), {})
+        assert reported_text in str(raised.value)
 
 
-def test_half_a_budget_or_a_name_given_twice_is_no_setting():
-    for key in BUDGET:
+def test_an_incomplete_retry_budget_or_a_duplicate_name_is_rejected():
+    for key in RETRY_BUDGET:
         with pytest.raises(configuration.ConfigError, match=key):
-            configuration.parse(changed(WHOLE, ("settings", "rules", key), ...), {})
+            configuration.parse(with_value(COMPLETE_CONFIG, ("settings", "rules", key), ...), {})
     with pytest.raises(configuration.ConfigError, match="name"):
-        configuration.parse(changed(WHOLE, ("settings", "services", 1, "name"), "look"), {})
+        configuration.parse(
+            with_value(COMPLETE_CONFIG, ("settings", "services", 1, "name"), "look"), {}
+        )
 
 
-def test_a_missing_file_is_told():
+def test_a_missing_configuration_file_is_reported():
     with pytest.raises(configuration.ConfigError, match="NODE_CONFIG"):
         configuration.load({"NODE_CONFIG": "/nowhere/at/all.json"})
 
 
-def test_the_policys_clock_is_the_reactors(live):
+def test_the_policy_uses_the_clock_of_the_reactor(live):
     assert live.daemon.coordinator.loop.now >= START * 1000
 
 
-def indented(version, *servers, full=False):
-    told = {"version": version, "full": full, "servers": servers}
-    return json.dumps(told, indent=2).encode() + b"\n"
+def indented_document(version, *servers, full=False):
+    document = {"version": version, "full": full, "servers": servers}
+    return json.dumps(document, indent=2).encode() + b"\n"
 
 
 @pytest.mark.parametrize("length", [1, 7, 10_000])
 @pytest.mark.parametrize("framing", ["chunked", "until the end"])
-def test_objects_over_several_lines_are_read_on_a_watch(live, framing, length):
-    """The first line of an indented list is no malformed object."""
-    body = indented(5, entry(1, "terminating")) + b"\n" + indented(6, entry(2), entry(4), full=True)
-    pieces = [body[at : at + length] for at in range(0, len(body), length)]
+def test_documents_of_several_lines_are_read_on_a_watch(live, framing, length):
+    """The first line of an indented document must not be taken for a malformed one."""
+    body = (
+        indented_document(5, entry(1, "terminating"))
+        + b"\n"
+        + indented_document(6, entry(2), entry(4), full=True)
+    )
+    chunks = [body[start : start + length] for start in range(0, len(body), length)]
     live.watch.say(CHUNKED_RESPONSE_HEAD if framing == "chunked" else b"HTTP/1.1 200 OK\r\n\r\n")
-    for piece in pieces:
-        live.watch.say(chunk(piece) if framing == "chunked" else piece)
+    for data in chunks:
+        live.watch.say(chunk(data) if framing == "chunked" else data)
     live.run(0)
     assert states(live) == {
         2: routing.EndpointStatus.IN_SERVICE,
@@ -286,7 +295,7 @@
 
 
 @pytest.mark.parametrize(
-    "noise",
+    "malformed",
     [
         b"{no json\n",
         b'{"version": "x",\n',
@@ -295,13 +304,13 @@
         b"[[[[\n\n",
     ],
 )
-def test_what_cannot_become_a_list_ends_the_watch(live, noise):
-    live.watch.say(CHUNKED_RESPONSE_HEAD + chunk(noise))
+def test_a_malformed_document_ends_the_watch(live, malformed):
+    live.watch.say(CHUNKED_RESPONSE_HEAD + chunk(malformed))
     live.run(0.5)
     assert len(live.discovery) == 2
 
 
-def test_an_object_without_an_end_is_bounded(live):
+def test_the_size_of_an_unfinished_document_is_bounded(live):
     live.watch.say(CHUNKED_RESPONSE_HEAD + chunk(b'{"version": 5, "full": true, "servers": [\n'))
     for _ in range(70):
         if not live.watch.transport.over:
@@ -310,7 +319,7 @@
     assert len(live.discovery) == 2
 
 
-def test_a_trickle_that_ends_no_line_is_silence(live):
+def test_bytes_without_an_end_of_line_do_not_keep_a_watch_open(live):
     """Bytes without an end of line do not count as a heartbeat."""
     live.watch.say(CHUNKED_RESPONSE_HEAD)
     for _ in range(14):
@@ -323,93 +332,93 @@
     assert len(live.discovery) == 2
 
 
-def test_a_whole_list_of_nobody_that_was_asked_for_is_asked_for_again(live):
+def test_an_empty_list_from_a_poll_is_confirmed_by_a_second_poll(live):
     """The poll that brought the list no longer counts as open."""
     live.daemon.discovery.poll_once()
     live.run(0)
-    nobody = b'{"version":9,"full":true,"servers":[]}'
-    complete = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(nobody) + nobody
-    live.discovery[1].accept().say(complete)
+    empty_list = b'{"version":9,"full":true,"servers":[]}'
+    response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(empty_list) + empty_list
+    live.discovery[1].accept().say(response)
     live.run(0)
     assert len(live.discovery) == 3 and len(states(live)) == 3
-    live.discovery[2].accept().say(complete)
+    live.discovery[2].accept().say(response)
     live.run(0)
     assert not states(live)
 
 
-def test_a_new_address_is_asked_at_once_while_the_old_one_is_waited_for(tmp_path):
-    """The backoff of the old address does not delay the first request to the new one."""
+def test_a_new_discovery_address_is_used_at_once_during_backoff(tmp_path):
+    """The backoff for the old address must not delay the first request to the new one."""
     path = tmp_path / "config.json"
     live = Live(environ={"NODE_CONFIG": str(path)})
-    for at in range(5):
-        live.discovery[at].refuse()
-        live.run(0.2 * 2**at)
-    asked = len(live.discovery)
+    for index in range(5):
+        live.discovery[index].refuse()
+        live.run(0.2 * 2**index)
+    connections_before = len(live.discovery)
     live.discovery[-1].refuse()
     live.run(0)
     path.write_bytes(config(discovery="127.0.0.9:8600"))
     live.daemon.reload()
     live.run(0)
-    assert [peer.port for peer in live.discovery[asked:]] == [8600]
+    assert [peer.port for peer in live.discovery[connections_before:]] == [8600]
     watch = live.discovery[-1].accept()
     watch.say(CHUNKED_RESPONSE_HEAD + endpoint_list_chunk(5, entry(1, "terminated")))
-    live.run(2.9)  # the lapsed wait for the old address opens no second watch
-    assert len(live.discovery) == asked + 1 and 1 not in states(live)
+    live.run(2.9)  # the expired backoff of the old address opens no second watch
+    assert len(live.discovery) == connections_before + 1 and 1 not in states(live)
 
 
-def test_a_call_to_the_old_address_is_asked_at_the_new_one_and_its_late_answer_is_nobodys(live):
+def test_a_poll_restarts_at_a_new_address_and_its_late_response_is_ignored(live):
     live.daemon.discovery.poll_once()
     live.run(0)
-    old = live.discovery[1].accept()
+    old_poll = live.discovery[1].accept()
     live.daemon.discovery.set_address("127.0.0.9", 8600)
     live.run(0)
     assert [peer.port for peer in live.discovery] == [8500, 8500, 8600, 8600]
-    late = b'{"version":9,"full":true,"servers":[]}'
-    old.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(late) + late)
+    empty_list = b'{"version":9,"full":true,"servers":[]}'
+    old_poll.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(empty_list) + empty_list)
     live.run(0)
     assert len(states(live)) == 3
 
 
-@pytest.mark.parametrize("end, believed", [(ConnectionDone, True), (ConnectionLost, False)])
-def test_a_whole_list_without_a_length_counts_at_its_end_and_a_reset_is_no_end(live, end, believed):
+@pytest.mark.parametrize("reason, is_accepted", [(ConnectionDone, True), (ConnectionLost, False)])
+def test_a_body_without_a_length_is_complete_only_after_an_orderly_close(live, reason, is_accepted):
     live.daemon.discovery.poll_once()
     live.run(0)
-    call = live.discovery[1].accept()
-    call.say(
+    poll = live.discovery[1].accept()
+    poll.say(
         b'HTTP/1.1 200 OK\r\n\r\n{"version":9,"full":true,"servers":[]}'.replace(
             b"[]", json.dumps([entry(2)]).encode()
         )
     )
     assert len(states(live)) == 3
-    call.protocol.connectionLost(Failure(end()))
+    poll.protocol.connectionLost(Failure(reason()))
     live.run(0)
-    assert (states(live) == {2: routing.EndpointStatus.IN_SERVICE}) == believed
+    assert (states(live) == {2: routing.EndpointStatus.IN_SERVICE}) == is_accepted
 
 
-def test_a_list_of_a_stated_length_that_ends_too_soon_is_none(live):
+def test_a_body_shorter_than_its_content_length_is_ignored(live):
     live.daemon.discovery.poll_once()
     live.run(0)
-    call = live.discovery[1].accept()
-    call.say(b'HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{"version":9,"full":true,"servers":[]}')
-    call.transport.end()
+    poll = live.discovery[1].accept()
+    poll.say(b'HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{"version":9,"full":true,"servers":[]}')
+    poll.transport.end()
     live.run(0)
     assert len(states(live)) == 3 and live.daemon.discovery.poll is None
 
 
-@pytest.mark.parametrize("apart", [0.0, 3_600_000.0, -3_600_000.0])
-def test_cold_nodes_stay_cold_and_a_restart_is_a_changed_start_whatever_the_wall_clock_says(apart):
-    """`apart`: ms by which the nodes' clock differs from anything this process could read."""
-    names, nodes_clock = EndpointDirectory(("a", "b")), 1_700_000_000_000.0 + apart
+@pytest.mark.parametrize("clock_offset", [0.0, 3_600_000.0, -3_600_000.0])
+def test_start_times_and_restarts_are_determined_without_the_wall_clock(clock_offset):
+    """`clock_offset` is the difference in ms between the clocks of the nodes and the router."""
+    directory, nodes_clock = EndpointDirectory(("a", "b")), 1_700_000_000_000.0 + clock_offset
 
-    def told(kind, now, version, **starts):
+    def apply_list(kind, now, version, **starts):
         servers = [
             EndpointDocument(id, "in_service", "10.0.0.1:70", started_ms=start)
             for id, start in starts.items()
         ]
-        event, _ = names.apply(EndpointListDocument(version, servers), kind, now)
+        event, _ = directory.apply(EndpointListDocument(version, servers), kind, now)
         return {entry.endpoint: entry for entry in event.entries}
 
-    first = told(
+    first = apply_list(
         routing.EndpointListKind.SNAPSHOT,
         50_000.0,
         1,
@@ -418,8 +427,8 @@
         two=nodes_clock + 49_000,
     )
     assert first[1].started_at == 0.0 and first[2].started_at == first[3].started_at == 50_000.0
-    names.confirm_unchanged(60_000.0)
-    second = told(
+    directory.confirm_unchanged(60_000.0)
+    second = apply_list(
         routing.EndpointListKind.DELTA,
         60_500.0,
         2,
@@ -429,16 +438,16 @@
     assert second[4].started_at >= 60_000.0 and second[5].started_at >= 60_000.0
     assert second[2].started_at == pytest.approx(
         30_200.0
-    )  # known better: 30,000 by the nodes' clock
+    )  # corrected; exactly 30,000 by the nodes' clock
     assert second[2].incarnation == first[2].incarnation
-    third = told(
+    third = apply_list(
         routing.EndpointListKind.DELTA, 61_000.0, 3, one=nodes_clock - 500_000
-    )  # its own clock was set back
+    )  # the clock of this node was set back
     assert third[2].incarnation > second[2].incarnation and third[2].started_at >= 60_500.0
 
 
 def answer_poll(live, version, *servers):
-    """Answer the open poll, if there is one, while the watch stays alive."""
+    """Send a heartbeat on the watch and answer the pending poll, if there is one."""
     live.watch.say(chunk(b"\n"))
     for peer in live.discovery[1:]:
         if peer.transport is None:
@@ -446,11 +455,11 @@
             peer.accept().say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
 
 
-def test_the_list_of_a_discovery_that_lost_its_versions_is_believed_after_a_while(live):
-    """Guards against routers that serve from a list of the past for good."""
+def test_a_version_reset_of_discovery_is_confirmed_after_several_seconds(live):
+    """Otherwise a router would use an outdated list forever after discovery lost its versions."""
     live.watch.say(CHUNKED_RESPONSE_HEAD + endpoint_list_chunk(40, entry(1), entry(2), full=True))
     live.watch.say(endpoint_list_chunk(3, entry(2), entry(3), full=True))
-    for _ in range(9):  # each half a second
+    for _ in range(9):  # 4.5 s, less than the confirmation time
         live.run(0.5)
         answer_poll(live, 3, entry(2), entry(3))
     assert live.daemon.names.version == 40
@@ -458,14 +467,14 @@
         live.run(0.5)
         answer_poll(live, 3, entry(2), entry(3))
     assert live.daemon.names.version == 3
-    live.watch.say(endpoint_list_chunk(4, entry(2, "terminating")))  # and its changes are heard
+    live.watch.say(endpoint_list_chunk(4, entry(2, "terminating")))  # later changes are applied
     assert live.daemon.names.version == 4
     polls = len(live.discovery)
     live.run(2.0)
     assert len(live.discovery) == polls
 
 
-def test_an_outdated_list_among_newer_ones_is_not_believed(live):
+def test_an_outdated_list_among_newer_ones_is_ignored(live):
     live.watch.say(CHUNKED_RESPONSE_HEAD + endpoint_list_chunk(40, entry(1), entry(2), full=True))
     for version in range(41, 51):
         live.watch.say(endpoint_list_chunk(3, entry(3), full=True))
@@ -474,7 +483,7 @@
     assert live.daemon.names.version == 50
 
 
-def test_an_older_change_alone_is_never_believed(live):
+def test_older_deltas_never_confirm_a_version_reset(live):
     live.watch.say(CHUNKED_RESPONSE_HEAD + endpoint_list_chunk(40, entry(1), entry(2), full=True))
     for _ in range(10):
         live.watch.say(endpoint_list_chunk(3, entry(1, "terminating")))
