--- a/tansycrank/http_router/connection_pool.py
+++ b/tansycrank/http_router/connection_pool.py
@@ -65,8 +65,8 @@
 
     def set_address(self, endpoint: int, host: str, port: int) -> None:
         """Set the address of an endpoint; connections to its previous address are drained."""
-        known = self.endpoints.get(endpoint)
-        if known is not None and not known.has_address(host, port):
+        connections = self.endpoints.get(endpoint)
+        if connections is not None and not connections.has_address(host, port):
             self.remove_endpoint(endpoint)
         if endpoint not in self.endpoints:
             self.endpoints[endpoint] = EndpointConnections(
@@ -92,8 +92,8 @@
 
     def close_idle(self, endpoint: int) -> None:
         """Close the idle connections of an endpoint."""
-        if known := self.endpoints.get(endpoint):
-            for connection in known.idle():
+        if connections := self.endpoints.get(endpoint):
+            for connection in connections.idle():
                 connection.drain()
 
     # --- calls ------------------------------------------------------------------------
@@ -198,7 +198,11 @@
 
     def _close_least_recently_used(self) -> bool:
         """Close the connection that has been idle longest; return whether there was one."""
-        idle = (connection for known in self.endpoints.values() for connection in known.idle())
+        idle = (
+            connection
+            for connections in self.endpoints.values()
+            for connection in connections.idle()
+        )
         oldest = min(idle, key=lambda connection: connection.last_used, default=None)
         if oldest is None:
             return False
--- a/tansycrank/http_router/endpoint_directory.py
+++ b/tansycrank/http_router/endpoint_directory.py
@@ -78,10 +78,10 @@
         duplicates = [
             entry.id for entry in document.servers if entry.id in seen or seen.add(entry.id)
         ]
-        unknown = [entry.state for entry in document.servers if entry.state not in STATUSES]
+        unknown_states = [entry.state for entry in document.servers if entry.state not in STATUSES]
         problems: dict[str, str] = {}
-        if unknown:
-            problems["unknown_states"] = _count_and_example(unknown)
+        if unknown_states:
+            problems["unknown_states"] = _count_and_example(unknown_states)
         if duplicates:
             problems["named_twice"] = _count_and_example(duplicates)
         return problems
@@ -110,7 +110,7 @@
     def _complete_entries(
         self, document: EndpointListDocument, kind: EndpointListKind
     ) -> list[EndpointDocument]:
-        """Return the last entry of each id, and for a whole list removals of the nodes it lacks."""
+        """Return the last entry of each id, and removals of unlisted nodes unless it is a delta."""
         by_id = {entry.id: entry for entry in document.servers}
         entries = list(by_id.values())
         if kind is not EndpointListKind.DELTA:
@@ -165,5 +165,5 @@
     return STATUSES.get(entry.state, STATUS_OF_UNKNOWN_STATE)
 
 
-def _count_and_example(words: list[str]) -> str:
-    return f"{len(words)}, {words[0][:MAX_EXAMPLE_LENGTH]!r}"
+def _count_and_example(values: list[str]) -> str:
+    return f"{len(values)}, {values[0][:MAX_EXAMPLE_LENGTH]!r}"
--- a/tansycrank/http_router/frames.py
+++ b/tansycrank/http_router/frames.py
@@ -124,18 +124,18 @@
     match = ANSWER_LINE.fullmatch(line) if is_complete else None
     if match is None:
         raise FrameError(f"malformed answer line {line[:60]!r}")
-    id, word, _score, report = match.groups()
+    id, status, _score, load_report = match.groups()
     try:
         text = value.decode()
     except UnicodeDecodeError as error:
         raise FrameError("answer value is not valid UTF-8") from error
-    return Answer(id, OUTCOMES[word], text, _decode_load(report))
+    return Answer(id, OUTCOMES[status], text, _decode_load(load_report))
 
 
-def _decode_load(report: bytes) -> tuple[float, ...]:
+def _decode_load(load_report: bytes) -> tuple[float, ...]:
     """Return the values of a load report, empty if it is malformed."""
-    figures = report.split(b",")[:MAX_LOAD_VALUES]
+    fields = load_report.split(b",")[:MAX_LOAD_VALUES]
     try:
-        return tuple(float(figure.partition(b"=")[2]) for figure in figures)
+        return tuple(float(field.partition(b"=")[2]) for field in fields)
     except ValueError:
         return ()
--- a/tansycrank/http_router/node_connection.py
+++ b/tansycrank/http_router/node_connection.py
@@ -263,35 +263,35 @@
     def dataReceived(self, data: bytes) -> None:
         """Read answers; a malformed stream closes the connection."""
         self._last_received = self._reactor.seconds()
-        was_partial, last = self._reader.has_partial_frame, None
+        had_partial_frame, pending_answer = self._reader.has_partial_frame, None
         try:
             for record in self._reader.feed(data):
-                was_partial = False
-                if last is not None:
-                    self._finish_answered(last)
-                    last = None
+                had_partial_frame = False
+                if pending_answer is not None:
+                    self._finish_answered(pending_answer)
+                    pending_answer = None
                 if isinstance(record, frames.FrameRejected):
                     self._log("frame_rejected_by_node", node=self.endpoint, words=record.reason)
                     return self.close()
-                last = self._require_known_id(record)
-            if last is not None:
-                self._finish_answered(last)
+                pending_answer = self._require_known_id(record)
+            if pending_answer is not None:
+                self._finish_answered(pending_answer)
         except frames.FrameError as problem:
             # Malformed bytes after an answer cast doubt on its stated length; it counts only if no
             # other call is waiting.
-            if last is not None and self.sent_calls.keys() <= {last.id}:
-                self._finish_answered(last)
+            if pending_answer is not None and self.sent_calls.keys() <= {pending_answer.id}:
+                self._finish_answered(pending_answer)
             return self.fail(problem)
-        return self._check_remaining_bytes(was_partial)
+        return self._check_remaining_bytes(had_partial_frame)
 
     def _require_known_id(self, answer: frames.Answer) -> frames.Answer:
         if answer.id not in self.sent_calls and answer.id not in self.finished_ids:
             raise frames.FrameError(f"answer to {answer.id[:60]!r}, which is not in flight")
         return answer
 
-    def _check_remaining_bytes(self, was_partial: bool) -> None:
+    def _check_remaining_bytes(self, had_partial_frame: bool) -> None:
         if self._reader.has_partial_frame:
-            if not was_partial:
+            if not had_partial_frame:
                 self._partial_since = self._last_received
             if not self.sent_calls:  # the next answer would be misread after these bytes
                 return self.fail(frames.FrameError("unexpected bytes with no call in flight"))
--- a/tansycrank/http_router/outgoing_call.py
+++ b/tansycrank/http_router/outgoing_call.py
@@ -97,8 +97,8 @@
 
     def may_transmit(self, now: float, max_age: float) -> bool:
         """Whether it may be sent at `now` (s), having been written at most `max_age` s before."""
-        is_wanted = not self.ended and now - self.written_at <= max_age
-        return is_wanted and self.attempt.may_leave(now * 1000)
+        is_current = not self.ended and now - self.written_at <= max_age
+        return is_current and self.attempt.may_leave(now * 1000)
 
     def mark_unsent(self) -> None:
         """Undo `try_start`, as none of its bytes were sent."""
--- a/tansycrank/http_router/version_reset.py
+++ b/tansycrank/http_router/version_reset.py
@@ -22,9 +22,7 @@
     def __init__(self, reactor, seed: int, poll: Callable[[], None]) -> None:
         self._reactor, self._poll = reactor, poll
         self._random = random.Random(seed)
-        self._first_older_list_at: float | None = (
-            None  # s; None if none since the last accepted list
-        )
+        self._first_older_list_at: float | None = None  # s; None after an accepted list
         self._timer = None
 
     @property
