--- a/tansycrank/routing/__init__.py
+++ b/tansycrank/routing/__init__.py
@@ -1,7 +1,6 @@
-"""The routing decisions: a policy without I/O or clock, and the typed messages it exchanges with
-its host.
+"""The routing policy, without I/O or clock, and the events and actions it exchanges with its host.
 
-The messages are importable from here; the policy itself is
+Events, actions and settings are importable from here; the policy itself is
 `tansycrank.routing.policy.RoutingPolicy`.
 """
 
--- a/tansycrank/routing/actions.py
+++ b/tansycrank/routing/actions.py
@@ -14,11 +14,15 @@
 class Send:
     """Send an attempt of a shard request: the first one, a retry or a hedge.
 
-    `timeout`: when the host ends it, as `TIMED_OUT`. `connect_timeout`: when the host revokes it if
-    nothing was written since there is no connection; 0 leaves that to the host, and hosts that
-    cannot tell ignore it. `write_timeout`: when the host revokes it if its last byte was not
-    written, since its deduplication window ends; 0 for never. The outcome of an attempt that was
-    revoked has `never_executed`.
+    `timeout`: the host ends the attempt after that time, as `TIMED_OUT`.
+
+    `connect_timeout`: the host revokes the attempt if it still waits for a connection after that
+    time and has written nothing; 0 leaves the limit to the host. Hosts that cannot tell ignore it.
+
+    `write_timeout`: the host revokes the attempt if its last byte has not been written after that
+    time, since its deduplication window ends; 0 means no limit.
+
+    A revoked attempt ends with an outcome that has `never_executed`.
     """
 
     shard_request: int
@@ -30,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt that is in flight."""
 
     shard_request: int
     attempt: int
@@ -45,7 +49,7 @@
 
 
 class FailureReason(Enum):
-    """Why a query gets no answer from the shards; for counters and logs."""
+    """Why a query is rejected or failed; used in counters and logs."""
 
     NO_START = "no shard request could start in time"
     PROBE_LATE = "its probe shard request was not answered in time"
@@ -61,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Reject the query: a retry does no harm. `reason` is not compared."""
+    """Reject the query: the client may safely retry it. `reason` is ignored by `==`."""
 
     query: int
     retry_after: float = 0.0
@@ -70,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Fail the query: it may have been executed. `reason` is not compared."""
+    """Fail the query: it may have been executed. `reason` is ignored by `==`."""
 
     query: int
     reason: FailureReason = field(default=FailureReason.FAULT, compare=False)
@@ -78,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask to be woken."""
+    """Set a timer, which expires as `TimerExpired` with the same token."""
 
     after: float
     token: int
@@ -86,33 +90,33 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Ask discovery for changes from now on, or no longer."""
+    """Start or stop watching service discovery for changes."""
 
     on: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class PollEndpoints:
-    """Ask discovery for the whole list once; the policy does not use it yet."""
+    """Request one full endpoint list from service discovery; not used by the policy yet."""
 
 
 @dataclass(frozen=True, slots=True)
 class CheckHealth:
-    """Check the health of an endpoint."""
+    """Run a health check of an endpoint."""
 
     endpoint: int
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdleConnections:
-    """Close idle connections to an endpoint."""
+    """Close the idle connections to an endpoint."""
 
     endpoint: int
 
 
 @dataclass(frozen=True, slots=True)
 class SendGossip:
-    """Send a short message to one peer, or to all where `peer` is None."""
+    """Send a gossip message to one router, or to all routers if `peer` is None."""
 
     peer: int | None
     data: bytes
@@ -120,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogMessage:
-    """A line for the operators' log."""
+    """Write a line to the operators' log."""
 
     text: str
 
--- a/tansycrank/routing/admission.py
+++ b/tansycrank/routing/admission.py
@@ -1,4 +1,4 @@
-"""Admission: the deadlines of a query, its place in the queue, and how it is rejected."""
+"""Admission: the deadlines of a query, its queue position, and how it is rejected."""
 
 from __future__ import annotations
 
@@ -7,29 +7,27 @@
 from tansycrank.routing.query import Query, ShardRequest
 from tansycrank.routing.settings import Idempotency, Settings
 
-START_SHARE = 0.25  # of the objective: what could not start by then is rejected
-PRIORITY_LAG_SHARE = (
-    0.25  # of the objective: how far a query of low priority falls back in the queue
-)
-RETRY_AFTER_SHARE = 0.15  # of the objective; rejections by the host use max_retry_after
+START_SHARE = 0.25  # of the objective; a query that has not started by then is rejected
+PRIORITY_LAG_SHARE = 0.25  # of the objective; how far a low-priority query is put back in the queue
+RETRY_AFTER_SHARE = 0.15  # of the objective; the host's own rejections use max_retry_after
 
 
 class Admission:
-    """Opens queries and rejects them."""
+    """Creates queries and decides how they are rejected."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
-        self._longest_remaining_ms: dict[int, float] = {}  # by class, of the first tries of clients
-        self._greatest_density = 0.0
+        self._max_remaining_ms: dict[int, float] = {}  # by class, of queries that are not retries
+        self._max_weight_per_request = 0.0
 
     def open_query(self, event: QueryArrived, now: float) -> Query:
-        """A query with its deadlines; a client's retry has used up a part of its objective."""
+        """Create a query with its deadlines; a client's retry has used part of its objective."""
         query_class = self._settings.classes[event.query_class]
-        longest = self._longest_remaining_ms.get(event.query_class, 0.0)
-        if not event.is_retry and event.remaining > longest:
-            self._longest_remaining_ms[event.query_class] = longest = event.remaining
+        max_remaining_ms = self._max_remaining_ms.get(event.query_class, 0.0)
+        if not event.is_retry and event.remaining > max_remaining_ms:
+            self._max_remaining_ms[event.query_class] = max_remaining_ms = event.remaining
         elapsed = 0.0
-        if event.is_retry and event.remaining < longest - 1:
+        if event.is_retry and event.remaining < max_remaining_ms - 1:
             elapsed = query_class.deadline - event.remaining
         return Query(
             event.query,
@@ -42,17 +40,17 @@
         )
 
     def set_queue_position(self, query: Query, shard_requests: int) -> None:
-        """Order by start time, later for a low priority weight per shard request."""
+        """Order by latest start; a low priority weight per shard request puts a query back."""
         query_class = query.query_class
-        density = query_class.priority_weight / (shard_requests + query_class.follow_up)
-        self._greatest_density = max(self._greatest_density, density)
-        lag = 1 - density / self._greatest_density
+        weight_per_request = query_class.priority_weight / (shard_requests + query_class.follow_up)
+        self._max_weight_per_request = max(self._max_weight_per_request, weight_per_request)
+        lag = 1 - weight_per_request / self._max_weight_per_request
         query.queue_position = (
             query.start_by + PRIORITY_LAG_SHARE * query_class.latency_objective * lag
         )
 
     def final_action(self, query: Query, reason: FailureReason) -> Reject | Fail:
-        """`Reject` wherever a retry by the client does no harm, with Retry-After; else `Fail`."""
+        """`Reject`, with Retry-After, if the client may safely retry; otherwise `Fail`."""
         query_class = query.query_class
         is_idempotent = query_class.idempotency is Idempotency.IDEMPOTENT
         if not is_idempotent and any(
@@ -78,15 +76,18 @@
         return len(self._waiting)
 
     def append(self, shard_request: ShardRequest) -> None:
-        """Let a shard request wait."""
+        """Add a shard request."""
         self._waiting.append(shard_request)
 
     def replace(self, shard_requests: list[ShardRequest]) -> None:
-        """Keep these only."""
+        """Replace the content of the queue."""
         self._waiting = shard_requests
 
     def in_order(self) -> list[ShardRequest]:
-        """All, optional ones last, then by position, age and weight; some may be obsolete."""
+        """All shard requests in send order, optional ones last.
+
+        Within these by queue position, age and weight. Some may be no longer needed.
+        """
         self._waiting.sort(
             key=lambda shard_request: (
                 shard_request.is_optional,
--- a/tansycrank/routing/discovery.py
+++ b/tansycrank/routing/discovery.py
@@ -1,4 +1,4 @@
-"""When to call service discovery again after a failure."""
+"""Backoff between calls to service discovery after a failure."""
 
 from __future__ import annotations
 
@@ -8,14 +8,13 @@
 
 INITIAL_BACKOFF_MS = 200.0
 MAX_BACKOFF_MS = 3_000.0
-MAX_PUSH_BACKOFF_SHARE = (
-    0.25  # of the drain grace, where lists are pushed: a drain must be seen in time
-)
-MIN_JITTER = 0.5  # of a backoff: the calls of a whole fleet that failed together are spread
+# Share of the drain grace, where lists are pushed: draining must be noticed in time.
+MAX_PUSH_BACKOFF_SHARE = 0.25
+MIN_JITTER = 0.5  # of a backoff; spreads the calls of routers that failed together
 
 
 class DiscoveryBackoff:
-    """Exponential backoff with jitter between calls, since discovery has little capacity."""
+    """Exponential backoff with jitter, since service discovery has little capacity."""
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         self._rng = rng
@@ -24,11 +23,11 @@
         self._backoff_ms = INITIAL_BACKOFF_MS
 
     def next_delay_ms(self) -> float:
-        """The time to wait after a failed call; the next one is up to twice as long."""
+        """The delay in ms after a failed call; the backoff doubles for the next one."""
         delay_ms = min(self._backoff_ms, self._max_delay_ms) * self._rng.uniform(MIN_JITTER, 1.0)
         self._backoff_ms = min(2 * self._backoff_ms, MAX_BACKOFF_MS)
         return delay_ms
 
     def reset(self) -> None:
-        """Start over after a call that succeeded."""
+        """Reset the backoff after a successful call."""
         self._backoff_ms = INITIAL_BACKOFF_MS
--- a/tansycrank/routing/events.py
+++ b/tansycrank/routing/events.py
@@ -7,7 +7,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt (or a probe) ended."""
+    """How an attempt or a health check ended."""
 
     SUCCEEDED = "succeeded"
     ERROR = "error"
@@ -20,7 +20,7 @@
 
     @property
     def never_executed(self) -> bool:
-        """Whether this outcome proves that the attempt was not executed."""
+        """Whether this outcome proves that the endpoint did not execute the attempt."""
         return self in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
@@ -33,7 +33,7 @@
 
 
 class EndpointListKind(Enum):
-    """The kind of an endpoint list update."""
+    """What an endpoint list update contains; FAILED if a call to discovery failed."""
 
     SNAPSHOT = "snapshot"
     CACHED = "cached"
@@ -43,10 +43,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """One endpoint of an endpoint list; `started_at` is 0 for long ago.
+    """One endpoint of an endpoint list.
 
-    `incarnation` grows with each restart of the endpoint; `started_at` is used if none is
-    reported.
+    `started_at` is 0 for an endpoint that started long ago. `weight` is the weight that discovery
+    reports; the policy does not use it. `reported_incarnation` is None if discovery reports none.
     """
 
     endpoint: int
@@ -59,13 +59,13 @@
 
     @property
     def incarnation(self) -> float:
-        """Grows with each restart of the endpoint."""
+        """Increases with each restart of the endpoint; its start time if none is reported."""
         return self.started_at if self.reported_incarnation is None else self.reported_incarnation
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """An endpoint list, changes to it, or that a call to discovery failed."""
+    """A full endpoint list, changes to it, or a failed call to service discovery."""
 
     kind: EndpointListKind
     entries: tuple[EndpointEntry, ...] = ()
@@ -73,7 +73,11 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryArrived:
-    """A query was accepted. Its shard requests follow in the same step with its number."""
+    """A query was accepted; its shard requests follow in the same step under the same `number`.
+
+    `remaining`: ms until the client's deadline. `key`: the idempotency key, 0 for none. `is_retry`:
+    the client marked the query as a retry.
+    """
 
     query: int
     number: int
@@ -86,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShardRequestArrived:
-    """A shard request of the query of that number, of its first step or its second."""
+    """A shard request of the first or the second step of the query with that `number`."""
 
     shard_request: int
     number: int
@@ -97,7 +101,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """Exactly one for each `Send`. `load` holds figures as the endpoint reported them."""
+    """An attempt ended; there is exactly one such event for each `Send`.
+
+    `load` holds the load figures reported by the endpoint.
+    """
 
     shard_request: int
     attempt: int
@@ -110,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """A streamed response began; its rows go to the client from now on."""
+    """A streamed response has started; its rows go to the client from now on."""
 
     shard_request: int
     attempt: int
@@ -120,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryCancelled:
-    """The client has left: the query, or the shard request of that id, is over."""
+    """The client has gone; `query` is the id of the query, or of a single shard request."""
 
     query: int
 
@@ -144,7 +151,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipReceived:
-    """A message of another router of this tier."""
+    """A gossip message from another router of this tier."""
 
     peer: int
     data: bytes
--- a/tansycrank/routing/hedging.py
+++ b/tansycrank/routing/hedging.py
@@ -1,4 +1,4 @@
-"""Hedged requests: the token bucket, which attempt gets a token, and when a hedge still pays."""
+"""Hedged requests: the token bucket, which attempt gets a token, and when a hedge is sent."""
 
 from __future__ import annotations
 
@@ -6,15 +6,16 @@
 from tansycrank.routing.query import Attempt, Query
 from tansycrank.routing.settings import Settings
 
-HEDGE_SHARE = 0.10  # hedges per shard request sent, the refill of the bucket
-LEAD_P90S = 6.0  # before the objective, from which on a hedge is sent where wasted work has a price
+HEDGE_SHARE = 0.10  # tokens earned per shard request sent
+# Overall p90s before the objective, from which hedges are sent where wasted work has a price.
+PRICED_HEDGE_LEAD_P90S = 6.0
 
 
 class Hedging:
-    """Attempts whose hedge timer has fired wait here for a token.
+    """The token bucket for hedges, and the overdue attempts that wait for a token.
 
-    The bucket holds one second of refill, or what the shard requests of the largest query so far
-    earn, whichever is more.
+    The bucket holds one second of refill, or the tokens earned by the shard requests of the largest
+    query so far, whichever is more.
     """
 
     def __init__(self, settings: Settings, latency: LatencyTracker) -> None:
@@ -25,20 +26,20 @@
         self.largest_query_tokens = 1.0
         self._refilled_at = 0.0
         self.awaiting_token: list[Attempt] = []
-        self._without_hedge: dict[Query, int] = {}  # unanswered shard requests with no hedge yet
+        self._unhedged: dict[Query, int] = {}  # unanswered shard requests without a hedge
 
     def start(self, now: float) -> None:
-        """Begin to earn tokens."""
+        """Start to earn tokens."""
         self._refilled_at = now
 
-    def grow_for(self, shard_requests: int) -> None:
-        """Make room for the tokens of a query of that size, and earn them at once."""
+    def grow_bucket(self, shard_requests: int) -> None:
+        """Grow the bucket to the tokens of a query of that size, and add them at once."""
         growth = max(HEDGE_SHARE * shard_requests - self.largest_query_tokens, 0.0)
         self.largest_query_tokens += growth
         self.tokens += growth
 
     def refill(self, shard_requests_per_second: float, now: float) -> None:
-        """Earn tokens since the last refill, never beyond a configured retry budget."""
+        """Add the tokens earned since the last refill, at most at the rate of the retry budget."""
         settings = self._settings
         refill = shard_requests_per_second * HEDGE_SHARE
         if settings.budget_window is not None:
@@ -49,31 +50,32 @@
         self._refilled_at = now
 
     def due_at(self, query: Query, now: float) -> float:
-        """When an attempt whose timer has fired asks for a token.
+        """When an attempt whose hedge timer has fired requests a token.
 
-        At once, unless wasted work has a price: then only as late as a hedge still pays. A query
-        that awaits its probe has to start in time, so its lead counts from there.
+        Immediately, unless wasted work has a price: then as late as a hedge can still help. For a
+        query that waits for its probe, the lead counts from its latest start.
         """
-        needed_by = query.objective_at if query.admitted_by_probe else query.start_by
-        lead_ms = LEAD_P90S * self._latency.overall.p90_ms(now) or needed_by
+        needed_by = query.objective_at if query.is_fully_admitted else query.start_by
+        lead_ms = PRICED_HEDGE_LEAD_P90S * self._latency.overall.p90_ms(now) or needed_by
         return needed_by - lead_ms if self._settings.price_waste else now
 
     def request_token(self, attempt: Attempt, _now: float) -> None:
-        """Let an attempt wait for a token."""
+        """Add an attempt to those that wait for a token."""
         self.awaiting_token.append(attempt)
 
     def by_priority(self) -> list[Attempt]:
-        """The waiting attempts; those of queries that are nearest to complete come first."""
+        """The waiting attempts; those of queries with the fewest missing responses come first."""
         if not self.awaiting_token:
             return []
         self.awaiting_token = [attempt for attempt in self.awaiting_token if attempt.is_wanted]
         unanswered: dict[Query, int] = {}
         for attempt in self.awaiting_token:
             query = attempt.shard_request.query
-            unanswered[query] = sum(not one.is_answered for one in query.shard_requests)
-        self._without_hedge = {
+            unanswered[query] = sum(not request.is_answered for request in query.shard_requests)
+        self._unhedged = {
             query: sum(
-                not one.is_answered and one.attempts_in_flight < 2 for one in query.shard_requests
+                not request.is_answered and request.attempts_in_flight < 2
+                for request in query.shard_requests
             )
             for query in unanswered
         }
@@ -87,23 +89,22 @@
         return self.awaiting_token[:]
 
     def may_hedge(self, attempt: Attempt, now: float) -> bool:
-        """Whether an attempt may be hedged now: the query can be in time, and the tokens suffice.
+        """Whether an attempt may be hedged now; spends no token.
 
-        It spends no token.
-
-        Hedges that cannot complete a query are wasted, so there must be a token for each shard
-        request without a hedge, or a full bucket.
+        A response must still be able to meet the objective. Hedges that cannot complete a query
+        are wasted, so there must be a token for each of its shard requests without a hedge, or a
+        full bucket.
         """
         shard_request = attempt.shard_request
         query = shard_request.query
-        is_late = now + self._latency.overall.quick_ms(now) > query.objective_at
-        needed = max(1.0, min(self._without_hedge[query], self.largest_query_tokens))
+        is_late = now + self._latency.overall.lower_quartile_ms(now) > query.objective_at
+        needed = max(1.0, min(self._unhedged[query], self.largest_query_tokens))
         if is_late or self.tokens < needed:
             return False
         return shard_request.attempts_in_flight < self._max_attempts_in_flight
 
     def spend_token(self, attempt: Attempt) -> None:
-        """A hedge of this attempt is sent."""
+        """Spend a token on a hedge of this attempt."""
         self.tokens -= 1.0
-        self._without_hedge[attempt.shard_request.query] -= 1
+        self._unhedged[attempt.shard_request.query] -= 1
         self.awaiting_token.remove(attempt)
--- a/tansycrank/routing/policy.py
+++ b/tansycrank/routing/policy.py
@@ -1,7 +1,6 @@
-"""The routing policy: events to handlers, due timers, and the actions that follow.
+"""The routing policy: dispatches events to handlers, runs due timers and collects the actions.
 
-The rules themselves stand in the modules beside this one; each is a small class that owns its
-state.
+The rules are in the other modules of this package, each in a class that owns its state.
 """
 
 from __future__ import annotations
@@ -29,12 +28,12 @@
 from tansycrank.routing.slow_start import SlowStart
 from tansycrank.routing.timer_queue import TimerQueue
 
-STALL_TICKS = 20  # a step so late after its timer means that this router itself was stalled
+STALL_TICKS = 20  # a step that is more ticks late shows that this process was stalled
 TIMER_TOKEN = 1
 
 
 class RoutingPolicy:
-    """The decisions of one router, without clock or I/O: `step` is called once a round."""
+    """The decisions of one router, without clock or I/O; the host calls `step` once a tick."""
 
     def __init__(self, settings: routing.Settings, seed: int) -> None:
         rng = random.Random(seed)
@@ -83,7 +82,7 @@
         return self._endpoint_table.by_id
 
     def step(self, now_ms: float, events: Iterable[routing.Event]) -> list[routing.Action]:
-        """Handle one round's events and return the actions to take, in order."""
+        """Handle the events since the last step and return the actions to take, in order."""
         self._actions = []
         if self._send_rate.started_at is None:
             self._send_rate.started_at = now_ms
@@ -124,7 +123,7 @@
         query = self._admission.open_query(event, now)
         self.queries.add(query)
         self._budget.record_accepted(now)
-        self.hedging.grow_for(event.shard_requests)
+        self.hedging.grow_bucket(event.shard_requests)
         self._probing.plan(query, event.shard_requests, now)
         self._admission.set_queue_position(query, event.shard_requests)
         for time in self._completion.check_times(query, now):
@@ -142,7 +141,7 @@
         self.queue.append(shard_request)
 
     def _on_query_cancelled(self, event: routing.QueryCancelled, now: float) -> None:
-        """The id is that of a query, or of a shard request that is given up alone."""
+        """Cancel a whole query or a single shard request, depending on what the id refers to."""
         if event.query in self.queries.by_id:
             self._end(self.queries.by_id[event.query])
         elif shard_request := self.queries.shard_requests.get(event.query):
@@ -150,7 +149,7 @@
             self._reevaluate(shard_request.query, now)
 
     def _reevaluate(self, query: Query, now: float) -> None:
-        if query.has_ended:  # its timers outlive it
+        if query.has_ended:  # its timers are not cancelled when it ends
             return
         evaluation = self._completion.evaluate(query, len(self.queue) > 0, now)
         if evaluation is CONTINUE:
@@ -168,7 +167,7 @@
             self._actions.append(routing.Answer(query.id, is_complete))
             query.first_step_was_complete = is_complete
             query.step = 2
-            query.admitted_by_probe = True  # a second step that had to probe would be late
+            query.is_fully_admitted = True  # waiting for a probe would make the second step late
             self._discard(*query.shard_requests)
             query.shard_requests = []
         else:
@@ -181,7 +180,10 @@
         self._discard(*query.shard_requests)
 
     def _discard(self, *shard_requests: ShardRequest) -> None:
-        """Take shard requests that are not needed from the queue; cancel their attempts."""
+        """Drop shard requests that are no longer needed and cancel their attempts.
+
+        They leave the admission queue when it is next processed.
+        """
         for shard_request in shard_requests:
             shard_request.is_discarded = True
             self.queries.shard_requests.pop(shard_request.id, None)
@@ -197,22 +199,24 @@
     # Sends
 
     def _send_queued(self, now: float) -> None:
-        """First attempts and retries, in the order of the queue; what finds no room stays in it."""
+        """Send first attempts and retries in queue order; those without an endpoint stay queued."""
         waiting: list[ShardRequest] = []
-        called: list[Endpoint] = []
+        called_endpoints: list[Endpoint] = []
         full_cells: set[int] = set()
         for shard_request in self.queue.in_order():
             query = shard_request.query
             if shard_request.is_discarded or shard_request.is_answered or query.has_ended:
                 continue
-            awaits_probe = not query.admitted_by_probe and not shard_request.is_probe
+            awaits_probe = not query.is_fully_admitted and not shard_request.is_probe
             is_first = not shard_request.attempts
-            is_held = is_first and (awaits_probe or shard_request.cell in full_cells)
-            is_held = is_held or (query.may_be_harmful and query.has_request_in_flight)
-            endpoint = None if is_held else self._selector.select(shard_request, called, now)
+            must_wait = is_first and (awaits_probe or shard_request.cell in full_cells)
+            must_wait = must_wait or (query.may_be_harmful and query.has_request_in_flight)
+            endpoint = (
+                None if must_wait else self._selector.select(shard_request, called_endpoints, now)
+            )
             if endpoint is not None:
-                if self.settings.call_work and endpoint not in called:
-                    called.append(endpoint)
+                if self.settings.call_work and endpoint not in called_endpoints:
+                    called_endpoints.append(endpoint)
                 self._send(shard_request, endpoint, now)
                 continue
             waiting.append(shard_request)
@@ -248,7 +252,7 @@
             attempt.connection_idle_ms = 0.0
         endpoint.last_used_at = now
         endpoint.in_flight += 1
-        endpoint.sends.add(now)
+        endpoint.recent_sends.add(now)
         timeout_ms = self._timeout_ms(query, now)
         self._actions.append(
             routing.Send(
@@ -262,10 +266,12 @@
         self.timers.schedule(now + hedge_delay_ms, self._on_hedge_timer, attempt)
 
     def _timeout_ms(self, query: Query, now: float) -> float:
-        """Until the objective while a late response would be of no use, else until the deadline."""
-        late_pays = query.query_class.late_weight > 0 and self.latency.slow_share < MANY_LATE_SHARE
+        """The time to the objective if a late response has no use, else to the deadline."""
+        late_has_weight = (
+            query.query_class.late_weight > 0 and self.latency.slow_share < MANY_LATE_SHARE
+        )
         is_late = now >= query.objective_at
-        useful_until = query.deadline_at if late_pays or is_late else query.objective_at
+        useful_until = query.deadline_at if late_has_weight or is_late else query.objective_at
         return max(min(useful_until, query.deadline_at) - now, MIN_HEDGE_DELAY_MS)
 
     # Attempts
@@ -282,10 +288,10 @@
             self.timers.schedule(due_at, self.hedging.request_token, attempt)
 
     def _on_response_started(self, event: routing.ResponseStarted, now: float) -> None:
-        """Rows go to the client as they come: no other attempt can take the place of this one.
+        """Settle a shard request on this attempt: its rows are streamed to the client from now on.
 
-        How long the rest takes is up to the client, so the attempt leaves the window of its
-        endpoint and its end is not recorded as a latency.
+        The client determines how long the rest takes, so the attempt stops counting against the
+        endpoint's concurrency window and its end is not recorded as a latency.
         """
         attempt = self.queries.attempts_in_flight.get((event.shard_request, event.attempt))
         if attempt and attempt.is_wanted and not attempt.is_streaming:
@@ -313,17 +319,17 @@
         self._retry_or_discard(attempt, now)
 
     def _on_response(self, attempt: Attempt, latency: float, now: float) -> None:
-        """The first response to a shard request wins."""
+        """Record a response; the first one to a shard request is used."""
         endpoint = attempt.endpoint
         if self.latency.record(endpoint, latency, now):
             self._ejection.on_response(endpoint)
-            if latency > self.latency.slow_from_ms:
+            if latency > self.latency.slow_threshold_ms:
                 self._limiter.on_overload(endpoint, now)
             else:
                 self._limiter.on_timely_response(endpoint)
         shard_request = attempt.shard_request
         query = shard_request.query
-        query.is_confirmed = True
+        query.has_response = True
         if shard_request.is_answered or shard_request.is_discarded or query.has_ended:
             return
         shard_request.is_answered = True
@@ -332,13 +338,15 @@
         self._reevaluate(query, now)
 
     def _on_failure(self, attempt: Attempt, event: routing.AttemptEnded, now: float) -> None:
-        """What an attempt that brought no response says of its endpoint and of its query."""
+        """Update ejection, concurrency window and probing after an attempt without a response."""
         endpoint, query = attempt.endpoint, attempt.shard_request.query
-        quickest_ms = min(self.latency.quickest_ms, self.latency.shortest_objective_ms)
+        unloaded_latency_ms = min(
+            self.latency.unloaded_latency_ms, self.latency.shortest_objective_ms
+        )
         closed_while_idle = self._idle_connections.closed_while_idle(
-            attempt, event.outcome, event.latency, quickest_ms, now
+            attempt, event.outcome, event.latency, unloaded_latency_ms, now
         )
-        is_slow = event.latency > self.latency.slow_from_ms and not attempt.is_streaming
+        is_slow = event.latency > self.latency.slow_threshold_ms and not attempt.is_streaming
         if self._ejection.is_failure(attempt, event.outcome) and not closed_while_idle:
             in_service = self._endpoint_table.in_service
             interval_ms = self._send_rate.interval_per_endpoint_ms(in_service, now)
@@ -347,8 +355,8 @@
             self._limiter.on_overload(endpoint, now)
         if event.outcome is Outcome.CONNECTION_LOST:
             query.lost_endpoints.add(endpoint.id)
-            several = len(query.lost_endpoints) > 1
-            if query.may_be_harmful and several and not closed_while_idle:
+            lost_several = len(query.lost_endpoints) > 1
+            if query.may_be_harmful and lost_several and not closed_while_idle:
                 self._probing.on_harmful_query(now)
 
     def _retry_or_discard(self, attempt: Attempt, now: float) -> None:
--- a/tansycrank/routing/probing.py
+++ b/tansycrank/routing/probing.py
@@ -1,7 +1,7 @@
-"""Probe requests: a few shard requests of a query go ahead and decide on the rest.
+"""Probe requests: some shard requests of a query are sent first; their responses admit the rest.
 
-A router with one query at a time fills queues that it cannot see; one harmful query takes down
-every endpoint it is sent to at once. Both are bounded by sending a few shard requests first.
+A router with one query at a time may overload endpoints whose queues it cannot observe, and a
+harmful query may crash every endpoint that it is sent to at once. Probing bounds both.
 """
 
 from __future__ import annotations
@@ -11,27 +11,28 @@
 from tansycrank.routing.latency_window import ROTATION_MS
 from tansycrank.routing.query import Query, ShardRequest
 
-PROBE_INTERVAL = 8  # one in so many shard requests is a probe request
-MIN_OBJECTIVE_P90S = 4.0  # an objective of so many p90s has time for a single probe request first
-MAX_EXPECTED_LATE = 2.0  # late responses of a query, by the late share, from which on it probes
-PROBE_HEDGE_SHARE = 0.5  # of the time until the query is rejected: the probe's longest hedge delay
-REQUESTS_PER_P90 = 4.0  # shard requests that take one p90 together
-OPTIONAL_MARGIN = 0.05  # of the weight, beyond the minimum coverage
-CAUTION_MS = ROTATION_MS
+PROBE_INTERVAL = 8  # every n-th shard request is a probe request
+MIN_OBJECTIVE_P90S = 4.0  # shortest objective that has time for a single probe request, in p90s
+MAX_EXPECTED_LATE = 2.0  # late responses expected of a query (late share * size) before it probes
+PROBE_HEDGE_SHARE = 0.5  # of the time until the query is rejected; maximum hedge delay of probes
+REQUESTS_PER_P90 = 4.0  # shard requests that are assumed to take one p90 together
+OPTIONAL_MARGIN = 0.05  # of the weight; required requests exceed the minimum coverage by it
+PROBE_EVERY_QUERY_MS = ROTATION_MS  # after a harmful query
 
 
 class Probing:
-    """Decides which shard requests of a query go ahead and when the rest may follow."""
+    """Decides which shard requests of a query are sent first and when the rest is admitted."""
 
     def __init__(self, latency: LatencyTracker) -> None:
         self._latency = latency
-        self._cautious_until = float("-inf")
+        self._probe_every_query_until = float("-inf")
 
     def plan(self, query: Query, shard_requests: int, now: float) -> None:
-        """Decide at its arrival whether a query of so many shard requests has to probe.
+        """Decide on arrival whether a query with that many shard requests has to probe.
 
-        It need not if responses came recently and in time. A wide query with time to spare sends a
-        single probe request even then, and so does every query for a while after a harmful one.
+        It need not if recent responses were timely. Even then, a query with many shard requests
+        and enough time sends a single probe request, and so does every query for
+        `PROBE_EVERY_QUERY_MS` after a harmful one.
         """
         latency = self._latency
         objective_ms = query.query_class.latency_objective
@@ -42,63 +43,62 @@
             and objective_ms >= MIN_OBJECTIVE_P90S * latency.overall.p90_ms(now)
         )
         query.expects_timely_responses = is_timely
-        query.is_probing = (is_timely and has_time) or now < self._cautious_until
-        query.admitted_by_probe = shard_requests <= MAX_EXPECTED_LATE or (
-            is_timely and not query.is_probing
+        query.sends_single_probe = (is_timely and has_time) or now < self._probe_every_query_until
+        query.is_fully_admitted = shard_requests <= MAX_EXPECTED_LATE or (
+            is_timely and not query.sends_single_probe
         )
 
     def assign(self, shard_request: ShardRequest) -> None:
-        """Choose the probe and the optional requests of a query that gets another shard request.
-
-        Call it once the shard request is in the list of its query.
-        """
+        """Mark probe and optional requests after a shard request was appended to its query."""
         query = shard_request.query
         index = len(query.shard_requests) - 1
-        shard_request.is_probe = index % PROBE_INTERVAL == 0 and not (query.is_probing and index)
+        shard_request.is_probe = index % PROBE_INTERVAL == 0 and not (
+            query.sends_single_probe and index
+        )
         query_class = query.query_class
         if query.step == 1 and query_class.minimum_coverage < query_class.complete_coverage:
             self._assign_by_weight(query)
 
     def _assign_by_weight(self, query: Query) -> None:
-        """A partial answer needs the heaviest shard requests; the others are optional."""
-        query.shard_requests.sort(key=lambda one: -one.weight)
+        """Mark the heaviest shard requests as required for a partial answer, others as optional."""
+        query.shard_requests.sort(key=lambda request: -request.weight)
         needed = query.query_class.minimum_coverage + OPTIONAL_MARGIN
         total = 0.0
-        for one in query.shard_requests:
-            one.is_optional = total > needed
-            total += one.weight
-            if query.is_probing:
-                one.is_probe = one is query.shard_requests[0]
+        for request in query.shard_requests:
+            request.is_optional = total > needed
+            total += request.weight
+            if query.sends_single_probe:
+                request.is_probe = request is query.shard_requests[0]
             else:
-                one.is_probe = not one.is_optional
+                request.is_probe = not request.is_optional
 
     def limit_hedge_delay_ms(self, query: Query, hedge_delay_ms: float) -> float:
-        """A probe must be hedged before its query is rejected for want of it."""
-        if query.admitted_by_probe:
+        """Limit the delay so that a probe is hedged before its query would be rejected."""
+        if query.is_fully_admitted:
             return hedge_delay_ms
         limit = PROBE_HEDGE_SHARE * START_SHARE * query.query_class.latency_objective
         return min(hedge_delay_ms, limit)
 
     def on_response(self, query: Query) -> None:
-        """Admit the rest once one probe request, or all but a quarter of several, succeeded."""
-        if query.admitted_by_probe or query.is_probing:
-            query.admitted_by_probe = True
+        """Admit the rest after a single probe's response, or all but a quarter of several."""
+        if query.is_fully_admitted or query.sends_single_probe:
+            query.is_fully_admitted = True
             return
-        answered = [one.is_answered for one in query.shard_requests if one.is_probe]
-        tolerated = max(len(answered) // 4, 1)  # one failed endpoint must not block a query
-        query.admitted_by_probe = sum(answered) >= len(answered) - tolerated
+        answered = [request.is_answered for request in query.shard_requests if request.is_probe]
+        tolerated = max(len(answered) // 4, 1)  # one failed endpoint must not block the query
+        query.is_fully_admitted = sum(answered) >= len(answered) - tolerated
 
     def on_hedge_timer(self, query: Query) -> None:
-        """A late single probe is no evidence of long queues if responses are timely."""
-        if query.is_probing and query.expects_timely_responses and not query.may_be_harmful:
-            query.admitted_by_probe = True
+        """Admit the rest if responses are timely: one late probe does not show long queues."""
+        if query.sends_single_probe and query.expects_timely_responses and not query.may_be_harmful:
+            query.is_fully_admitted = True
 
     def on_harmful_query(self, now: float) -> None:
-        """Several endpoints were lost to one query, which its client will send again."""
-        self._cautious_until = now + CAUTION_MS
+        """Make every query probe for a while: the client will retry one that crashed endpoints."""
+        self._probe_every_query_until = now + PROBE_EVERY_QUERY_MS
 
-    def give_up_at(self, query: Query, now: float) -> float:
-        """Until when to wait for the probe requests of a query that has started."""
+    def probe_timeout_at(self, query: Query, now: float) -> float:
+        """Until when a query that has started waits for its probe requests."""
         p90_ms = self._latency.overall.p90_ms(now)
         rest_ms = p90_ms * len(query.shard_requests) / REQUESTS_PER_P90
         return max(query.start_by, query.objective_at - rest_ms)
--- a/tansycrank/routing/query.py
+++ b/tansycrank/routing/query.py
@@ -1,4 +1,4 @@
-"""The state of a query, of its shard requests and of their attempts."""
+"""The state of queries, their shard requests and their attempts."""
 
 from __future__ import annotations
 
@@ -11,40 +11,39 @@
 
 @dataclass(slots=True, eq=False)
 class Query:
-    """An accepted query without a final action. All times are ms of the policy's clock."""
+    """An accepted query. All times are milliseconds of the policy's clock."""
 
     id: int
     number: int
     query_class: QueryClass
     arrived_at: float
-    # if nothing could be sent by then, the client is rejected while a retry can still pay
+    # If nothing was sent by then, the query is rejected while a client retry can still succeed.
     start_by: float
     objective_at: float
     deadline_at: float
-    queue_position: float = 0.0  # queries with a lower one go first
-    step: int = 1  # 2 once the first step of a class with a follow-up is answered
+    queue_position: float = 0.0  # lower positions are sent first
+    step: int = 1  # 2 after the first step of a class with a follow-up was answered
     first_step_was_complete: bool = True
     has_started: bool = False
-    admitted_by_probe: bool = True  # all shard requests may be sent, not the probe requests alone
-    is_probing: bool = False  # one probe request goes ahead; the rest follows its first response
+    is_fully_admitted: bool = True  # False while only probe requests may be sent
+    sends_single_probe: bool = False  # the rest is sent after its first response
     expects_timely_responses: bool = False
-    is_confirmed: bool = False  # an endpoint has answered one of its shard requests
-    awaits_late_probe: bool = False
-    lost_endpoints: set[int] = field(
-        default_factory=set
-    )  # ids of those that broke off a connection
+    has_response: bool = False  # an endpoint has answered one of its shard requests
+    late_probe_check_scheduled: bool = False
+    # Ids of endpoints that closed a connection during an attempt.
+    lost_endpoints: set[int] = field(default_factory=set)
     has_ended: bool = False
     shard_requests: list[ShardRequest] = field(default_factory=list)  # of the current step
 
     @property
     def may_be_harmful(self) -> bool:
-        """Whether the query itself may take down the endpoints that begin it.
+        """Whether the query itself may crash the endpoints that execute it.
 
-        True if an endpoint broke off a connection and none has answered yet. Such a query has one
-        shard request in flight at a time, since each further attempt may take down another
-        endpoint.
+        True if an endpoint closed a connection during an attempt and none has responded yet. Such a
+        query has one shard request in flight at a time, since each further attempt may crash
+        another endpoint.
         """
-        return bool(self.lost_endpoints) and not self.is_confirmed
+        return bool(self.lost_endpoints) and not self.has_response
 
     @property
     def has_request_in_flight(self) -> bool:
@@ -54,14 +53,14 @@
 
 @dataclass(slots=True, eq=False)
 class ShardRequest:
-    """The share of a query's current step that one shard answers."""
+    """The part of a query's current step that one shard answers."""
 
     id: int
     query: Query
     cell: int
-    weight: float  # share of the complete answer
+    weight: float  # fraction of the complete answer
     is_answered: bool = False
-    is_discarded: bool = False  # no longer needed, or no further attempt is allowed
+    is_discarded: bool = False  # no longer needed, or not allowed another attempt
     is_optional: bool = False  # beyond the minimum coverage of the query
     is_probe: bool = False
     attempts: list[Attempt] = field(default_factory=list)
@@ -81,15 +80,15 @@
     endpoint: Endpoint
     sent_at: float
     hedge_delay_ms: float
-    connection_idle_ms: float = 0.0  # how long the endpoint's connections had been unused
+    connection_idle_ms: float = 0.0  # time for which the endpoint's connections were unused
     hedge_timer_fired: bool = False
     is_cancelled: bool = False
-    is_streaming: bool = False  # rows of its response already go to the client
+    is_streaming: bool = False  # rows of its response are being sent to the client
     outcome: Outcome | None = None
 
     @property
     def is_wanted(self) -> bool:
-        """Whether it is in flight and its response is still of use."""
+        """Whether it is in flight and its response is still needed."""
         shard_request = self.shard_request
         return (
             self.outcome is None
@@ -99,7 +98,7 @@
 
     @property
     def may_have_executed(self) -> bool:
-        """Whether nothing proves yet that the endpoint did not execute it."""
+        """False only if it is proven that the endpoint did not execute it."""
         return self.outcome is None or not self.outcome.never_executed
 
 
@@ -110,17 +109,16 @@
         self.by_id: dict[int, Query] = {}
         self.by_number: dict[int, Query] = {}
         self.shard_requests: dict[int, ShardRequest] = {}
-        self.attempts_in_flight: dict[
-            tuple[int, int], Attempt
-        ] = {}  # by shard request id and attempt number
+        # By shard request id and attempt number.
+        self.attempts_in_flight: dict[tuple[int, int], Attempt] = {}
 
     def add(self, query: Query) -> None:
-        """Register a query that has arrived."""
+        """Register a new query."""
         self.by_id[query.id] = query
         self.by_number[query.number] = query
 
     def add_shard_request(self, shard_request: ShardRequest) -> None:
-        """Register a shard request with its query."""
+        """Register a shard request and append it to its query."""
         shard_request.query.shard_requests.append(shard_request)
         self.shard_requests[shard_request.id] = shard_request
 
@@ -132,7 +130,7 @@
         self.attempts_in_flight[shard_request.id, attempt.number] = attempt
 
     def end(self, query: Query) -> None:
-        """Forget a query; its attempts stay until their outcomes are known."""
+        """Remove a query; its attempts stay until their outcomes are known."""
         query.has_ended = True
         del self.by_id[query.id]
         self.by_number.pop(query.number, None)
--- a/tansycrank/routing/replica_selection.py
+++ b/tansycrank/routing/replica_selection.py
@@ -1,4 +1,4 @@
-"""Which replica gets the next attempt: round robin, zone preference, ejection, capacity."""
+"""Replica selection: round robin, zone preference, ejection and capacity."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from tansycrank.routing.settings import Settings
 from tansycrank.routing.slow_start import SlowStart
 
-# Round-robin positions of a replica in the router's zone for each of one elsewhere.
+# Round-robin positions of a replica in the router's zone; replicas in other zones have one.
 LOCAL_POSITIONS = 4
 POSITION_RANGE = 1 << 16
 
 
 class ReplicaSelector:
-    """Round robin over the replicas of a cell, with the preferences that apply to each attempt."""
+    """Round robin over the replicas of a cell, subject to the preferences of each attempt."""
 
     def __init__(
         self,
@@ -43,20 +43,20 @@
         self._replica_sets: dict[int, list[Endpoint]] = {}
 
     def on_endpoints_changed(self) -> None:
-        """Build the replica sets anew after an endpoint list update."""
+        """Discard the cached replica sets after an endpoint list update."""
         self._replica_sets = {}
 
     def select(
         self,
         shard_request: ShardRequest,
-        called: Sequence[Endpoint],
+        called_endpoints: Sequence[Endpoint],
         now: float,
         is_hedge: bool = False,
     ) -> Endpoint | None:
-        """The endpoint for the next attempt; None if there is none now.
+        """The endpoint for the next attempt, or None if none is available now.
 
-        `called` are endpoints that get a call in this step already: the attempt joins one of them
-        if it can.
+        `called_endpoints` are the endpoints that already get a call in this step: the attempt joins
+        one of these calls if possible.
         """
         replicas = self._replica_set(shard_request.cell)
         has_allowance = self._slow_start.has_allowance
@@ -64,13 +64,14 @@
         if all(replica in excluded or not has_allowance(replica, now) for replica in replicas):
             if is_hedge:
                 return None
-            # Attempted replicas may be used again after a pause: at once, all attempts would be
-            # spent at one full queue; never, the request would fail while that replica has room.
+            # Attempted replicas may be used again after a pause. Without the pause, all attempts
+            # would be spent on one full queue; without reuse, the request would fail even if that
+            # replica had room again.
             pause_ms = self._latency.overall.p90_ms(now)
             excluded = {a.endpoint for a in shard_request.attempts if now < a.sent_at + pause_ms}
         is_optional = shard_request.is_optional
         has_room, may_send = self._limiter.has_room, self._send_rules.may_send
-        for endpoint in called:
+        for endpoint in called_endpoints:
             if (
                 endpoint in replicas
                 and endpoint not in excluded
@@ -89,30 +90,32 @@
     def _candidates(
         self, cell: int, excluded: set[Endpoint], now: float
     ) -> list[tuple[int, Endpoint]]:
-        """The replicas by preference, each with the round-robin position after it."""
+        """The replicas by preference, each with the round-robin position that follows it."""
         replicas = self._replica_set(cell)
         has_allowance = self._slow_start.has_allowance
-        # Drawn on every call, used on the first: the order of draws is part of a replayed decision.
+        # Drawn on every call but used only on the first: replays depend on the order of draws.
         position = self._positions.setdefault(cell, self._rng.randrange(POSITION_RANGE))
-        order = [
+        candidates = [
             (position + i + 1, replicas[(position + i) % len(replicas)])
             for i in range(len(replicas))
         ]
-        order = [pair for pair in order if pair[1] not in excluded]
-        # Else a request waits for endpoints in slow start beside an ejected one that has room.
-        order = [pair for pair in order if has_allowance(pair[1], now)]
-        # An endpoint with an overdue attempt is better than one that failed.
-        order = [pair for pair in order if now >= pair[1].ejected_until] or order
-        order = [pair for pair in order if not pair[1].is_avoided(now)] or order
-        if self._settings.price_crossing:  # local replicas with spare room first
+        candidates = [pair for pair in candidates if pair[1] not in excluded]
+        # Filtered before ejected ones are skipped; otherwise a request would wait for endpoints in
+        # slow start although an ejected one has room.
+        candidates = [pair for pair in candidates if has_allowance(pair[1], now)]
+        # An endpoint with an overdue attempt is preferred to one that failed.
+        candidates = [pair for pair in candidates if now >= pair[1].ejected_until] or candidates
+        candidates = [pair for pair in candidates if not pair[1].is_avoided(now)] or candidates
+        if self._settings.price_crossing:  # local replicas with spare capacity first
             zone, has_room = self._settings.zone, self._limiter.has_room
-            order.sort(key=lambda pair: pair[1].zone != zone or not has_room(pair[1], True))
+            candidates.sort(key=lambda pair: pair[1].zone != zone or not has_room(pair[1], True))
         capacity_share, draw = self._slow_start.capacity_share, self._rng.random
-        order.sort(key=lambda pair: capacity_share(pair[1], now) < draw())  # cold ones seldom first
-        return order
+        # The colder an endpoint, the less often it comes first.
+        candidates.sort(key=lambda pair: capacity_share(pair[1], now) < draw())
+        return candidates
 
     def _replica_set(self, cell: int) -> list[Endpoint]:
-        """The endpoints in service that hold a cell, local ones first."""
+        """The endpoints in service that hold the cell's shards, local ones first."""
         if cell not in self._replica_sets:
             settings = self._settings
             cells = {(cell + i) % settings.cells for i in range(settings.replica_span)}
--- a/tansycrank/routing/retry.py
+++ b/tansycrank/routing/retry.py
@@ -6,28 +6,28 @@
 from tansycrank.routing.settings import Idempotency, Settings
 from tansycrank.routing.sliding_sum import SlidingSum
 
-HEDGE_BUDGET_SHARE = 0.6  # of the retry budget; the rest is kept for retries after a crash
+HEDGE_BUDGET_SHARE = 0.6  # of the retry budget; the rest is reserved for retries after a crash
 
 
 class RetryBudget:
-    """Bounds hedges and retries, together, in any window of the configured length."""
+    """Bounds the sum of hedges and retries in any window of the configured length."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
         window_ms = settings.budget_window or 0.0
-        self._accepted = SlidingSum(window_ms)  # queries and shard requests
+        self._accepted = SlidingSum(window_ms)  # queries plus shard requests
         self._extra_attempts = SlidingSum(window_ms + settings.tick)
 
     def record_accepted(self, now: float) -> None:
-        """Count a query or a shard request that was accepted."""
+        """Count an accepted query or shard request."""
         self._accepted.add(now)
 
     def record_extra_attempt(self, now: float) -> None:
-        """Count an attempt beyond the first one of its shard request."""
+        """Count a hedge or a retry."""
         self._extra_attempts.add(now)
 
     def allows(self, is_hedge: bool, now: float) -> bool:
-        """Whether another extra attempt stays within the budget; true if none is configured."""
+        """Whether the budget allows another hedge or retry; True if none is configured."""
         settings = self._settings
         if settings.budget_window is None:
             return True
@@ -37,10 +37,10 @@
 
 
 def retry_window_ms(shard_request: ShardRequest, tick_ms: float, now: float) -> float | None:
-    """The time in which a further attempt has to be sent; None where it may be at any time.
+    """The time (ms) within which a further attempt must be sent; None if there is no limit.
 
-    Unless the class is idempotent, a further attempt is allowed only if no earlier one may have
-    been executed, or within the deduplication window of the first that may have been.
+    Unless the class is idempotent, a further attempt is allowed only if no earlier one can have
+    been executed, or within the deduplication window of the first one that may have been.
     """
     query_class = shard_request.query.query_class
     executed = [attempt for attempt in shard_request.attempts if attempt.may_have_executed]
@@ -54,6 +54,6 @@
 def may_attempt_again(
     shard_request: ShardRequest, tick_ms: float, now: float, is_hedge: bool = False
 ) -> bool:
-    """Whether idempotency allows a further attempt now; within a deduplication window no hedge."""
+    """Whether idempotency allows a further attempt now; a hedge only without a time limit."""
     window_ms = retry_window_ms(shard_request, tick_ms, now)
     return window_ms is None or (window_ms > 0 and not is_hedge)
--- a/tansycrank/routing/send_rules.py
+++ b/tansycrank/routing/send_rules.py
@@ -1,4 +1,4 @@
-"""The rules that bind every send, in one place."""
+"""The rules that every send must satisfy."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class SendRules:
-    """Asked before each send, whatever selected the endpoint."""
+    """Checked before each send, independently of replica selection."""
 
     def __init__(self, settings: Settings, budget: RetryBudget, slow_start: SlowStart) -> None:
         self._settings = settings
--- a/tansycrank/routing/settings.py
+++ b/tansycrank/routing/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a routing policy, checked when they are constructed. All times are milliseconds."""
+"""Settings of a routing policy, validated on construction. All times are milliseconds."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Idempotency(Enum):
-    """What another attempt of a shard request of a class does."""
+    """Whether a shard request of a class may be attempted more than once."""
 
     IDEMPOTENT = "idempotent"
     WITH_KEY = "with an idempotency key"
@@ -16,22 +16,22 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryClass:
-    """One class of query. Coverages are fractions of the total weight of the shard requests."""
+    """A class of queries. Coverages are fractions of the total weight of the shard requests."""
 
     latency_objective: float  # ms from arrival
-    deadline: float  # ms from arrival, at which the client stops waiting
+    deadline: float  # ms from arrival; the client stops waiting then
     priority_weight: float  # of a query that is answered within its objective
     late_weight: float = 0.0  # of a query that is answered later than that
     idempotency: Idempotency = Idempotency.IDEMPOTENT
-    dedup_window: float = 0.0  # ms from the first attempt in which a key protects another one
-    minimum_coverage: float = 1.0  # of a partial answer
-    complete_coverage: float = 1.0  # from which on an answer is complete
-    partial_weight: float = 0.0  # of a query that is answered in part
+    dedup_window: float = 0.0  # ms from the first attempt, in which nodes deduplicate by key
+    minimum_coverage: float = 1.0  # below which there is no partial answer
+    complete_coverage: float = 1.0  # from which an answer counts as complete
+    partial_weight: float = 0.0  # of a query that is answered partially
     follow_up: int = 0  # shard requests of a second step; 0 for none
 
     def __post_init__(self) -> None:
-        _positive(self, "latency_objective", "deadline", "complete_coverage")
-        _not_negative(
+        _check_positive(self, "latency_objective", "deadline", "complete_coverage")
+        _check_not_negative(
             self,
             "priority_weight",
             "late_weight",
@@ -54,43 +54,42 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The configuration of one router. A budget of None means that none is set."""
+    """The configuration of one router. Budget fields of None mean that no budget is set."""
 
-    classes: tuple[QueryClass, ...]  # by the number in `QueryArrived.query_class`
-    router_index: int = 0  # of this router among `routers`
+    classes: tuple[QueryClass, ...]  # indexed by `QueryArrived.query_class`
+    router_index: int = 0  # of this router, below `routers`
     routers: int = 1  # number of routers in front of the same endpoints
     zone: int = 0  # of this router
     zones: int = 1  # number of zones
     tick: float = 1.0  # ms: the interval between steps, the precision of every timer
     shards: int = 1  # number of shards
     cells: int = 1  # number of cells; a shard belongs to the cell `shard % cells`
-    replica_span: int = 1  # cells, from that of the shard on, whose endpoints hold its replicas
-    call_batch_size: int = 1  # most shard requests in one call to an endpoint
-    call_work: float = 0.0  # work of a call beside its shard requests; 0 if calls are free
-    max_attempts: int = 3  # of a shard request
+    replica_span: int = 1  # consecutive cells, from the shard's own, that hold its replicas
+    call_batch_size: int = 1  # maximum shard requests in one call to an endpoint
+    call_work: float = 0.0  # fixed work per call, besides its shard requests; 0 if none
+    max_attempts: int = 3  # per shard request
     allows_hedging: bool = True  # two attempts of a shard request may be in flight
     can_cancel: bool = True  # the host can carry out `Cancel`
     can_check_health: bool = False  # the host can carry out `CheckHealth`
     can_gossip: bool = False  # the host can carry out `SendGossip`
-    can_retry_after: bool = False  # clients obey `Reject.retry_after`
+    can_retry_after: bool = False  # clients honour `Reject.retry_after`
     max_retry_after: float = 0.0  # ms
-    marks_retries: bool = False  # clients mark retries, as `QueryArrived.is_retry`
-    max_in_flight: int = 1000  # queries and shard requests together
-    polls_discovery: bool = False  # this router has to call discovery itself
-    watches_discovery: bool = False  # lists arrive on an open watch only
+    marks_retries: bool = False  # clients mark retries (`QueryArrived.is_retry`)
+    max_in_flight: int = 1000  # queries plus shard requests
+    polls_discovery: bool = False  # this router has to poll discovery itself
+    watches_discovery: bool = False  # endpoint lists arrive only on an open watch
     poll_interval: float = 10000.0  # ms between two calls to discovery; not used
-    answer_grace: float = 0.0  # ms after the deadline in which the final action may still come
-    drain_grace: float = 0.0  # ms in which sends to a draining endpoint have to stop
-    slow_start_overload_factor: float = 1.0  # times its capacity that a cold endpoint may get
+    answer_grace: float = 0.0  # ms after the deadline within which a final action still counts
+    drain_grace: float = 0.0  # ms within which sends to a draining endpoint must stop
+    slow_start_overload_factor: float = 1.0  # load limit of a cold endpoint, times its capacity
     slow_start_window: float = 1000.0  # ms over which sends to a cold endpoint are counted
-    slow_start_initial_share: float = 1.0  # of its capacity that an endpoint has at its start
-    slow_start_duration: float = 0.0  # ms from its start until an endpoint has all its capacity
-    budget_floor: float | None = None  # retries and hedges in a window, whatever the traffic
-    budget_share: float | None = None  # of the accepted requests of a window, in addition
+    slow_start_initial_share: float = 1.0  # of its full capacity, at its start
+    slow_start_duration: float = 0.0  # ms from its start until an endpoint has full capacity
+    budget_floor: float | None = None  # retries and hedges per window, regardless of traffic
+    budget_share: float | None = None  # of the requests accepted in a window, added to the floor
     budget_window: float | None = None  # ms
-    price_crossing: float = (
-        0.0  # of an attempt in another zone; prices compare with priority weights
-    )
+    # Prices, in units of priority weights.
+    price_crossing: float = 0.0  # of an attempt in another zone
     price_waste: float = 0.0  # of work whose response is not used
     price_probe: float = 0.0  # of a health check
     price_late_fail: float = 0.0  # of a query that fails late
@@ -112,7 +111,7 @@
         self._check_budget()
 
     def _check_signs(self) -> None:
-        _positive(
+        _check_positive(
             self,
             "routers",
             "zones",
@@ -127,7 +126,7 @@
             "slow_start_overload_factor",
             "slow_start_window",
         )
-        _not_negative(
+        _check_not_negative(
             self,
             "router_index",
             "zone",
@@ -145,22 +144,22 @@
 
     def _check_budget(self) -> None:
         budget = ("budget_floor", "budget_share", "budget_window")
-        given = [name for name in budget if getattr(self, name) is not None]
-        if given and len(given) < len(budget):
-            missing = next(name for name in budget if name not in given)
+        configured = [name for name in budget if getattr(self, name) is not None]
+        if configured and len(configured) < len(budget):
+            missing = next(name for name in budget if name not in configured)
             raise ValueError(f"{missing}: a budget needs all of {', '.join(budget)}")
-        if given:
-            _not_negative(self, "budget_floor", "budget_share")
-            _positive(self, "budget_window")
+        if configured:
+            _check_not_negative(self, "budget_floor", "budget_share")
+            _check_positive(self, "budget_window")
 
 
-def _positive(record: object, *names: str) -> None:
+def _check_positive(record: object, *names: str) -> None:
     for name in names:
         if not getattr(record, name) > 0:
             raise ValueError(f"{name}: {getattr(record, name)} must be above 0")
 
 
-def _not_negative(record: object, *names: str) -> None:
+def _check_not_negative(record: object, *names: str) -> None:
     for name in names:
         if not getattr(record, name) >= 0:
             raise ValueError(f"{name}: {getattr(record, name)} must not be negative")
--- a/tansycrank/routing/sliding_sum.py
+++ b/tansycrank/routing/sliding_sum.py
@@ -1,4 +1,4 @@
-"""A sum over the most recent span of time."""
+"""A sum over a sliding time window."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
         self._sum = 0
 
     def add(self, now: float, number: int = 1) -> None:
-        """Add a number at this time."""
+        """Add a number."""
         self._entries.append((now, number))
         self._sum += number
-        self.total(now)  # without this, a sum that is seldom read keeps every entry
+        self.total(now)  # drops expired entries even if the sum is rarely read
 
     def total(self, now: float) -> int:
         """The sum of the entries younger than the span."""
@@ -25,12 +25,12 @@
             self._sum -= self._entries.popleft()[1]
         return self._sum
 
-    def within(self, now: float, span_ms: float) -> int:
+    def total_within(self, now: float, span_ms: float) -> int:
         """The sum of the entries younger than `span_ms`, which is at most the span of this sum."""
         self.total(now)
-        found = 0
+        recent_total = 0
         for time, number in reversed(self._entries):
             if time <= now - span_ms:
                 break
-            found += number
-        return found
+            recent_total += number
+        return recent_total
--- a/tansycrank/routing/timer_queue.py
+++ b/tansycrank/routing/timer_queue.py
@@ -1,4 +1,4 @@
-"""The timers of a routing policy, kept in one queue for which the host holds a single timer."""
+"""A timer queue that needs only a single timer of the host."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class TimerQueue:
-    """Callbacks by due time, and in the order of scheduling if due at the same time."""
+    """Callbacks ordered by due time; those due at the same time run in order of scheduling."""
 
     def __init__(self) -> None:
         self._entries: list[tuple[float, int, Callback, Any]] = []
@@ -21,23 +21,23 @@
         return len(self._entries)
 
     def schedule(self, time: float, callback: Callback, argument: Any) -> None:
-        """Call `callback(argument, now)` in the first step at or after this time (ms)."""
+        """Call `callback(argument, now)` in the first step at or after `time` (ms)."""
         self._sequence += 1
         heapq.heappush(self._entries, (time, self._sequence, callback, argument))
 
     def overdue_ms(self, now: float) -> float:
-        """How long the earliest timer has been due; 0 or less if none is."""
+        """How long the earliest timer has been due; 0 or less if none is due."""
         return now - self._entries[0][0] if self._entries else 0.0
 
     def run_due(self, now: float) -> None:
-        """Run all callbacks that are due, including those scheduled meanwhile."""
+        """Run all due callbacks, including due ones that other callbacks schedule."""
         entries = self._entries
         while entries and entries[0][0] <= now:
             _, _, callback, argument = heapq.heappop(entries)
             callback(argument, now)
 
     def next_host_timer_ms(self, now: float) -> float | None:
-        """The delay for a new timer of the host; None if its present timer is early enough."""
+        """The delay (ms) for a new host timer; None if the pending one is early enough."""
         if not self._entries:
             return None
         due_at = self._entries[0][0]
--- a/tests/routing/test_admission_queue.py
+++ b/tests/routing/test_admission_queue.py
@@ -50,9 +50,9 @@
 def test_a_long_queue_does_not_raise_the_bound_for_slow_responses():
     bench = Bench(settings(), endpoints=(1,))
     bench.teach(latency=60.0, answers=40)
-    bar = bench.router.latency.slow_from_ms
+    bar = bench.router.latency.slow_threshold_ms
     bench.teach(latency=900.0, answers=60)
-    assert bench.router.latency.slow_from_ms == bar
+    assert bench.router.latency.slow_threshold_ms == bar
 
 
 def test_queries_of_high_priority_go_ahead_in_the_queue():
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -4,7 +4,7 @@
 
 from tansycrank import routing
 from tansycrank.routing import Outcome
-from tansycrank.routing.outlier_ejection import FIRST_EJECTION_SHARE
+from tansycrank.routing.outlier_ejection import INITIAL_EJECTION_SHARE
 
 NO_LATE_WORTH = routing.QueryClass(latency_objective=1000.0, deadline=4000.0, priority_weight=1.0)
 IN_PART = routing.QueryClass(
@@ -262,4 +262,4 @@
         _, (shard_request,), _ = bench.query(shards=[0])
         endpoint = bench.router.endpoints[bench.attempts[shard_request][0][1]]
         bench.end(shard_request, outcome=Outcome.CONNECT_FAILED, after=20.0)
-        assert endpoint.ejected_until - bench.now == FIRST_EJECTION_SHARE * aim
+        assert endpoint.ejected_until - bench.now == INITIAL_EJECTION_SHARE * aim
