--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Time driven by hand: a router, its settings and a clock that tests move."""
+"""Harnesses that drive a routing policy or a lifecycle on a simulated clock."""
 
 from tansycrank import routing
 from tansycrank.lifecycle import Lifecycle
@@ -34,13 +34,21 @@
     return routing.EndpointEntry(endpoint, cell, zone, status, started_at)
 
 
-class Bench:
-    """Plays events to one router and keeps what it did."""
+class PolicyHarness:
+    """Feeds events to one routing policy and records its actions.
 
-    def __init__(self, cfg, endpoints=(1, 2, 3), seed=7, start=100_000.0):
-        self.router, self.now, self.tick = RoutingPolicy(cfg, seed), start, cfg.tick
-        self.ids, self.numbers, self.attempts = 1000, 0, {}
-        self.done = []
+    `steps` has the time and the actions of each step, `attempts` the time and the endpoint of each
+    attempt by shard request id.
+    """
+
+    def __init__(self, policy_settings, endpoints=(1, 2, 3), seed=7, start=100_000.0):
+        self.policy, self.now, self.tick = (
+            RoutingPolicy(policy_settings, seed),
+            start,
+            policy_settings.tick,
+        )
+        self.last_id, self.last_number, self.attempts = 1000, 0, {}
+        self.steps = []
         entries = tuple(
             s if isinstance(s, routing.EndpointEntry) else endpoint_entry(s) for s in endpoints
         )
@@ -48,8 +56,8 @@
 
     def step(self, *events, after=0.0):
         self.now += after
-        actions = self.router.step(self.now, list(events))
-        self.done.append((self.now, actions))
+        actions = self.policy.step(self.now, list(events))
+        self.steps.append((self.now, actions))
         for action in actions:
             if isinstance(action, routing.Send):
                 self.attempts.setdefault(action.shard_request, []).append(
@@ -58,11 +66,11 @@
         return actions
 
     def run(self, ms):
-        """Pass time in ticks, waking the router each time."""
-        acted = []
+        """Advance time by `ms`, one timer event per tick; returns all actions."""
+        actions = []
         for _ in range(int(ms / self.tick)):
-            acted += self.step(routing.TimerExpired(1), after=self.tick)
-        return acted
+            actions += self.step(routing.TimerExpired(1), after=self.tick)
+        return actions
 
     def query(
         self,
@@ -73,22 +81,22 @@
         weights=None,
         is_retry=False,
     ):
-        """A query arrives; returns (query id, part ids, actions)."""
-        self.numbers += 1
-        query = self.ids = self.ids + 1
+        """A query arrives; returns its id, the ids of its shard requests, and the actions."""
+        self.last_number += 1
+        query = self.last_id = self.last_id + 1
         events = [
             routing.QueryArrived(
-                query, self.numbers, query_class, remaining, shard_requests, is_retry=is_retry
+                query, self.last_number, query_class, remaining, shard_requests, is_retry=is_retry
             )
         ]
         ids = []
         for index in range(shard_requests):
-            self.ids += 1
-            ids.append(self.ids)
+            self.last_id += 1
+            ids.append(self.last_id)
             events.append(
                 routing.ShardRequestArrived(
-                    self.ids,
-                    self.numbers,
+                    self.last_id,
+                    self.last_number,
                     shards[index] if shards else 0,
                     weights[index] if weights else 1 / shard_requests,
                 )
@@ -96,7 +104,7 @@
         return query, ids, self.step(*events)
 
     def end(self, shard_request, attempt=None, outcome=routing.Outcome.SUCCEEDED, after=0.0):
-        """The last (or the numbered) attempt of a part ends."""
+        """End an attempt of a shard request, by default its last one."""
         number = len(self.attempts[shard_request]) - 1 if attempt is None else attempt
         sent, endpoint = self.attempts[shard_request][number]
         return self.step(
@@ -106,20 +114,20 @@
             after=after,
         )
 
-    def teach(self, latency=100.0, answers=30, gap=50.0):
-        """Ordinary traffic: so many answers in this time, by turns."""
-        for _ in range(answers):
+    def run_traffic(self, latency=100.0, queries=30, gap=50.0):
+        """Run queries one after the other, each with a response of that latency."""
+        for _ in range(queries):
             _, (shard_request,), _ = self.query()
             self.end(shard_request, after=latency)
             self.run(gap)
 
 
-def of(kind, actions):
+def of_type(kind, actions):
     return [action for action in actions if isinstance(action, kind)]
 
 
 class LifecycleHarness:
-    """Attempts for tests of connections: each the only one of a request of its own."""
+    """Creates attempts for tests of connections, each for a request of its own."""
 
     def __init__(self, endpoints=range(1, 10)):
         settings = routing.Settings(
@@ -136,7 +144,7 @@
         )
 
     def attempt(self, now, endpoint=1, time_out=1000.0, start_within=0.0, name="q"):
-        """`now` is ms of the clock of the connections."""
+        """A new attempt; `now` is ms on the clock of the connections."""
         request = self.lifecycle.accept(
             name, routing.Idempotency.IDEMPOTENT, 0.0, now + 60_000.0, 1, now
         )
--- a/tests/routing/test_latency_window.py
+++ b/tests/routing/test_latency_window.py
@@ -1,4 +1,4 @@
-"""Sliding windows of latencies and of counts."""
+"""Sliding windows of latencies and sliding sums."""
 
 import pytest
 
@@ -18,14 +18,14 @@
     assert window.count(9000.0) == 0
 
 
-def test_sliding_sum_forgets_what_is_older_than_its_span():
+def test_a_sliding_sum_drops_entries_older_than_its_span():
     total = SlidingSum(100.0)
     total.add(0.0)
     total.add(60.0, 2)
     assert (total.total(99.0), total.total(100.0), total.total(200.0)) == (3, 2, 0)
 
 
-def test_a_sliding_sum_keeps_only_its_span_however_seldom_it_is_read():
+def test_a_sliding_sum_drops_expired_entries_even_if_it_is_rarely_read():
     sends = SlidingSum(100.0)
     for now in range(10_000):
         sends.add(float(now))
--- a/tests/routing/test_routing_settings.py
+++ b/tests/routing/test_routing_settings.py
@@ -1,4 +1,4 @@
-"""Checks of the settings of the policy."""
+"""Validation of the settings of the routing policy."""
 
 import pytest
 from helpers import settings
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,18 +1,18 @@
-"""Each of the six rules: a case that fails if its guard is taken out."""
+"""The six rules of the router; for each there is a test that fails if its check is removed."""
 
-from helpers import Bench, endpoint_entry, of, settings
+from helpers import PolicyHarness, endpoint_entry, of_type, settings
 
 from tansycrank import routing
 from tansycrank.routing import Outcome
 
-UNSAFE = routing.QueryClass(
+NOT_IDEMPOTENT = routing.QueryClass(
     latency_objective=1000.0,
     deadline=4000.0,
     priority_weight=1.0,
     late_weight=0.5,
     idempotency=routing.Idempotency.NOT_IDEMPOTENT,
 )
-KEYED = routing.QueryClass(
+WITH_KEY = routing.QueryClass(
     latency_objective=1000.0,
     deadline=8000.0,
     priority_weight=1.0,
@@ -29,198 +29,214 @@
 )
 
 
-def finals(bench):
+def final_actions(harness):
     return [
         a
-        for _, actions in bench.done
+        for _, actions in harness.steps
         for a in actions
         if isinstance(a, routing.Answer | routing.Reject | routing.Fail)
     ]
 
 
-def test_rule_1_one_final_answer_in_time_and_no_part_after_it():
-    bench = Bench(settings())
-    bench.teach()  # a router that knows its queues sends all parts at once
-    start = bench.now
-    query, shard_requests, _ = bench.query(shard_requests=3, remaining=900.0)
-    bench.run(3000)
-    assert [a.query for a in finals(bench) if a.query >= query] == [query]
+def test_rule_1_one_final_answer_in_time_and_no_shard_request_after_it():
+    harness = PolicyHarness(settings())
+    harness.run_traffic()  # with recent responses, all shard requests are sent at once
+    start = harness.now
+    query, shard_requests, _ = harness.query(shard_requests=3, remaining=900.0)
+    harness.run(3000)
+    assert [a.query for a in final_actions(harness) if a.query >= query] == [query]
     ended = next(
         t
-        for t, acts in bench.done
-        if any(a.query == query for a in of(routing.Reject, acts) + of(routing.Fail, acts))
+        for t, actions in harness.steps
+        if any(
+            a.query == query
+            for a in of_type(routing.Reject, actions) + of_type(routing.Fail, actions)
+        )
     )
     assert start < ended <= start + 900.0
-    assert all(t <= ended for t, actions in bench.done if of(routing.Send, actions))
-    for shard_request in shard_requests:  # late outcomes of an ended query start nothing
-        assert not of(routing.Send, bench.end(shard_request, 0, Outcome.CONNECTION_LOST))
+    assert all(t <= ended for t, actions in harness.steps if of_type(routing.Send, actions))
+    for shard_request in shard_requests:  # late outcomes of an ended query trigger no send
+        assert not of_type(routing.Send, harness.end(shard_request, 0, Outcome.CONNECTION_LOST))
 
 
-def test_rule_1_parts_waiting_for_room_are_never_sent_after_the_client_left():
-    bench = Bench(settings(), endpoints=(1,))
-    first = [bench.query()[0] for _ in range(30)]
-    bench.step(*(routing.QueryCancelled(q) for q in first))
-    sent = set(bench.attempts)
+def test_rule_1_queued_shard_requests_are_never_sent_after_the_client_has_gone():
+    harness = PolicyHarness(settings(), endpoints=(1,))
+    first = [harness.query()[0] for _ in range(30)]
+    harness.step(*(routing.QueryCancelled(q) for q in first))
+    sent = set(harness.attempts)
     for shard_request in list(sent):
-        bench.end(shard_request, 0, Outcome.CANCELLED)
-    assert set(bench.attempts) == sent
+        harness.end(shard_request, 0, Outcome.CANCELLED)
+    assert set(harness.attempts) == sent
 
 
-def test_rule_2_an_unsafe_part_that_may_have_run_is_failed_at_once():
+def test_rule_2_a_non_idempotent_request_that_may_have_executed_fails_at_once():
     for outcome in (Outcome.ERROR, Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.CANCELLED):
-        bench = Bench(settings(UNSAFE))
-        query, (shard_request,), _ = bench.query()
-        assert bench.end(shard_request, 0, outcome)[0:] and finals(bench) == [
+        harness = PolicyHarness(settings(NOT_IDEMPOTENT))
+        query, (shard_request,), _ = harness.query()
+        assert harness.end(shard_request, 0, outcome)[0:] and final_actions(harness) == [
             routing.Fail(query)
         ], outcome
-        assert len(bench.attempts[shard_request]) == 1
+        assert len(harness.attempts[shard_request]) == 1
 
 
-def test_rule_2_an_unsafe_part_that_never_ran_goes_elsewhere_and_is_never_hedged():
-    bench = Bench(settings(UNSAFE))
-    _, (shard_request,), _ = bench.query()
-    bench.end(shard_request, 0, Outcome.CONNECT_FAILED)
-    assert len({endpoint for _, endpoint in bench.attempts[shard_request]}) == 2
-    bench.run(900)
-    assert len(bench.attempts[shard_request]) == 2
+def test_rule_2_a_non_idempotent_request_that_never_executed_is_retried_but_not_hedged():
+    harness = PolicyHarness(settings(NOT_IDEMPOTENT))
+    _, (shard_request,), _ = harness.query()
+    harness.end(shard_request, 0, Outcome.CONNECT_FAILED)
+    assert len({endpoint for _, endpoint in harness.attempts[shard_request]}) == 2
+    harness.run(900)
+    assert len(harness.attempts[shard_request]) == 2
 
 
-def test_rule_2_a_keyed_part_is_sent_again_only_within_its_window():
+def test_rule_2_a_request_with_key_is_retried_only_within_its_deduplication_window():
     for wait, sends in ((100.0, 2), (700.0, 1)):
-        bench = Bench(settings(KEYED))
-        _, (shard_request,), _ = bench.query(remaining=8000.0)
-        bench.run(wait)
-        bench.end(shard_request, 0, Outcome.CONNECTION_LOST)
-        bench.run(50)
-        assert len(bench.attempts[shard_request]) == sends
+        harness = PolicyHarness(settings(WITH_KEY))
+        _, (shard_request,), _ = harness.query(remaining=8000.0)
+        harness.run(wait)
+        harness.end(shard_request, 0, Outcome.CONNECTION_LOST)
+        harness.run(50)
+        assert len(harness.attempts[shard_request]) == sends
 
 
-def test_rule_3_nothing_goes_to_a_server_told_to_drain_or_gone():
+def test_rule_3_nothing_is_sent_to_a_draining_or_removed_endpoint():
     for status in (routing.EndpointStatus.DRAINING, routing.EndpointStatus.REMOVED):
-        bench = Bench(settings(), endpoints=(1, 2))
-        bench.step(
+        harness = PolicyHarness(settings(), endpoints=(1, 2))
+        harness.step(
             routing.EndpointListUpdate(
                 routing.EndpointListKind.DELTA, (endpoint_entry(1, status=status),)
             )
         )
         for _ in range(5):
-            _, (shard_request,), _ = bench.query()
-            assert bench.attempts[shard_request][0][1] == 2
-    bench.step(
+            _, (shard_request,), _ = harness.query()
+            assert harness.attempts[shard_request][0][1] == 2
+    # Not in a full list, so removed.
+    harness.step(
         routing.EndpointListUpdate(routing.EndpointListKind.SNAPSHOT, (endpoint_entry(1),))
-    )  # absent from a full list: removed
-    _, (shard_request,), _ = bench.query()
-    assert bench.attempts[shard_request][0][1] == 1
+    )
+    _, (shard_request,), _ = harness.query()
+    assert harness.attempts[shard_request][0][1] == 1
 
 
-def cold_burst(routers, spans=8, queries=60, light=(), every=1000):
-    """All routers meet one cold server, their sole replica, with more than it can do; sends by
-    span.
-    """
+def overload_cold_endpoint(
+    routers, intervals=8, queries=60, cheap_latencies=(), query_interval_ms=1000
+):
+    """All routers overload one cold endpoint, the only replica; returns the sorted send times."""
     sent = []
-    for me in range(routers):
-        bench = Bench(settings(routers=routers, router_index=me, slow_start_window=3000.0), seed=me)
-        bench.teach(latency=100.0, gap=0.0)
-        for latency in light:
-            bench.teach(latency=latency, answers=1, gap=0.0)
-        bench.step(
+    for index in range(routers):
+        harness = PolicyHarness(
+            settings(routers=routers, router_index=index, slow_start_window=3000.0), seed=index
+        )
+        harness.run_traffic(latency=100.0, gap=0.0)
+        for latency in cheap_latencies:
+            harness.run_traffic(latency=latency, queries=1, gap=0.0)
+        harness.step(
             routing.EndpointListUpdate(
-                routing.EndpointListKind.SNAPSHOT, (endpoint_entry(1, started_at=bench.now),)
+                routing.EndpointListKind.SNAPSHOT, (endpoint_entry(1, started_at=harness.now),)
             )
         )
-        start, before = bench.now, set(bench.attempts)
-        for _ in range(spans):
-            for _ in range(queries // spans):
-                bench.query()
-            bench.run(every)
+        start, before = harness.now, set(harness.attempts)
+        for _ in range(intervals):
+            for _ in range(queries // intervals):
+                harness.query()
+            harness.run(query_interval_ms)
         sent += [
             t - start
-            for shard_request in set(bench.attempts) - before
-            for t, _ in bench.attempts[shard_request]
+            for shard_request in set(harness.attempts) - before
+            for t, _ in harness.attempts[shard_request]
         ]
     return sorted(sent)
 
 
-def test_rule_3_the_guard_itself_refuses_a_server_that_is_not_ready():
-    bench = Bench(settings(), endpoints=(1,))
-    _, (shard_request,), _ = bench.query()
-    router = bench.router
-    endpoint, held = router.endpoints[1], router.queries.shard_requests[shard_request]
-    held.attempts.clear()
-    assert router.send_rules.may_send(held, endpoint, False, bench.now)
+def test_rule_3_the_send_rules_themselves_exclude_an_endpoint_that_is_draining():
+    harness = PolicyHarness(settings(), endpoints=(1,))
+    _, (shard_request,), _ = harness.query()
+    policy = harness.policy
+    endpoint, shard_request_state = (
+        policy.endpoints[1],
+        policy.queries.shard_requests[shard_request],
+    )
+    shard_request_state.attempts.clear()
+    assert policy.send_rules.may_send(shard_request_state, endpoint, False, harness.now)
     endpoint.status = routing.EndpointStatus.DRAINING
-    assert not router.send_rules.may_send(held, endpoint, False, bench.now)
+    assert not policy.send_rules.may_send(shard_request_state, endpoint, False, harness.now)
 
 
-def test_rule_4_all_routers_together_keep_a_cold_sole_replica_within_what_it_bears():
-    """Many routers that each send a single request overload an endpoint that has just started."""
+def test_rule_4_all_routers_together_stay_within_the_allowance_of_a_cold_endpoint():
+    """Many routers can overload an endpoint that has just started with one request each."""
     for routers in (1, 3, 40):
-        sent = cold_burst(routers)
+        sent = overload_cold_endpoint(routers)
         assert sent, routers
         for t in sent:
-            warmth = 0.2 + 0.8 * max(t - 1500.0, 0.0) / 10_000.0  # mean of the window
-            begun = max(t - 3000.0, 0.0)
-            borne = 2 * 3000.0 / 100.0  # parts of 100 ms that two cores do in a window
-            slack = 1.2 if routers > 1 else 1.0  # lots fall by chance, which the rule allows for
-            assert sum(begun <= other <= t for other in sent) <= slack * 2.0 * warmth * borne, (
-                routers
-            )
+            capacity_share = 0.2 + 0.8 * max(t - 1500.0, 0.0) / 10_000.0  # mean over the window
+            window_start = max(t - 3000.0, 0.0)
+            # Shard requests of 100 ms that two cores execute in a window.
+            capacity = 2 * 3000.0 / 100.0
+            # The allowance is rounded at random, which the rule permits.
+            slack = 1.2 if routers > 1 else 1.0
+            assert (
+                sum(window_start <= other <= t for other in sent)
+                <= slack * 2.0 * capacity_share * capacity
+            ), routers
 
 
-def test_rule_4_a_fleet_of_thin_routers_uses_most_of_what_a_cold_server_of_two_cores_bears():
-    """If most of the allowance lapses, warm endpoints are overloaded beside idle cold ones."""
-    sent = cold_burst(100, spans=3, queries=3, every=3500)  # each router asks once a window
+def test_rule_4_many_routers_with_little_traffic_use_most_of_the_allowance_of_a_cold_endpoint():
+    """If most of the allowance goes unused, warm endpoints are overloaded while cold ones idle."""
+    # One query per router and window.
+    sent = overload_cold_endpoint(100, intervals=3, queries=3, query_interval_ms=3500)
     last = sum(6000.0 < t <= 9000.0 for t in sent)
-    borne = (
-        2 * 3000.0 / 100.0 * (0.2 + 0.8 * 0.7)
-    )  # in the window that ends when it is seven seconds old
-    assert 0.6 * 2.0 * borne <= last <= 2.0 * borne
+    # In the window that ends at an age of seven seconds.
+    capacity = 2 * 3000.0 / 100.0 * (0.2 + 0.8 * 0.7)
+    assert 0.6 * 2.0 * capacity <= last <= 2.0 * capacity
 
 
-def test_rule_4_a_server_that_starts_with_nothing_gets_nothing_at_first():
-    bench = Bench(settings(slow_start_initial_share=0.0, slow_start_window=3000.0), endpoints=(1,))
-    bench.step(
+def test_rule_4_an_endpoint_without_initial_capacity_gets_no_request_at_first():
+    harness = PolicyHarness(
+        settings(slow_start_initial_share=0.0, slow_start_window=3000.0), endpoints=(1,)
+    )
+    harness.step(
         routing.EndpointListUpdate(
-            routing.EndpointListKind.SNAPSHOT, (endpoint_entry(1, started_at=bench.now),)
+            routing.EndpointListKind.SNAPSHOT, (endpoint_entry(1, started_at=harness.now),)
         )
     )
-    bench.router.endpoints[1].slow_start_draw_until = bench.now + 60_000.0
-    _, (shard_request,), _ = bench.query()
-    assert shard_request not in bench.attempts
+    harness.policy.endpoints[1].slow_start_draw_until = harness.now + 60_000.0
+    _, (shard_request,), _ = harness.query()
+    assert shard_request not in harness.attempts
 
 
-def test_rule_4_light_parts_and_warm_keys_do_not_raise_what_two_cold_cores_get():
-    """Responses from cached keys are quicker than the work that the allowance is based on."""
-    light = [60.0] * 20  # two answers in five are quick
+def test_rule_4_cheap_requests_do_not_raise_the_allowance_of_a_cold_endpoint():
+    """Responses for cached keys take less work than the allowance is based on."""
+    cheap_latencies = [60.0] * 20  # two responses in five are quick
     for routers in (1, 20):
-        sent = cold_burst(routers, light=light)
+        sent = overload_cold_endpoint(routers, cheap_latencies=cheap_latencies)
         assert sent, routers
         for t in sent:
-            begun = max(t - 3000.0, 0.0)
-            warmth = 0.2 + 0.8 * (begun + 1500.0) / 10_000.0  # mean of the window
-            slack = 1.2 if routers > 1 else 1.0  # lots fall by chance, which the rule allows for
+            window_start = max(t - 3000.0, 0.0)
+            capacity_share = 0.2 + 0.8 * (window_start + 1500.0) / 10_000.0  # mean over the window
+            # The allowance is rounded at random, which the rule permits.
+            slack = 1.2 if routers > 1 else 1.0
             assert (
-                sum(begun <= other <= t for other in sent)
-                <= slack * 2.0 * warmth * 2 * 3000.0 / 100.0
+                sum(window_start <= other <= t for other in sent)
+                <= slack * 2.0 * capacity_share * 2 * 3000.0 / 100.0
             )
 
 
-def test_rule_5_never_below_the_floor_and_whole_only_if_whole():
-    bench = Bench(settings(PARTIAL, shards=3))
-    query, shard_requests, _ = bench.query(shard_requests=3, weights=[0.5, 0.3, 0.2])
-    bench.end(shard_requests[0], 0)
-    bench.run(1200)
-    assert finals(bench) and not of(routing.Answer, finals(bench))  # 0.5 is under the floor
-    bench = Bench(settings(PARTIAL, shards=3))
-    query, shard_requests, _ = bench.query(shard_requests=3, weights=[0.5, 0.3, 0.2])
-    bench.end(shard_requests[0], 0)
-    bench.end(shard_requests[1], 0)
-    bench.run(1200)
-    assert finals(bench) == [routing.Answer(query, False)]
+def test_rule_5_no_answer_below_the_minimum_coverage_and_complete_only_if_all_is_there():
+    harness = PolicyHarness(settings(PARTIAL, shards=3))
+    query, shard_requests, _ = harness.query(shard_requests=3, weights=[0.5, 0.3, 0.2])
+    harness.end(shard_requests[0], 0)
+    harness.run(1200)
+    # 0.5 is below the minimum coverage.
+    assert final_actions(harness) and not of_type(routing.Answer, final_actions(harness))
+    harness = PolicyHarness(settings(PARTIAL, shards=3))
+    query, shard_requests, _ = harness.query(shard_requests=3, weights=[0.5, 0.3, 0.2])
+    harness.end(shard_requests[0], 0)
+    harness.end(shard_requests[1], 0)
+    harness.run(1200)
+    assert final_actions(harness) == [routing.Answer(query, False)]
 
 
-def test_rule_5_a_second_step_on_a_short_first_one_is_not_whole():
-    cls = routing.QueryClass(
+def test_rule_5_a_second_step_after_a_partial_first_one_is_partial():
+    query_class = routing.QueryClass(
         latency_objective=1000.0,
         deadline=4000.0,
         priority_weight=1.0,
@@ -228,79 +244,79 @@
         partial_weight=0.9,
         follow_up=1,
     )
-    bench = Bench(settings(cls))
-    query, shard_requests, _ = bench.query(shard_requests=2, weights=[0.7, 0.3])
-    bench.end(shard_requests[0], 0)
-    bench.run(1000)
-    if finals(bench) == [routing.Answer(query, False)]:
-        bench.step(routing.ShardRequestArrived(9, 1, 0, 1.0))
-        bench.end(9)
-        assert finals(bench) == [routing.Answer(query, False)] * 2
+    harness = PolicyHarness(settings(query_class))
+    query, shard_requests, _ = harness.query(shard_requests=2, weights=[0.7, 0.3])
+    harness.end(shard_requests[0], 0)
+    harness.run(1000)
+    if final_actions(harness) == [routing.Answer(query, False)]:
+        harness.step(routing.ShardRequestArrived(9, 1, 0, 1.0))
+        harness.end(9)
+        assert final_actions(harness) == [routing.Answer(query, False)] * 2
     else:
-        raise AssertionError(finals(bench))
+        raise AssertionError(final_actions(harness))
 
 
 def test_rule_6_hedges_and_retries_share_one_budget():
-    cfg = settings(budget_floor=2.0, budget_share=0.1, budget_window=1000.0)
-    bench = Bench(cfg, endpoints=range(1, 9))
-    taken, extras = [], []
+    policy_settings = settings(budget_floor=2.0, budget_share=0.1, budget_window=1000.0)
+    harness = PolicyHarness(policy_settings, endpoints=range(1, 9))
+    accepted_at, extra_attempts = [], []
     for _ in range(20):
-        _, (shard_request,), _ = bench.query()
-        taken += [bench.now, bench.now]
-        bench.end(shard_request, 0, Outcome.REJECTED)
-        bench.run(20)
-    for sends in bench.attempts.values():
-        extras += [t for t, _ in sends[1:]]
-    assert extras
-    for t in sorted(extras):
-        made = sum(t - 1000 < e <= t for e in extras)
-        assert made <= 2 + 0.1 * sum(t - 1000 < q <= t for q in taken)
-
-
-def test_a_server_set_aside_takes_what_cold_ones_without_a_lot_cannot():
-    """A request that waits for slow start until its objective wastes all others of its query."""
-    bench = Bench(settings(routers=1000, slow_start_window=3000.0), endpoints=(1,))
-    bench.teach(latency=100.0)
-    query, (shard_request,), _ = bench.query()
-    bench.step(routing.QueryCancelled(query))
-    bench.run(200)
-    bench.end(shard_request, outcome=Outcome.CONNECTION_LOST)  # it is set aside
-    cold = tuple(endpoint_entry(endpoint, started_at=bench.now) for endpoint in (2, 3, 4))
-    bench.step(routing.EndpointListUpdate(routing.EndpointListKind.DELTA, cold))
-    assert bench.now < bench.router.endpoints[1].ejected_until
+        _, (shard_request,), _ = harness.query()
+        accepted_at += [harness.now, harness.now]
+        harness.end(shard_request, 0, Outcome.REJECTED)
+        harness.run(20)
+    for sends in harness.attempts.values():
+        extra_attempts += [t for t, _ in sends[1:]]
+    assert extra_attempts
+    for t in sorted(extra_attempts):
+        extra_in_window = sum(t - 1000 < e <= t for e in extra_attempts)
+        assert extra_in_window <= 2 + 0.1 * sum(t - 1000 < q <= t for q in accepted_at)
+
+
+def test_an_ejected_endpoint_is_used_if_cold_ones_have_no_allowance():
+    """A shard request that waits for slow start until the objective wastes the other ones."""
+    harness = PolicyHarness(settings(routers=1000, slow_start_window=3000.0), endpoints=(1,))
+    harness.run_traffic(latency=100.0)
+    query, (shard_request,), _ = harness.query()
+    harness.step(routing.QueryCancelled(query))
+    harness.run(200)
+    harness.end(shard_request, outcome=Outcome.CONNECTION_LOST)  # ejects the endpoint
+    cold = tuple(endpoint_entry(endpoint, started_at=harness.now) for endpoint in (2, 3, 4))
+    harness.step(routing.EndpointListUpdate(routing.EndpointListKind.DELTA, cold))
+    assert harness.now < harness.policy.endpoints[1].ejected_until
     for endpoint in (2, 3, 4):
-        bench.router.endpoints[endpoint].slow_start_draw_until = (
-            bench.now + 3000.0
-        )  # lots drawn, and lost
-    _, (shard_request,), _ = bench.query()
-    assert [endpoint for _, endpoint in bench.attempts.get(shard_request, [])] == [1]
-
-
-def test_rule_2_a_keyed_repeat_is_told_until_when_it_may_leave():
-    """Otherwise it may be written late, once a connection is up and its window has ended."""
-    bench = Bench(settings(KEYED))
-    _, (shard_request,), actions = bench.query(remaining=8000.0)
-    assert [send.write_timeout for send in of(routing.Send, actions)] == [
-        0.0
-    ]  # the first one opens the window
-    bench.run(300)
-    repeats = of(routing.Send, bench.end(shard_request, 0, Outcome.CONNECTION_LOST))
-    assert [send.write_timeout for send in repeats] == [600.0 - 300.0 - 2 * bench.tick]
-    for cls in (
-        UNSAFE,
+        # No allowance drawn.
+        harness.policy.endpoints[endpoint].slow_start_draw_until = harness.now + 3000.0
+    _, (shard_request,), _ = harness.query()
+    assert [endpoint for _, endpoint in harness.attempts.get(shard_request, [])] == [1]
+
+
+def test_rule_2_a_retry_with_key_has_a_write_timeout():
+    """Otherwise it could be written after a slow connect, when its window has ended."""
+    harness = PolicyHarness(settings(WITH_KEY))
+    _, (shard_request,), actions = harness.query(remaining=8000.0)
+    # The first attempt starts the window.
+    assert [send.write_timeout for send in of_type(routing.Send, actions)] == [0.0]
+    harness.run(300)
+    retries = of_type(routing.Send, harness.end(shard_request, 0, Outcome.CONNECTION_LOST))
+    assert [send.write_timeout for send in retries] == [600.0 - 300.0 - 2 * harness.tick]
+    for query_class in (
+        NOT_IDEMPOTENT,
         routing.QueryClass(latency_objective=1000.0, deadline=4000.0, priority_weight=1.0),
     ):
-        bench = Bench(settings(cls))
-        _, (shard_request,), _ = bench.query()
-        [repeat] = of(routing.Send, bench.end(shard_request, 0, Outcome.CONNECT_FAILED))
-        assert repeat.write_timeout == 0.0
-
-
-def test_rule_1_a_server_is_told_no_longer_wait_than_the_client_has_left():
-    """Where late answers earn nothing, the wait lasted to the aim, past a deadline before it."""
-    look = routing.QueryClass(latency_objective=1000.0, deadline=4000.0, priority_weight=1.0)
-    bench = Bench(settings(look))
-    bench.teach()
-    _, _, actions = bench.query(remaining=100.0)
-    [send] = of(routing.Send, actions)
+        harness = PolicyHarness(settings(query_class))
+        _, (shard_request,), _ = harness.query()
+        [retry] = of_type(routing.Send, harness.end(shard_request, 0, Outcome.CONNECT_FAILED))
+        assert retry.write_timeout == 0.0
+
+
+def test_rule_1_the_timeout_of_an_attempt_never_exceeds_the_client_deadline():
+    """Where late answers have no weight, the timeout lasted to the objective even if the deadline
+    was earlier.
+    """
+    interactive = routing.QueryClass(latency_objective=1000.0, deadline=4000.0, priority_weight=1.0)
+    harness = PolicyHarness(settings(interactive))
+    harness.run_traffic()
+    _, _, actions = harness.query(remaining=100.0)
+    [send] = of_type(routing.Send, actions)
     assert send.timeout <= 100.0
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -1,187 +1,203 @@
-"""How old data nodes are held to be, with this router's clock and the nodes' clock driven apart."""
+"""The computed ages of data nodes when this router's clock and the nodes' clock differ."""
 
 import pytest
 
 from tansycrank.routing.start_times import StartTimes
 
-WARM_UP = 10_000.0  # ms
+SLOW_START_DURATION = 10_000.0  # ms
 HOUR = 3_600_000.0
-UNIX = 1_700_000_000_000.0  # ms: the nodes' clock when the router's monotonic clock reads 0
+UNIX_OFFSET = 1_700_000_000_000.0  # ms; the nodes' clock when the router's monotonic clock is 0
 
 
-class World:
-    """True time, the nodes' clock `apart` from the one that a router might guess, and what it
-    believes.
-    """
+class StartTimesHarness:
+    """Monotonic time, the starts of nodes on a clock with a further offset, and `StartTimes`."""
 
-    def __init__(self, apart=0.0, began=50_000.0):
-        self.now, self.apart = began, apart
-        self.starts = StartTimes()
-        self.born = {}  # by node: ms of true time of its last start
+    def __init__(self, clock_offset=0.0, start_at=50_000.0):
+        self.now, self.clock_offset = start_at, clock_offset
+        self.start_times = StartTimes()
+        self.started_at = {}  # by node: ms of monotonic time of its last start, None for long ago
 
     def start(self, node):
-        self.born[node] = self.now
-
-    def told(self, node):
-        return UNIX + self.apart + self.born[node] if self.born[node] is not None else 0.0
-
-    def list(self, *nodes, cached=False):
-        found = self.starts.update({node: self.told(node) for node in nodes}, self.now, cached)
+        self.started_at[node] = self.now
+
+    def reported_start(self, node):
+        return (
+            UNIX_OFFSET + self.clock_offset + self.started_at[node]
+            if self.started_at[node] is not None
+            else 0.0
+        )
+
+    def report(self, *nodes, cached=False):
+        found = self.start_times.update(
+            {node: self.reported_start(node) for node in nodes}, self.now, cached
+        )
         return {
             node: self.now - start.started_at if start.started_at else float("inf")
             for node, start in found.items()
         }
 
     def age(self, node):
-        return self.now - self.born[node]
+        return self.now - self.started_at[node]
 
 
-APART = [0.0, HOUR, -HOUR, 7_000.0, -7_000.0]
+OFFSETS = [0.0, HOUR, -HOUR, 7_000.0, -7_000.0]
 
 
-@pytest.mark.parametrize("apart", APART)
-def test_a_node_first_seen_in_a_change_is_as_young_as_it_is(apart):
-    world = World(apart)
-    world.born["old"] = None
-    world.list("old")
-    world.now += HOUR
-    world.starts.confirm_unchanged(world.now)
-    world.start("new")
-    world.now += 300.0
-    assert world.list("new")["new"] <= world.age("new")
+@pytest.mark.parametrize("clock_offset", OFFSETS)
+def test_a_node_first_seen_in_a_delta_is_not_older_than_it_is(clock_offset):
+    harness = StartTimesHarness(clock_offset)
+    harness.started_at["old"] = None
+    harness.report("old")
+    harness.now += HOUR
+    harness.start_times.confirm_unchanged(harness.now)
+    harness.start("new")
+    harness.now += 300.0
+    assert harness.report("new")["new"] <= harness.age("new")
 
 
-@pytest.mark.parametrize("apart", APART)
-def test_in_a_first_list_none_is_held_to_be_older_than_it_is(apart):
-    world = World(apart)
+@pytest.mark.parametrize("clock_offset", OFFSETS)
+def test_in_a_first_list_no_node_is_older_than_it_is(clock_offset):
+    harness = StartTimesHarness(clock_offset)
     for node in range(8):
-        world.start(node)
-        world.now += 3_000.0
-    ages = world.list(*range(8))
-    assert all(ages[node] <= world.age(node) for node in range(8))
-    assert ages[0] - ages[6] == pytest.approx(
-        world.age(0) - world.age(6)
-    )  # their differences are known
-
-
-@pytest.mark.parametrize("apart", APART)
-def test_a_warm_node_is_cold_for_one_warm_up_time_at_most(apart):
-    world = World(apart)
-    world.start("warm")
-    world.now += 100 * HOUR
-    world.list("warm")
-    world.now += WARM_UP
-    assert world.list("warm")["warm"] >= WARM_UP
-
-
-@pytest.mark.parametrize("moved", [-HOUR, -1_000.0, 1_000.0, HOUR])
-def test_a_restart_is_a_changed_start_also_where_the_nodes_own_clock_was_stepped(moved):
-    world = World()
-    world.start("node")
-    world.now += HOUR
-    before = world.starts.update({"node": world.told("node")}, world.now)["node"]
-    world.now += 30_000.0
-    world.starts.confirm_unchanged(world.now)
-    world.start("node")
-    after = world.starts.update({"node": world.told("node") + moved}, world.now)["node"]
+        harness.start(node)
+        harness.now += 3_000.0
+    ages = harness.report(*range(8))
+    assert all(ages[node] <= harness.age(node) for node in range(8))
+    # The differences between starts are known.
+    assert ages[0] - ages[6] == pytest.approx(harness.age(0) - harness.age(6))
+
+
+@pytest.mark.parametrize("clock_offset", OFFSETS)
+def test_a_warm_node_is_taken_for_cold_for_at_most_one_slow_start_duration(clock_offset):
+    harness = StartTimesHarness(clock_offset)
+    harness.start("warm")
+    harness.now += 100 * HOUR
+    harness.report("warm")
+    harness.now += SLOW_START_DURATION
+    assert harness.report("warm")["warm"] >= SLOW_START_DURATION
+
+
+@pytest.mark.parametrize("clock_step", [-HOUR, -1_000.0, 1_000.0, HOUR])
+def test_a_changed_start_is_a_restart_even_if_the_clock_of_the_node_was_stepped(clock_step):
+    harness = StartTimesHarness()
+    harness.start("node")
+    harness.now += HOUR
+    before = harness.start_times.update({"node": harness.reported_start("node")}, harness.now)[
+        "node"
+    ]
+    harness.now += 30_000.0
+    harness.start_times.confirm_unchanged(harness.now)
+    harness.start("node")
+    after = harness.start_times.update(
+        {"node": harness.reported_start("node") + clock_step}, harness.now
+    )["node"]
     assert after.incarnation > before.incarnation
-    assert after.started_at == world.now
-
-
-def test_the_nodes_clock_stepped_between_lists_makes_no_known_node_younger_or_older():
-    world = World()
-    world.start("node")
-    world.now += 2_000.0
-    first = world.starts.update({"node": world.told("node")}, world.now)["node"]
-    world.now += 5_000.0
-    world.starts.update({"other": UNIX + world.now + HOUR}, world.now)  # its clock is an hour ahead
-    again = world.starts.update({"node": world.told("node")}, world.now)["node"]
+    assert after.started_at == harness.now
+
+
+def test_a_wrong_clock_of_a_later_node_does_not_change_the_age_of_known_nodes():
+    harness = StartTimesHarness()
+    harness.start("node")
+    harness.now += 2_000.0
+    first = harness.start_times.update({"node": harness.reported_start("node")}, harness.now)[
+        "node"
+    ]
+    harness.now += 5_000.0
+    # Its clock is an hour ahead.
+    harness.start_times.update({"other": UNIX_OFFSET + harness.now + HOUR}, harness.now)
+    again = harness.start_times.update({"node": harness.reported_start("node")}, harness.now)[
+        "node"
+    ]
     assert again == first
 
 
-def test_a_node_whose_clock_is_ahead_makes_no_later_start_look_old():
-    world = World()
-    world.starts.update({"ahead": UNIX + world.now + HOUR}, world.now)
-    world.now += 60_000.0
-    world.starts.confirm_unchanged(world.now)
-    world.start("new")
-    assert world.list("new")["new"] == 0.0
-
-
-def test_what_started_while_discovery_was_away_is_no_older_than_its_last_word():
-    world = World()
-    world.start("a")
-    world.list("a")
-    world.now += 4_000.0
-    world.start("b")  # while nobody tells
-    world.now += 30_000.0
-    assert 0.0 <= world.list("a", "b")["b"] <= world.age("b")
-
-
-def test_a_cached_list_proves_nothing_of_when_its_nodes_were_there():
-    world = World()
-    world.start("a")
-    world.now += HOUR
-    assert world.list("a", cached=True)["a"] == 0.0  # the youngest that is known
-    world.start("b")
-    world.start("c")
-    ages = world.list("a", "b", "c")
+def test_a_node_whose_clock_is_ahead_does_not_make_later_starts_look_old():
+    harness = StartTimesHarness()
+    harness.start_times.update({"ahead": UNIX_OFFSET + harness.now + HOUR}, harness.now)
+    harness.now += 60_000.0
+    harness.start_times.confirm_unchanged(harness.now)
+    harness.start("new")
+    assert harness.report("new")["new"] == 0.0
+
+
+def test_a_node_that_started_during_an_outage_of_discovery_is_not_older_than_its_last_report():
+    harness = StartTimesHarness()
+    harness.start("a")
+    harness.report("a")
+    harness.now += 4_000.0
+    harness.start("b")  # during an outage of discovery
+    harness.now += 30_000.0
+    assert 0.0 <= harness.report("a", "b")["b"] <= harness.age("b")
+
+
+def test_a_cached_list_does_not_show_when_its_nodes_existed():
+    harness = StartTimesHarness()
+    harness.start("a")
+    harness.now += HOUR
+    assert harness.report("a", cached=True)["a"] == 0.0  # the latest known start
+    harness.start("b")
+    harness.start("c")
+    ages = harness.report("a", "b", "c")
     assert ages["a"] == pytest.approx(HOUR)
     assert ages["b"] == ages["c"] == 0.0
 
 
-def test_a_start_that_is_no_longer_told_is_long_ago_and_no_restart():
-    starts = StartTimes()
-    before = starts.update({"node": UNIX}, 1_000.0)["node"]
-    after = starts.update({"node": 0.0}, 2_000.0)["node"]
+def test_a_start_that_is_no_longer_reported_is_long_ago_and_no_restart():
+    start_times = StartTimes()
+    before = start_times.update({"node": UNIX_OFFSET}, 1_000.0)["node"]
+    after = start_times.update({"node": 0.0}, 2_000.0)["node"]
     assert after.incarnation == before.incarnation and after.started_at == 0.0
 
 
-def test_a_forgotten_node_that_returns_is_young():
-    starts = StartTimes()
-    starts.update({"node": UNIX}, 1_000.0)
-    starts.forget(["node"])
-    starts.confirm_unchanged(90_000.0)
-    assert starts.update({"node": UNIX}, 90_500.0)["node"].started_at >= 90_000.0
+def test_a_removed_node_that_returns_is_young():
+    start_times = StartTimes()
+    start_times.update({"node": UNIX_OFFSET}, 1_000.0)
+    start_times.forget(["node"])
+    start_times.confirm_unchanged(90_000.0)
+    assert start_times.update({"node": UNIX_OFFSET}, 90_500.0)["node"].started_at >= 90_000.0
 
 
-@pytest.mark.parametrize("apart", APART)
-def test_a_first_list_is_dated_anew_as_younger_starts_are_told(apart):
-    world = World(apart)
+@pytest.mark.parametrize("clock_offset", OFFSETS)
+def test_the_starts_of_a_first_list_are_corrected_as_later_starts_are_reported(clock_offset):
+    harness = StartTimesHarness(clock_offset)
     for node in ("a", "b", "c"):
-        world.start(node)
-    world.now += 8_000.0
-    assert world.list("a", "b", "c") == {"a": 0.0, "b": 0.0, "c": 0.0}  # as young as they may be
-    world.now += 1_000.0
-    world.start("d")
-    world.start("e")
-    world.now += 200.0
-    ages = world.list("d", "e")
-    assert (
-        ages["a"] == ages["b"] == pytest.approx(9_000.0)
-    )  # of 9,200: too young by the delay of the news
-    assert all(ages[node] <= world.age(node) for node in ages)
-
-
-def test_one_node_whose_clock_is_ahead_dates_no_other_anew():
-    world = World()
+        harness.start(node)
+    harness.now += 8_000.0
+    # The youngest possible ages.
+    assert harness.report("a", "b", "c") == {
+        "a": 0.0,
+        "b": 0.0,
+        "c": 0.0,
+    }
+    harness.now += 1_000.0
+    harness.start("d")
+    harness.start("e")
+    harness.now += 200.0
+    ages = harness.report("d", "e")
+    # Of 9,200: too young by the delay of the report.
+    assert ages["a"] == ages["b"] == pytest.approx(9_000.0)
+    assert all(ages[node] <= harness.age(node) for node in ages)
+
+
+def test_one_node_whose_clock_is_ahead_does_not_correct_other_starts():
+    harness = StartTimesHarness()
     for node in ("a", "b"):
-        world.start(node)
-    world.now += 500.0
-    world.list("a", "b")
-    starts = world.starts.update({"ahead": UNIX + world.now + HOUR}, world.now)
+        harness.start(node)
+    harness.now += 500.0
+    harness.report("a", "b")
+    starts = harness.start_times.update({"ahead": UNIX_OFFSET + harness.now + HOUR}, harness.now)
     assert set(starts) == {"ahead"}
 
 
-def test_a_restart_is_never_dated_back_before_the_last_word_on_the_old_life():
-    world = World()
-    world.start("a")
-    world.list("a")
-    world.now += 60_000.0
-    world.starts.confirm_unchanged(world.now)
-    seen = world.now
-    world.start("a")
-    world.list("a")
-    for ahead in ("x", "y"):  # two nodes whose clocks agree, and are both wrong
-        world.starts.update({ahead: UNIX + world.now + HOUR}, world.now)
-    assert world.now - world.list("a")["a"] >= seen
+def test_a_restart_is_never_corrected_to_before_the_last_report_of_the_previous_incarnation():
+    harness = StartTimesHarness()
+    harness.start("a")
+    harness.report("a")
+    harness.now += 60_000.0
+    harness.start_times.confirm_unchanged(harness.now)
+    reported_at = harness.now
+    harness.start("a")
+    harness.report("a")
+    for ahead in ("x", "y"):  # two wrong clocks that agree
+        harness.start_times.update({ahead: UNIX_OFFSET + harness.now + HOUR}, harness.now)
+    assert harness.now - harness.report("a")["a"] >= reported_at
