--- a/tansycrank/routing/policy.py
+++ b/tansycrank/routing/policy.py
@@ -28,7 +28,7 @@
 from tansycrank.routing.slow_start import SlowStart
 from tansycrank.routing.timer_queue import TimerQueue
 
-STALL_TICKS = 20  # a step that is more ticks late shows that this process was stalled
+STALL_TICKS = 20  # a timer overdue by more ticks means that this process was stalled
 TIMER_TOKEN = 1
 
 
@@ -288,7 +288,7 @@
             self.timers.schedule(due_at, self.hedging.request_token, attempt)
 
     def _on_response_started(self, event: routing.ResponseStarted, now: float) -> None:
-        """Settle a shard request on this attempt: its rows are streamed to the client from now on.
+        """Bind a shard request to this attempt: its rows are streamed to the client from now on.
 
         The client determines how long the rest takes, so the attempt stops counting against the
         endpoint's concurrency window and its end is not recorded as a latency.
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -41,12 +41,8 @@
     attempt by shard request id.
     """
 
-    def __init__(self, policy_settings, endpoints=(1, 2, 3), seed=7, start=100_000.0):
-        self.policy, self.now, self.tick = (
-            RoutingPolicy(policy_settings, seed),
-            start,
-            policy_settings.tick,
-        )
+    def __init__(self, config, endpoints=(1, 2, 3), seed=7, start=100_000.0):
+        self.policy, self.now, self.tick = RoutingPolicy(config, seed), start, config.tick
         self.last_id, self.last_number, self.attempts = 1000, 0, {}
         self.steps = []
         entries = tuple(
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -151,14 +151,11 @@
     harness = PolicyHarness(settings(), endpoints=(1,))
     _, (shard_request,), _ = harness.query()
     policy = harness.policy
-    endpoint, shard_request_state = (
-        policy.endpoints[1],
-        policy.queries.shard_requests[shard_request],
-    )
-    shard_request_state.attempts.clear()
-    assert policy.send_rules.may_send(shard_request_state, endpoint, False, harness.now)
+    endpoint, state = policy.endpoints[1], policy.queries.shard_requests[shard_request]
+    state.attempts.clear()
+    assert policy.send_rules.may_send(state, endpoint, False, harness.now)
     endpoint.status = routing.EndpointStatus.DRAINING
-    assert not policy.send_rules.may_send(shard_request_state, endpoint, False, harness.now)
+    assert not policy.send_rules.may_send(state, endpoint, False, harness.now)
 
 
 def test_rule_4_all_routers_together_stay_within_the_allowance_of_a_cold_endpoint():
@@ -274,7 +271,7 @@
 
 
 def test_an_ejected_endpoint_is_used_if_cold_ones_have_no_allowance():
-    """A shard request that waits for slow start until the objective wastes the other ones."""
+    """Otherwise a shard request waits for slow start until the objective and the query is lost."""
     harness = PolicyHarness(settings(routers=1000, slow_start_window=3000.0), endpoints=(1,))
     harness.run_traffic(latency=100.0)
     query, (shard_request,), _ = harness.query()
