--- a/tansycrank/admission/actions.py
+++ b/tansycrank/admission/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the admission policy asks its controller to carry out. Times are in ms."""
+"""Actions that the admission controller carries out for the admission policy. Times are in ms."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 class RejectionReason(StrEnum):
     """Why a query was rejected; the values are sent to clients (`reason=` in DETAIL)."""
 
-    EXPECTED_TOO_LATE = "line"  # it would be served after its deadline
+    EXPECTED_TOO_LATE = "line"  # it would start after its latest useful start
     DEADLINE_PASSED = "late"  # its latest useful start passed while it was queued
-    QUEUE_FULL = "full"
-    DISPLACED = "pushed"  # its tenant holds most of the full queue
-    ROUTING_REJECTED = "module"
-    TOO_EARLY = "early"  # it came back before its Retry-After had passed
+    QUEUE_FULL = "full"  # the admission queue is full
+    DISPLACED = "pushed"  # displaced from the full queue, of which its tenant holds most
+    ROUTING_REJECTED = "module"  # the routing policy rejected it
+    TOO_EARLY = "early"  # it was retried before its Retry-After had passed
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,10 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Answer the query now with Retry-After `wait`.
+    """Reject the query now with Retry-After `wait`.
 
-    `corrected` tells that the client came back as told and the earlier Retry-After could not be
-    honoured.
+    `corrected` tells that the client returned at its reserved time and that the reservation could
+    not be honoured.
     """
 
     id: int
--- a/tansycrank/admission/admission_queue.py
+++ b/tansycrank/admission/admission_queue.py
@@ -11,7 +11,7 @@
 
 
 class AdmissionQueue:
-    """Queued queries by fair schedule, by latest useful start, and by cost queued per tenant."""
+    """Queued queries, ordered by fair schedule, latest useful start, and queued cost per tenant."""
 
     def __init__(self, max_queries: int, max_bytes: int) -> None:
         self.max_queries, self.max_bytes = max_queries, max_bytes
@@ -20,9 +20,8 @@
         self.bytes = 0
         self.cost = 0.0  # cost of all queued queries
         self._deadlines: list[tuple[float, int]] = []  # heap of (latest useful start, query id)
-        self._backlogs: list[
-            tuple[float, str]
-        ] = []  # heap of (-cost by weight, tenant), may be stale
+        # Heap of (-queued cost by weight, tenant); entries may be stale.
+        self._backlogs: list[tuple[float, str]] = []
 
     def add(self, tenant: Tenant, query: QueuedQuery, tenants: TenantTable) -> None:
         """Queue a query of this tenant."""
@@ -41,13 +40,13 @@
         heapq.heappush(self._deadlines, (query.latest_start, query.id))
 
     def remove(self, tenant: Tenant, query: QueuedQuery) -> None:
-        """Take a query out, not in the order of the schedule."""
+        """Remove a query out of turn, since it is cancelled, expired or displaced."""
         tenant.queue.remove(query)
         self._removed(query)
         self.scheduler.compact()
 
     def take_next(self, tenant: Tenant) -> QueuedQuery:
-        """Take the next query of the tenant that is scheduled first."""
+        """Remove and return the next query of the tenant that is scheduled first."""
         query = tenant.queue.take()
         self.scheduler.serve(query.cost)
         self._removed(query)
@@ -60,14 +59,12 @@
         self.cost = max(self.cost - query.cost, 0.0) if self.queries else 0.0
 
     def park(self, tenant: Tenant) -> None:
-        """Take the tenant that is scheduled first out of the schedule, since it holds its maximum
-        share.
-        """
+        """Take the first scheduled tenant out of the schedule while it holds its maximum share."""
         tenant.is_parked = True
         self.scheduler.park()
 
     def unpark(self, tenant: Tenant) -> None:
-        """Schedule a tenant again."""
+        """Schedule a parked tenant again."""
         if tenant.is_parked:
             tenant.is_parked = False
             if tenant.queue:
@@ -76,16 +73,17 @@
     # --- bounds -------------------------------------------------------------------------
 
     def is_full_for(self, query: QueuedQuery) -> bool:
-        """Whether one more query would pass the bounds."""
+        """Whether this query would exceed the bounds on queries or bytes."""
         is_at_count = self.scheduler.size >= self.max_queries
         return is_at_count or self.bytes + query.size > self.max_bytes
 
     def tenant_to_displace(
         self, tenant: Tenant, query: QueuedQuery, tenants: TenantTable
     ) -> Tenant | None:
-        """Whose newest query gives way to this one: the tenant with most queued cost by weight.
+        """The tenant whose newest query is displaced by this one: that with most queued cost by
+        weight.
 
-        None if that would be the query's own tenant or one with no more than it.
+        None if the query's own tenant would have at least as much.
         """
         largest = self._largest_backlog(tenants)
         own = (tenant.queue.cost + query.cost) / tenant.limits.weight
@@ -94,7 +92,7 @@
         return largest
 
     def _largest_backlog(self, tenants: TenantTable) -> Tenant | None:
-        """The tenant with most queued cost by weight; corrects stale heap entries."""
+        """The tenant with most queued cost by weight; corrects stale heap entries on the way."""
         heap = self._backlogs
         while heap:
             recorded, key = heap[0]
@@ -113,11 +111,11 @@
 
     @property
     def next_deadline(self) -> float | None:
-        """When `pop_expired` may next return a query."""
+        """The earliest time at which `pop_expired` may return a query."""
         return self._deadlines[0][0] if self._deadlines else None
 
     def pop_expired(self, now: float) -> QueuedQuery | None:
-        """A queued query whose latest useful start has passed; the caller removes it."""
+        """A queued query whose latest useful start has passed; the caller has to remove it."""
         while self._deadlines and self._deadlines[0][0] <= now:
             query = self.queries.get(heapq.heappop(self._deadlines)[1])
             if query is not None:
@@ -125,7 +123,7 @@
         return None
 
     def compact(self) -> None:
-        """Drop heap entries of queries that have left the queue, once they outnumber the others."""
+        """Drop heap entries of removed queries once they outnumber those of queued ones."""
         if len(self._deadlines) > 2 * len(self.queries) + HEAP_SLACK:
             self._deadlines = [(one.latest_start, one.id) for one in self.queries.values()]
             heapq.heapify(self._deadlines)
--- a/tansycrank/admission/concurrency_limit.py
+++ b/tansycrank/admission/concurrency_limit.py
@@ -2,9 +2,10 @@
 
 The limit grows while latencies stay near their baseline, and shrinks once queries spend more time
 queued at data nodes than being served, or once the routing policy rejects too many. The baseline of
-a statement is the least mean latency over measuring intervals; the lateness of the reactor's timers
-counts as queueing too. The limit never falls below Little's law at the rate just delivered, so that
-rejections for one dead shard don't throttle the others; a cut that costs throughput is undone.
+a statement is its lowest mean latency over the measuring intervals; the lag of the reactor's timers
+counts as queueing too. The limit never falls below the number of shard requests that Little's law
+gives for the throughput of the last interval, so that rejections for one dead shard do not throttle
+the others. A decrease that costs throughput is reverted.
 """
 
 from __future__ import annotations
@@ -14,25 +15,27 @@
 
 from tansycrank.admission.events import QueryOutcome
 
-INTERVAL_MS = 200.0  # ms of a span at least
-INTERVAL_LATENCIES = 4.0  # and so many times what a query runs: a shorter one sees only the short
-MAX_INTERVAL_MS = 1000.0  # ms of a span at most
-INTERVAL_ANSWERS = 12  # answers that end a span
-# parts, before anything is known; few, to learn how fast queries run; growth doubles it first
+MIN_INTERVAL_MS = 200.0  # minimum length of a measuring interval
+# Minimum length of an interval in mean latencies: in a shorter one only short queries would end.
+INTERVAL_LATENCIES = 4.0
+MAX_INTERVAL_MS = 1000.0  # maximum length of a measuring interval
+INTERVAL_ENDED_QUERIES = 12  # ended queries that an interval needs before its maximum length
+# Initial limit in shard requests. It is low so that uncongested latencies are measured first; it
+# then doubles per interval.
 INITIAL_LIMIT = 8.0
-BASELINE_GROWTH = 1.005  # a least time not met again rises by this much a span that was not full
-LARGE_CUT = 0.8  # of the limit: a cut to less than this is judged by what it did to the rate
-MAX_RATE_LOSS = 0.5  # of a cut that the rate may fall by; past it the cut is taken back
-BASELINE_RAISE = 1.15  # the least times are thought longer by so much where a cut is taken back
-MAX_REJECTED_SHARE = 0.1  # share of refusals by the module past which the limit is too high
-SMOOTHING_ANSWERS = 40  # answers of a class in a span that count as much as all before
-MAX_STATEMENTS = 512  # statements whose pace is remembered
-RATE_SMOOTHING = 0.3  # weight of the newest span in the rate of draining
-MIN_WORK_SHARE = 0.1  # of the time in flight
+BASELINE_GROWTH = 1.005  # growth of a baseline per interval below the limit, if not reached again
+LARGE_DECREASE = 0.8  # a decrease below this share of the limit is verified against throughput
+MAX_RATE_LOSS = 0.5  # a decrease is reverted if throughput falls by more than this share of it
+BASELINE_RAISE = 1.15  # factor on all baselines when a decrease is reverted
+MAX_REJECTED_SHARE = 0.1  # share of rejections by the routing policy that shows overload
+SMOOTHING_ANSWERS = 40  # answers of a statement in one interval that weigh as much as its history
+MAX_STATEMENTS = 512  # statements whose latency is kept; the least recently seen is evicted
+RATE_SMOOTHING = 0.3  # weight of the newest interval in the drain rate
+MIN_WORK_SHARE = 0.1  # minimum share of a query's latency that counts as work
 
 
-class ServiceTimes:
-    """Latencies of one statement, ms: smoothed mean, and baseline."""
+class StatementLatency:
+    """Smoothed mean and baseline of the latency of one statement, in ms."""
 
     __slots__ = ("baseline", "mean")
 
@@ -41,162 +44,177 @@
 
 
 class ConcurrencyLimit:
-    """The limit in shard requests; `rate` is the cost per ms answered at the limit."""
+    """The limit in shard requests; `rate` is the cost per ms that is answered at the limit."""
 
     def __init__(self) -> None:
         self.shard_requests, self.rate = INITIAL_LIMIT, 0.0
-        self.wait = 0.0  # mean ms that a query in flight is queued at data nodes
-        self._service_times: OrderedDict[int, ServiceTimes] = (
-            OrderedDict()
-        )  # of statements, the one last seen at the end
-        self._mean = 0.0  # ms of a query
+        self.node_queueing_time = 0.0  # mean ms that a query in flight is queued at data nodes
+        # By statement, the most recently seen last.
+        self._statement_latencies: OrderedDict[int, StatementLatency] = OrderedDict()
+        self._mean_latency = 0.0  # smoothed, of answered queries, ms
         self._is_doubling, self._is_first_interval = True, True
-        self._unverified_cut: tuple[float, float] | None = (
-            None  # limit and rate before a cut not judged yet
-        )
-        self._stalled = 0.0
-        self._begin(0.0)
+        # (limit, throughput) before a large decrease that has not been verified yet.
+        self._unverified_decrease: tuple[float, float] | None = None
+        self._stall_ms = 0.0
+        self._start_interval(0.0)
 
     def drain_rate(self, mean_service_time: float) -> float:
-        """Cost per ms that is completed at the limit; infinite before anything is known."""
+        """Cost per ms that is completed at the limit; infinite before the first measurement."""
         if self.rate > 0:
             return self.rate
         return self.shard_requests / mean_service_time if mean_service_time > 0 else math.inf
 
     def work_time(self, latency: float) -> float:
-        """The part of a query's ms in flight that its data nodes worked for it."""
-        return max(latency - self.wait, MIN_WORK_SHARE * latency)
+        """The part of a latency, in ms, that is not queueing at data nodes."""
+        return max(latency - self.node_queueing_time, MIN_WORK_SHARE * latency)
 
-    def _begin(self, now: float) -> None:
-        self._from = now
+    def _start_interval(self, now: float) -> None:
+        self._interval_start = now
         self._answered_count = self._rejected_count = self._ended_count = self._full_count = (
-            self._done_parts
+            self._answered_shard_requests
         ) = 0
-        self._charge = self._waited = 0.0
-        self._times: dict[int, list[float]] = {}
+        self._answered_cost = self._waited = 0.0
+        self._latencies: dict[int, list[float]] = {}
         self._timer_lags: list[float] = []
 
-    def ended(
+    def record_query_end(
         self,
         statement: int,
         shard_requests: int,
         cost: float,
         latency: float,
-        kind: str,
+        outcome: str,
         was_full: bool,
     ) -> None:
-        """A query has ended; `was_full`: the limit was reached."""
+        """Count an ended query; `was_full` tells whether the limit was reached at that time."""
         self._ended_count += 1
         self._full_count += was_full
-        if kind == QueryOutcome.ANSWERED:
+        if outcome == QueryOutcome.ANSWERED:
             self._answered_count += 1
-            self._done_parts += shard_requests
-            self._charge += cost
-            self._times.setdefault(statement, []).append(latency)
-            self._mean += (latency - self._mean) / SMOOTHING_ANSWERS if self._mean > 0 else latency
-        elif kind == QueryOutcome.REJECTED:
+            self._answered_shard_requests += shard_requests
+            self._answered_cost += cost
+            self._latencies.setdefault(statement, []).append(latency)
+            self._mean_latency += (
+                (latency - self._mean_latency) / SMOOTHING_ANSWERS
+                if self._mean_latency > 0
+                else latency
+            )
+        elif outcome == QueryOutcome.REJECTED:
             self._rejected_count += 1
 
-    def record_timer_lag(self, late: float) -> None:
-        """A wake-up came so late, in ms. A long stall is no sign of the nodes' pace: that span is
-        dropped.
+    def record_timer_lag(self, lag: float) -> None:
+        """Record the lag of a timer, in ms.
+
+        A lag above `MIN_INTERVAL_MS` is a stall of the event loop, which says nothing about the
+        data nodes; that interval is discarded.
         """
-        self._timer_lags.append(late)
-        if late > INTERVAL_MS:
-            self._stalled = late
+        self._timer_lags.append(lag)
+        if lag > MIN_INTERVAL_MS:
+            self._stall_ms = lag
 
     def end_interval(self, now: float) -> bool:
-        """End the span where it is time; tells whether something was learnt."""
-        age = now - self._from
+        """End the measuring interval if it is complete; returns whether any query ended in it."""
+        age = now - self._interval_start
         if age < MAX_INTERVAL_MS and (
-            age < INTERVAL_MS
-            or age < INTERVAL_LATENCIES * self._mean
-            or self._ended_count < INTERVAL_ANSWERS
+            age < MIN_INTERVAL_MS
+            or age < INTERVAL_LATENCIES * self._mean_latency
+            or self._ended_count < INTERVAL_ENDED_QUERIES
         ):
             return False
         has_data = self._ended_count > 0
-        if has_data and not self._stalled:
+        if has_data and not self._stall_ms:
             self._adjust(age)
-        self._stalled = 0.0
-        self._begin(now)
+        self._stall_ms = 0.0
+        self._start_interval(now)
         return has_data
 
     def _adjust(self, age: float) -> None:
         was_full = self._full_count * 2 > self._ended_count
-        rate = self._charge / age
+        rate = self._answered_cost / age
         if was_full:
             self.rate = rate if self.rate <= 0 else self.rate + RATE_SMOOTHING * (rate - self.rate)
         else:
             self.rate = max(self.rate, rate)
-        if self._is_first_interval:  # what has ended by now is what was short
+        if self._is_first_interval:  # only the shorter queries have ended in it
             self._is_first_interval = False
             return
         slowdown = self._slowdown(was_full)
-        if self._unverified_cut is not None and was_full:
-            before, service_times = self._unverified_cut
-            self._unverified_cut = None
-            if rate < service_times * (
-                1.0 - MAX_RATE_LOSS * (1.0 - self.shard_requests / before)
-            ):  # what was cut was no waiting
-                self.shard_requests = before
+        if self._unverified_decrease is not None and was_full:
+            limit_before, rate_before = self._unverified_decrease
+            self._unverified_decrease = None
+            # The decrease reduced throughput, so what it removed was not queueing.
+            if rate < rate_before * (
+                1.0 - MAX_RATE_LOSS * (1.0 - self.shard_requests / limit_before)
+            ):
+                self.shard_requests = limit_before
                 self._raise_baselines(BASELINE_RAISE)
                 return
         is_overloaded = self._rejected_count > MAX_REJECTED_SHARE * self._ended_count
         if is_overloaded or (was_full and slowdown > 2.0):
-            if (
-                self._is_doubling
-            ):  # what ends while the number inside doubles a span is the shorter, by this much
+            # While the queries in flight double per interval, shorter queries are overrepresented
+            # among the ended ones, by this factor.
+            if self._is_doubling:
                 self._is_doubling = False
                 self._raise_baselines(1 + math.log(2) / INTERVAL_LATENCIES)
-            service_times, before = rate, self.shard_requests
-            baseline = self._done_parts / age * self._mean_baseline()
-            # twice the work is as much waiting as work; what is cut is cut by at most half a span
-            goal = self.shard_requests * min(
+            rate_before, limit_before = rate, self.shard_requests
+            little_bound = self._answered_shard_requests / age * self._mean_baseline()
+            # At a slowdown of 2, queries are queued as long as they are served. A decrease is at
+            # most by half per interval.
+            target = self.shard_requests * min(
                 max(2.0 / slowdown, 0.5) if was_full else 1.0, 0.85 if is_overloaded else 1.0
             )
-            self.shard_requests = max(goal, baseline, 1.0)
-            if self.shard_requests < LARGE_CUT * before:
-                self._unverified_cut = before, service_times
+            self.shard_requests = max(target, little_bound, 1.0)
+            if self.shard_requests < LARGE_DECREASE * limit_before:
+                self._unverified_decrease = limit_before, rate_before
         elif was_full:
             self.shard_requests += (
                 self.shard_requests if self._is_doubling else self.shard_requests**0.5
             )
 
     def _mean_baseline(self) -> float:
-        known = sum(len(t) for t in self._times.values())
+        answered = sum(len(t) for t in self._latencies.values())
         return (
-            sum(self._service_times[s].baseline * len(t) for s, t in self._times.items()) / known
-            if known
+            sum(self._statement_latencies[s].baseline * len(t) for s, t in self._latencies.items())
+            / answered
+            if answered
             else 0.0
         )
 
-    def _raise_baselines(self, by: float) -> None:
-        for service_times in self._service_times.values():
-            service_times.baseline *= by
+    def _raise_baselines(self, factor: float) -> None:
+        for statement_latency in self._statement_latencies.values():
+            statement_latency.baseline *= factor
 
     def _slowdown(self, was_full: bool) -> float:
-        """Time of queries beside the least of their statements; 1 is as fast as ever."""
+        """Ratio of the interval's latencies and timer lag to their baselines; 1 is no slowdown."""
         latency = baseline = 0.0
-        for statement, times in self._times.items():
-            service_times = self._service_times.setdefault(statement, ServiceTimes())
-            self._service_times.move_to_end(statement)
-            now = sum(times) / len(times)
-            service_times.mean += (
-                (now - service_times.mean) * len(times) / (len(times) + SMOOTHING_ANSWERS)
-                if service_times.mean > 0
-                else now
+        for statement, times in self._latencies.items():
+            statement_latency = self._statement_latencies.setdefault(statement, StatementLatency())
+            self._statement_latencies.move_to_end(statement)
+            interval_mean = sum(times) / len(times)
+            statement_latency.mean += (
+                (interval_mean - statement_latency.mean)
+                * len(times)
+                / (len(times) + SMOOTHING_ANSWERS)
+                if statement_latency.mean > 0
+                else interval_mean
             )
-            known = service_times.baseline if was_full else service_times.baseline * BASELINE_GROWTH
-            service_times.baseline = (
-                min(service_times.mean, known) if known > 0 else service_times.mean
+            known = (
+                statement_latency.baseline
+                if was_full
+                else statement_latency.baseline * BASELINE_GROWTH
             )
-            latency += service_times.mean * len(times)
-            baseline += service_times.baseline * len(times)
-        while len(self._service_times) > max(MAX_STATEMENTS, len(self._times)):
-            self._service_times.popitem(last=False)
+            statement_latency.baseline = (
+                min(statement_latency.mean, known) if known > 0 else statement_latency.mean
+            )
+            latency += statement_latency.mean * len(times)
+            baseline += statement_latency.baseline * len(times)
+        while len(self._statement_latencies) > max(MAX_STATEMENTS, len(self._latencies)):
+            self._statement_latencies.popitem(last=False)
         if baseline <= 0:
             return 1.0
-        self.wait = (latency - baseline) / sum(len(t) for t in self._times.values())
+        self.node_queueing_time = (latency - baseline) / sum(
+            len(t) for t in self._latencies.values()
+        )
         lags = sorted(self._timer_lags)
-        late = lags[len(lags) // 2] if lags else 0.0
-        return latency / baseline + late * sum(len(t) for t in self._times.values()) / baseline
+        lag = lags[len(lags) // 2] if lags else 0.0
+        return latency / baseline + lag * sum(len(t) for t in self._latencies.values()) / baseline
--- a/tansycrank/admission/controller.py
+++ b/tansycrank/admission/controller.py
@@ -1,7 +1,7 @@
 """Carries out the actions of the admission policy: holds, starts and rejects queries.
 
 Queries enter through `submit`. Rejections by the routing policy pass back through the admission
-policy, so that the Retry-After that a client gets is that of admission control.
+policy, so that clients get the Retry-After of admission control.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
     retry_after,
 )
 
-TICK_INTERVAL_SECONDS = 0.05  # while any query is open
-MAX_LOGGED_TENANTS = 1000  # between two log lines
+TICK_INTERVAL_SECONDS = 0.05  # interval of the periodic tick while any query is open
+MAX_LOGGED_TENANTS = 1000  # tenants counted between two log lines
 REASON_TEXTS = {
     "line": "its turn would come too late",
     "late": "its turn did not come in time",
@@ -59,12 +59,12 @@
 class AdmissionEntry:
     """A query that is queued or in flight.
 
-    `start(remaining ms, done)` runs it and returns the handle that cancels it.
+    `start(remaining, done)` runs it with the remaining ms and returns the handle to cancel it.
     """
 
     id: int
     caller: CallerIdentity
-    deadline: float  # ms of the clock
+    deadline: float  # ms of the reactor's clock
     start: Callable[[float, Callable[[Any], None]], Any]
     done: Callable[[Any], None]
     is_admitted: bool = False
@@ -79,19 +79,18 @@
     def __init__(self, reactor, policy: Policy | None, log=None) -> None:
         self.reactor, self.policy, self.log = reactor, policy, log
         self.entries: dict[int, AdmissionEntry] = {}
-        self.rejected_by_tenant: dict[
-            str, dict[str, int]
-        ] = {}  # tenant: reasons, since the last line of the log
+        # Rejections by tenant and reason since the last log line.
+        self.rejected_by_tenant: dict[str, dict[str, int]] = {}
         self._ids = 0
         self._tick_call = self._timer = None
         self._tick_due_ms = self._logged_at_ms = 0.0
 
     @property
     def now(self) -> float:
-        """Milliseconds of the reactor's clock."""
+        """The reactor's clock in ms."""
         return self.reactor.seconds() * 1000
 
-    # --- for the service ------------------------------------------------------------------
+    # --- queries --------------------------------------------------------------------------
 
     def submit(
         self,
@@ -107,7 +106,7 @@
         is_retry: bool = False,
         session: int = 0,
     ) -> AdmissionEntry:
-        """Admit, queue or reject a query; `done` gets its one answer, perhaps at once."""
+        """Admit, queue or reject a query; `done` is called once with its outcome, maybe at once."""
         self._ids += 1
         now = self.now
         entry = self.entries[self._ids] = AdmissionEntry(
@@ -138,14 +137,14 @@
         is_retry: bool,
         session: int = 0,
     ) -> PgError | None:
-        """Reject a query by its text alone, if it would be rejected even with one shard request.
+        """Reject a query before planning, if it would be rejected even with one shard request.
 
         None if it has to be planned first.
         """
-        number, who = self._ids + 1, (caller.tenant, caller.client)
+        number, tenant_and_client = self._ids + 1, (caller.tenant, caller.client)
         event = QueryArrived(
             number,
-            *who,
+            *tenant_and_client,
             query_class,
             1,
             remaining,
@@ -161,12 +160,12 @@
         self._ids += 1
         errors: list[PgError] = []
         entry = AdmissionEntry(
-            event.id, caller, self.now + remaining, lambda left, done: None, errors.append
+            event.id, caller, self.now + remaining, lambda remaining, done: None, errors.append
         )
         self.entries[entry.id] = entry
         self._step(event)
         self._schedule_tick()
-        if not errors:  # it was queued or admitted after all, and has to be planned
+        if not errors:  # it was queued or admitted instead, and has to be planned
             self._step(QueryCancelled(entry.id))
             entry.is_ended = True
             self.entries.pop(entry.id, None)
@@ -181,7 +180,7 @@
         reasons[reason] = reasons.get(reason, 0) + 1
 
     def cancel(self, entry: AdmissionEntry, cancel_run: Callable[[Any], None]) -> None:
-        """The client cancelled or disconnected: dequeue the query, or cancel its run."""
+        """Remove a query from the queue, or cancel it if it runs, for a client that gave it up."""
         if entry.is_ended:
             return
         if entry.is_admitted:
@@ -191,7 +190,7 @@
         self._finish(entry, cancelled())
 
     def change_limits(self, tenant: str, limits: Limits) -> None:
-        """Change the limits of a tenant."""
+        """Change the limits of a tenant until the router restarts."""
         if self.policy is not None:
             self._step(LimitsChanged(tenant, limits))
         if self.log:
@@ -205,7 +204,7 @@
             )
 
     def close(self, problem: PgError) -> None:
-        """The router shuts down: answer all queued queries with this error."""
+        """Answer all queued queries with this error, since the router shuts down."""
         for call in (self._tick_call, self._timer):
             if call is not None and call.active():
                 call.cancel()
@@ -214,7 +213,7 @@
             if not entry.is_admitted:
                 self._finish(entry, problem)
 
-    # --- carrying out -----------------------------------------------------------------------
+    # --- actions ----------------------------------------------------------------------------
 
     def _step(self, event: object) -> None:
         now = self.now
@@ -230,8 +229,8 @@
 
     def _admit(self, entry: AdmissionEntry, now: float) -> None:
         entry.is_admitted, entry.admitted_at = True, now
-        left = max(entry.deadline - now, 1.0)
-        entry.handle = entry.start(left, lambda outcome: self._ended(entry, outcome))
+        remaining = max(entry.deadline - now, 1.0)
+        entry.handle = entry.start(remaining, lambda outcome: self._ended(entry, outcome))
 
     def _reject(self, number: int, wait: float, reason: str, corrected: bool) -> None:
         entry = self.entries.get(number)
@@ -255,7 +254,7 @@
             if kind == "refused":
                 retry_after_ms = retry_after(outcome.detail)
         self._step(QueryEnded(entry.id, kind, self.now - entry.admitted_at, retry_after_ms))
-        self._finish(entry, outcome)  # where it was refused it has been answered by now
+        self._finish(entry, outcome)  # a rejected query has been answered by the step
 
     def _finish(self, entry: AdmissionEntry, outcome: Any) -> None:
         if not entry.is_ended:
@@ -263,7 +262,7 @@
             self.entries.pop(entry.id, None)
             entry.done(outcome)
 
-    # --- time ---------------------------------------------------------------------------------
+    # --- timers -------------------------------------------------------------------------------
 
     def _set_timer(self, at: float) -> None:
         if self._timer is not None and self._timer.active():
--- a/tansycrank/admission/events.py
+++ b/tansycrank/admission/events.py
@@ -9,7 +9,7 @@
 
 
 class QueryOutcome(StrEnum):
-    """How an admitted query ended. REJECTED: the routing policy rejected it before it ran."""
+    """How an admitted query ended. REJECTED: by the routing policy, before it was executed."""
 
     ANSWERED = "answered"
     REJECTED = "refused"
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryCancelled:
-    """The client of a queued query disconnected or cancelled it."""
+    """The client of a queued query cancelled it or disconnected."""
 
     id: int
 
--- a/tansycrank/admission/fair_queue.py
+++ b/tansycrank/admission/fair_queue.py
@@ -1,10 +1,10 @@
 """Hierarchical start-time fair queueing: tenants, their clients, and classes of a client.
 
 Each scheduler keeps a virtual time, the start tag of what it served last. A child that becomes busy
-starts at that time, or earlier by its burst; serving it moves its tag by cost / weight. So over any
-span two busy children are served by weight, within the cost of one query each, and an idle child
-earns no credit but its burst. Virtual time also advances by what is served, as in WF2Q+, so that a
-stream of new children can't starve those that wait. Sources: P. Goyal, H. Vin, H. Cheng,
+starts at that time, or earlier by its burst; serving it advances its tag by cost / weight. So two
+busy children are served by weight in any interval, within the cost of one query each, and an idle
+child earns no credit but its burst. Virtual time also advances by the cost served, as in WF2Q+, so
+that a stream of new children cannot starve queued ones. Sources: P. Goyal, H. Vin, H. Cheng,
 "Start-time Fair Queueing", 1996; J. Bennett, H. Zhang, "Hierarchical Packet Fair Queueing
 Algorithms", 1996.
 """
@@ -15,16 +15,15 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-WEIGHT_MEMORY_SERVICES = 256  # services over which children that became busy are remembered
-SPARE_EMPTY_CHILDREN = (
-    64  # empty children a level may hold beside the busy ones before it is tidied
-)
+WEIGHT_MEMORY_SERVICES = 256  # served queries over which `recent_weight` decays
+SPARE_EMPTY_CHILDREN = 64  # empty children that a scheduler may hold before it is compacted
 
 
 @dataclass(slots=True, eq=False)
 class QueuedQuery:
-    """A query at the door. Times are ms; `charge` is in parts of average work; `size` is bytes
-    held.
+    """A query that is queued or in flight.
+
+    Times are in ms, `cost` in shard requests of mean service time, `size` in bytes.
     """
 
     id: int
@@ -35,11 +34,11 @@
     shard_requests: int
     cost: float
     size: int
-    latest_start: float  # the last moment at which its turn would still be of use
-    fingerprint: int = 0  # what tells this query from others of its client
+    latest_start: float  # after it, an answer would come too late to be of use
+    fingerprint: int = 0  # identifies it among the queries of its client
     session: int = 0
-    is_returning: bool = False  # it was told to come back, and did
-    is_light: bool = False  # it was let past the line
+    is_returning: bool = False  # it returned at its reserved time
+    is_light: bool = False  # it was admitted past the queue for its low cost
     admitted_at: float = 0.0
 
 
@@ -75,16 +74,16 @@
         self.items[query.id] = query
 
     def take(self) -> QueuedQuery:
-        """Remove the first query; the queue is not empty."""
+        """Remove and return the first query; the queue must not be empty."""
         return self.items.popitem(last=False)[1]
 
     def last(self) -> QueuedQuery:
-        """The newest query."""
+        """The newest query; the queue must not be empty."""
         return self.items[next(reversed(self.items))]
 
 
 class FairScheduler:
-    """Children served by weight: queues or schedulers, which are kept while they are busy."""
+    """Serves its children, queues or schedulers, by weight; only busy children are kept."""
 
     def __init__(self, weight: float = 1.0) -> None:
         self.weight, self.start_tag, self.finish_tag, self.burst, self.cost_correction = (
@@ -94,19 +93,19 @@
             0.0,
             0.0,
         )
-        self.is_scheduled = False  # in its parent's heap
+        self.is_scheduled = False  # it is in the heap of its parent
         self.virtual_time = 0.0
-        self.recent_weight = 1.0  # weight of children that became busy of late
+        self.recent_weight = 1.0  # weight of children that became busy recently
         self.children: dict[object, FairScheduler | FifoQueue] = {}
         self._heap: list[tuple[float, int, object, FairScheduler | FifoQueue]] = []
-        self._count = 0
+        self._sequence = 0
         self.size = 0  # queries in all queues below
 
     def __bool__(self) -> bool:
         return self.size > 0
 
     def schedule(self, key: object, child: FairScheduler | FifoQueue) -> None:
-        """Schedule a child that is busy by its start tag."""
+        """Schedule a busy child by its start tag."""
         self.children[key] = child
         if not child.is_scheduled:
             child.start_tag = self._resumed_start_tag(child)
@@ -114,39 +113,39 @@
             self._push(key, child)
 
     def _resumed_start_tag(self, child: FairScheduler | FifoQueue) -> float:
-        """The start tag of a child that was idle, after correction of estimated costs."""
+        """The start tag of a child that was idle, after correction by its actual costs."""
         child.finish_tag += child.cost_correction
         child.cost_correction = 0.0
         return max(self.virtual_time - child.burst, child.finish_tag)
 
     def serve_unqueued(self, child: FairScheduler | FifoQueue, cost: float) -> None:
-        """Account for a query of this child that is served without being queued."""
+        """Charge a child for a query that is served without being queued."""
         start_tag = self._resumed_start_tag(child)
         child.finish_tag = start_tag + cost / child.weight
         self.virtual_time = max(self.virtual_time, start_tag)
 
     def _push(self, key: object, child: FairScheduler | FifoQueue) -> None:
         child.is_scheduled = True
-        self._count += 1
-        heapq.heappush(self._heap, (child.start_tag, self._count, key, child))
+        self._sequence += 1
+        heapq.heappush(self._heap, (child.start_tag, self._sequence, key, child))
 
     def first(self) -> tuple[object, FairScheduler | FifoQueue] | None:
-        """The child that is served next, None if all are empty; empty ones are dropped."""
+        """The child to serve next, None if all are empty; drops empty children on the way."""
         while self._heap:
             _, _, key, child = self._heap[0]
             if child:
                 return key, child
             heapq.heappop(self._heap)
-            self._forget(key, child)
+            self._drop_child(key, child)
         return None
 
-    def _forget(self, key: object, child: FairScheduler | FifoQueue) -> None:
+    def _drop_child(self, key: object, child: FairScheduler | FifoQueue) -> None:
         child.is_scheduled = False
         if self.children.get(key) is child:
             del self.children[key]
 
     def serve(self, cost: float) -> None:
-        """Account for a query of the first child."""
+        """Charge the first child for one query that is taken from it."""
         start_tag, _, key, child = heapq.heappop(self._heap)
         # By start tags alone, a stream of new children would hold virtual time back and starve
         # children with later tags. So it also advances by what is served, but no faster than if all
@@ -164,10 +163,10 @@
             child.start_tag = child.finish_tag
             self._push(key, child)
         else:
-            self._forget(key, child)
+            self._drop_child(key, child)
 
     def park(self) -> None:
-        """Take the first child out without serving it; `schedule` restores its start tag."""
+        """Take the first child out without serving it; `schedule` resumes it at its start tag."""
         _, _, _, child = heapq.heappop(self._heap)
         child.is_scheduled = False
         child.finish_tag = max(child.finish_tag, child.start_tag)
@@ -180,19 +179,19 @@
                 if entry[3]:
                     kept.append(entry)
                 else:
-                    self._forget(entry[2], entry[3])
+                    self._drop_child(entry[2], entry[3])
             heapq.heapify(kept)
             self._heap = kept
 
 
 class TenantQueue(FairScheduler):
-    """Queued queries of one tenant: returning ones first, then fairly by client and class."""
+    """Queued queries of one tenant: returning ones first, then fair by client and query class."""
 
     def __init__(self, weight: float, class_weights: tuple[float, ...]) -> None:
         super().__init__(weight)
         self.class_weights = class_weights
         self.returning = FifoQueue()
-        self.cost = 0.0  # of all queued queries
+        self.cost = 0.0  # cost of all queued queries
         self.returning_cost = 0.0
 
     def add(self, query: QueuedQuery) -> None:
@@ -223,7 +222,7 @@
             )
 
     def take(self) -> QueuedQuery:
-        """Take the next query; the queue is not empty."""
+        """Remove and return the next query; the queue must not be empty."""
         if self.returning:
             query = self.returning.take()
         else:
@@ -245,7 +244,7 @@
         return next(iter(class_queue.items.values())).shard_requests
 
     def remove(self, query: QueuedQuery) -> None:
-        """Remove a query, not in the order of service."""
+        """Remove a query out of turn."""
         if query.is_returning:
             del self.returning.items[query.id]
         else:
--- a/tansycrank/admission/fair_shares.py
+++ b/tansycrank/admission/fair_shares.py
@@ -1,7 +1,7 @@
 """Weighted max-min fair shares of the drain rate: the rate that each tenant can rely on.
 
-Rates are in cost per ms. The fill level is the rate per weight of tenants that want more than they
-get.
+Rates are in cost per ms. The fill level is the rate per unit of weight of tenants whose demand is
+not met (water filling).
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from tansycrank.admission.tenants import DEMAND_MEMORY_MS, Tenant
 
 FORGET_DEMAND_MS = 5 * DEMAND_MEMORY_MS
-ROUNDS = 4  # of the fixed point between the fill level and the rates of limited tenants
-MIN_FREE_SHARE = 0.05  # of the drain rate that is left to tenants without limits
+ITERATIONS = 4  # of the fixed point between the fill level and the rates of limited tenants
+MIN_FREE_SHARE = 0.05  # minimum share of the drain rate for tenants without share limits
 
 
 class FairShares:
@@ -26,7 +26,7 @@
         self._fill_level = math.inf
 
     def initial_rate(self, limits: Limits, drain_rate: float) -> float:
-        """The rate of a tenant that is new, until the next `update`."""
+        """The rate of a new tenant until the next `update`."""
         if drain_rate == math.inf:
             return math.inf
         level = self._fill_level if self._fill_level < math.inf else drain_rate
@@ -35,7 +35,7 @@
         )
 
     def update(self, now: float, tenants: Iterable[Tenant], drain_rate: float) -> None:
-        """Compute the rates of all tenants with recent demand."""
+        """Compute the rates of all tenants that are backlogged or have recent demand."""
         if drain_rate == math.inf:
             return
         plain: list[tuple[float, float, Tenant]] = []  # demand by weight, weight, tenant
@@ -54,12 +54,12 @@
         self._assign(plain, limited, drain_rate)
 
     def _converge(self, plain: list, limited: list, drain_rate: float) -> float:
-        """The fill level that is left by limited tenants, whose rates depend on it in turn."""
+        """The fill level beside limited tenants, whose rates depend on it in turn."""
         demands = [item[0] for item in plain]
         weights = [0.0, *accumulate(item[1] for item in plain)]
         wanted = [0.0, *accumulate(0.0 if d == math.inf else d * w for d, w, _ in plain)]
         level, taken = drain_rate, 0.0
-        for _ in range(ROUNDS):
+        for _ in range(ITERATIONS):
             free = max(drain_rate - taken, MIN_FREE_SHARE * drain_rate)
             level = fill_level(demands, weights, wanted, free)
             taken = 0.0
@@ -81,22 +81,22 @@
 
 
 def _limited_rate(limits: Limits, level: float, drain_rate: float) -> float:
-    least, most = limits.min_share * drain_rate, limits.max_share * drain_rate
-    return min(max(limits.weight * level, least), most) if level < math.inf else most
+    minimum, maximum = limits.min_share * drain_rate, limits.max_share * drain_rate
+    return min(max(limits.weight * level, minimum), maximum) if level < math.inf else maximum
 
 
 def fill_level(
     demands: list[float], weights: list[float], wanted: list[float], capacity: float
 ) -> float:
-    """The level at which demands, capped at weight x level, use up the capacity; else infinite.
+    """The level at which demands, capped at weight x level, use up the capacity.
 
-    `demands` are by weight and sorted; `weights` and `wanted` are prefix sums of weights and
-    demands.
+    Infinite if the capacity meets all demands. `demands` are divided by weight and sorted;
+    `weights` and `wanted` are prefix sums of weights and of demands.
     """
     total_weight = weights[-1]
 
     def used_at(index: int) -> float:
-        """What all tenants use at the level of this demand."""
+        """The rate that all tenants use at the level of this demand."""
         return wanted[index + 1] + demands[index] * (total_weight - weights[index + 1])
 
     if not demands:
--- a/tansycrank/admission/identity.py
+++ b/tansycrank/admission/identity.py
@@ -1,7 +1,7 @@
 """Caller identity: which tenant a session belongs to, and which networks may connect.
 
-The longest network wins, then the order of the file. Callers without a rule share a tenant by
-network, so that a name made up for each query gains nothing.
+The rule with the longest matching network applies, then the first in the settings file. Callers
+without a rule share a tenant per network, so that inventing names gains them nothing.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from tansycrank.admission.settings import Limits
 
 MAX_NAME_LENGTH = 80  # characters of a tenant's name
-PLACEHOLDERS = ("user", "database", "setting", "network")
-MAX_CACHED_CALLERS = 4096  # sessions' answers remembered
+PLACEHOLDERS = ("user", "database", "setting", "network")  # allowed in a tenant name template
+MAX_CACHED_CALLERS = 4096  # the cache of resolved callers is cleared beyond it
 
 
 class NetworkTable:
@@ -28,7 +28,7 @@
         self._lengths: dict[int, list[int]] = {4: [], 6: []}
 
     def add(self, text: str, value: object) -> None:
-        """Add a network in CIDR form or one address. Raises ValueError."""
+        """Add a value for a network in CIDR notation or one address. Raises ValueError."""
         network = read_network(text)
         length = network.prefixlen
         if (network.version, length) not in self._values:
@@ -39,7 +39,7 @@
         self._values[network.version, length].setdefault(network.first, []).append(value)
 
     def groups(self, address: IPAddress) -> Iterable[list[object]]:
-        """Values of each network the address is in, longest first."""
+        """The values of each network that contains the address, the longest prefix first."""
         number, bits = int(address), 32 if address.version == 4 else 128
         for length in self._lengths[address.version]:
             found = self._values[address.version, length].get(
@@ -49,12 +49,12 @@
                 yield found
 
     def longest(self, address: IPAddress) -> list[object]:
-        """Values of the longest network the address is in."""
+        """The values of the network with the longest prefix that contains the address."""
         return next(iter(self.groups(address)), [])
 
 
 def read_network(text: str) -> IPNetwork:
-    """A network or address as operators write it. Raises ValueError with what is allowed."""
+    """Parse a network or an address of the settings. Raises ValueError with the allowed forms."""
     try:
         return IPNetwork(text.strip()).cidr
     except (AddrFormatError, ValueError):
@@ -63,14 +63,14 @@
 
 
 def read_address(text: str) -> IPAddress:
-    """An address of a peer; an IPv4 address in IPv6 clothes is the IPv4 address."""
+    """Parse the address of a peer; an IPv4-mapped IPv6 address becomes the IPv4 address."""
     address = IPAddress(text.partition("%")[0])
     return address.ipv4() if address.version == 6 and address.is_ipv4_mapped() else address
 
 
 @dataclass(frozen=True, slots=True)
 class TenantRule:
-    """A rule of the settings: what must fit, and the tenant's name with {places} to fill in."""
+    """A rule of the settings: what a caller must match, and the template of its tenant's name."""
 
     name: str
     tenant: str
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """A session as the door knows it."""
+    """A client session as admission control sees it."""
 
     address: str
     user: str
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerIdentity:
-    """Who asks: the tenant, the client within it, and the rule's limits."""
+    """The identity of a caller: its tenant, the client within it, and the tenant's limits."""
 
     tenant: str
     client: str
@@ -101,8 +101,9 @@
 
 
 class TenantResolver:
-    """All rules. `prefix4` and `prefix6`: bits of an address that unknown callers share a tenant
-    by.
+    """Resolves callers to tenants by rules, and checks the lists of allowed and denied networks.
+
+    `prefix4` and `prefix6` are the prefix lengths by which callers without a rule share a tenant.
     """
 
     def __init__(
@@ -129,10 +130,10 @@
                 self._networks.add(text, rule)
 
     def may_connect(self, address: str) -> bool:
-        """Whether a peer may have a session: the longest network on either list says; deny wins a
-        tie.
+        """Whether a peer may open a session.
 
-        Who is on neither list may enter unless there is a list of those allowed.
+        The longest matching network of both lists decides, and deny wins a tie. An address on
+        neither list may connect unless there is a list of allowed networks.
         """
         try:
             found = self._access_list.longest(read_address(address))
@@ -141,9 +142,7 @@
         return False not in found if found else not self._has_allow_list
 
     def identify(self, caller: Caller, claimed: str = "") -> CallerIdentity:
-        """The tenant of a session, which sets `tansycrank.tenant` to what it claims. Kept for a
-        while.
-        """
+        """The identity of a session; `claimed` is its setting `tansycrank.tenant`. Cached."""
         key = caller.address, caller.user, caller.database, claimed
         if key not in self._cache:
             if len(self._cache) >= MAX_CACHED_CALLERS:
--- a/tansycrank/admission/in_flight.py
+++ b/tansycrank/admission/in_flight.py
@@ -1,4 +1,4 @@
-"""Admitted queries that have not ended, and which query is admitted without queueing."""
+"""Admitted queries that have not ended, and the rules of admission without queueing."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from tansycrank.admission.fair_queue import QueuedQuery
 from tansycrank.admission.tenants import Tenant
 
-LIGHT_FACTOR = 8.0  # a light query costs so many times less than the mean of all queries here
-LIGHT_SHARE = 0.25  # of the concurrency limit that light queries may hold beyond it
+LIGHT_FACTOR = 8.0  # how much less than the mean of queued and running queries a light one costs
+LIGHT_SHARE = 0.25  # of the concurrency limit that light queries may hold in addition to it
 
 
 class QueriesInFlight:
@@ -16,12 +16,12 @@
 
     def __init__(self) -> None:
         self.queries: dict[int, QueuedQuery] = {}
-        self.shard_requests = 0  # shard requests
+        self.shard_requests = 0  # in flight, of all queries
         self.cost = 0.0
-        self.light_shard_requests = 0  # shard requests of light queries
+        self.light_shard_requests = 0  # those of light queries
 
     def add(self, now: float, tenant: Tenant, query: QueuedQuery) -> None:
-        """A query is admitted."""
+        """Add an admitted query."""
         query.admitted_at = now
         self.cost += query.cost
         self.light_shard_requests += query.shard_requests if query.is_light else 0
@@ -32,7 +32,7 @@
         tenant.served_cost += query.cost
 
     def remove(self, tenant: Tenant, query: QueuedQuery) -> None:
-        """A query has ended."""
+        """Remove a query that has ended."""
         del self.queries[query.id]
         self.shard_requests -= query.shard_requests
         self.cost = max(self.cost - query.cost, 0.0) if self.queries else 0.0
@@ -44,7 +44,7 @@
         return self.shard_requests >= limit.shard_requests
 
     def has_room_for(self, tenant: Tenant, queue: AdmissionQueue, limit: ConcurrencyLimit) -> bool:
-        """Whether a query of this tenant is admitted at once: no queued query is due before it."""
+        """Whether a query of this tenant is admitted at once, as no queued query precedes it."""
         return (
             not self.is_full(limit)
             and not tenant.queue
@@ -53,10 +53,10 @@
         )
 
     def is_light(self, cost: float, queue: AdmissionQueue, limit: ConcurrencyLimit) -> bool:
-        """Whether a query is cheap enough beside the others to be admitted past the queue.
+        """Whether a query is cheap enough, compared with the others, to be admitted past the queue.
 
-        Expensive queries hold the limit for long; without this each cheap query waits for one to
-        end.
+        Without this, each cheap query would be queued until an expensive one ends, since expensive
+        queries occupy the concurrency limit for long.
         """
         count = len(self.queries) + len(queue.queries)
         if not count or self.light_shard_requests >= max(LIGHT_SHARE * limit.shard_requests, 1.0):
--- a/tansycrank/admission/policy.py
+++ b/tansycrank/admission/policy.py
@@ -1,8 +1,8 @@
 """The admission policy of one router: which queries are admitted, queued or rejected.
 
-`step(now, events) -> actions`, without I/O or a clock; times are ms. The policy hands each event to
-the rules: `in_flight` (admission without queueing), `admission_queue` and `fair_queue` (order and
-bounds), `concurrency_limit`, `fair_shares` (rates of tenants), `retry_after` and `reservations`
+`step(now, events) -> actions` uses neither I/O nor a clock; times are in ms. The rules are in the
+other modules: `in_flight` (admission without queueing), `admission_queue` and `fair_queue` (order
+and bounds), `concurrency_limit`, `fair_shares` (rates of tenants), `retry_after` and `reservations`
 (rejections).
 """
 
@@ -41,7 +41,7 @@
 
 
 class Policy:
-    """Admission control of one router."""
+    """Admission control of one router, as a state machine of events and actions."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -76,16 +76,16 @@
             self._actions.append(SetTimer(due))
         return self._actions
 
-    # --- what others ask ----------------------------------------------------------------
+    # --- queries of state ---------------------------------------------------------------
 
     @property
     def drain_rate(self) -> float:
-        """The drain rate: cost per ms that the router completes when it is full."""
-        return self.limit.drain_rate(self.costs.mean)
+        """The cost per ms that the router completes while the concurrency limit is reached."""
+        return self.limit.drain_rate(self.costs.mean_service_time)
 
     @property
     def counts(self) -> dict[str, int]:
-        """Counters for operators, by the names that `SHOW tansycrank.admission` gives them."""
+        """Counters for operators, by their names in `SHOW tansycrank.admission`."""
         return self._counts | {"forgotten": self.tenants.evicted, "shared": self.tenants.overflowed}
 
     def may_reject(self, key: str) -> bool:
@@ -98,7 +98,7 @@
         tenant = self.tenants.get(event.tenant)
         if tenant is None or self._has_room(tenant):
             return False
-        cost = self.costs.expect(event.query_class, event.statement, 1)
+        cost = self.costs.estimate(event.query_class, event.statement, 1)
         reservation, is_due = self.reservations.find(
             tenant.reservations, event.fingerprint, event.session, now
         )
@@ -113,7 +113,7 @@
         return self._expected(now, tenant, query) > query.latest_start
 
     def expected_wait_on_return(self, now: float, key: str, cost: float) -> float:
-        """How long, in ms, a query of this tenant that returns now as told would be queued."""
+        """The time in ms for which a query of this tenant would be queued if it returned now."""
         tenant = self.tenants.get(key)
         if tenant is None or self._has_room(tenant):
             return 0.0
@@ -123,7 +123,7 @@
 
     def _on_arrived(self, now: float, event: QueryArrived) -> None:
         tenant = self._tenant(event.tenant, event.limits)
-        cost = self.costs.expect(event.query_class, event.statement, event.shard_requests)
+        cost = self.costs.estimate(event.query_class, event.statement, event.shard_requests)
         query = self._queued_query(now, event, tenant, cost)
         self._counts["arrived"] += 1
         reservation, is_due = self.reservations.find(
@@ -152,7 +152,7 @@
                 self.reservations.remove(tenant.reservations, early)
             self.queue.scheduler.serve_unqueued(tenant.queue, query.cost)
             self._admit(now, tenant, query)
-        elif early is not None:  # told the same time again, and not counted as a rejection
+        elif early is not None:  # the same due time again, and no new rejection
             tenant.early_returns += 1
             self._counts[RejectionReason.TOO_EARLY] += 1
             wait = early.due_at - now
@@ -181,7 +181,7 @@
         if event.outcome == QueryOutcome.ANSWERED:
             tenant.answered += 1
             self._correct_cost(tenant, query, latency)
-        self.limit.ended(
+        self.limit.record_query_end(
             query.statement, query.shard_requests, query.cost, latency, event.outcome, was_full
         )
         self.queue.unpark(tenant)
@@ -208,15 +208,18 @@
     def _queued_query(
         self, now: float, event: QueryArrived, tenant: Tenant, cost: float
     ) -> QueuedQuery:
-        needs = self.costs.needs(event.query_class, event.statement) + self.limit.wait
-        latest_start = now + self._useful_time(event) - needs
+        latency_estimate = (
+            self.costs.upper_service_time(event.query_class, event.statement)
+            + self.limit.node_queueing_time
+        )
+        latest_start = now + self._useful_time(event) - latency_estimate
         return QueuedQuery(
             event.id, tenant.key, event.client, event.query_class, event.statement,
             event.shard_requests, cost, event.size, latest_start, event.fingerprint, event.session,
         )  # fmt: skip
 
     def _useful_time(self, event: QueryArrived) -> float:
-        """Time in ms for which an answer is worth something."""
+        """The time in ms within which an answer is of use."""
         useful = self.settings.useful_times
         return min(event.remaining, useful[event.query_class]) if useful else event.remaining
 
@@ -230,7 +233,7 @@
         return expected_service_time(now, tenant, query, self.queue, self.drain_rate)
 
     def _make_room(self, now: float, tenant: Tenant, query: QueuedQuery) -> bool:
-        """Displace queries until the queue has room; False if this query is rejected instead."""
+        """Displace queries until the queue has room; False if this query was rejected instead."""
         while self.queue.is_full_for(query):
             displaced = self.queue.tenant_to_displace(tenant, query, self.tenants)
             if displaced is None:
@@ -260,12 +263,14 @@
         self._actions.append(Admit(query.id))
 
     def _correct_cost(self, tenant: Tenant, query: QueuedQuery, latency: float) -> None:
-        """Replace the estimated cost by the real one, in the tenant's next start tag too."""
+        """Replace the estimated cost by the actual one, also in the tenant's next start tag."""
         work = self.limit.work_time(latency)
-        real = self.costs.learn(query.query_class, query.statement, query.shard_requests, work)
-        tenant.served_cost += real - query.cost
-        tenant.queue.cost_correction += (real - query.cost) / tenant.queue.weight
-        query.cost = real
+        actual_cost = self.costs.record(
+            query.query_class, query.statement, query.shard_requests, work
+        )
+        tenant.served_cost += actual_cost - query.cost
+        tenant.queue.cost_correction += (actual_cost - query.cost) / tenant.queue.weight
+        query.cost = actual_cost
 
     def _reject(
         self,
@@ -275,7 +280,7 @@
         reason: RejectionReason,
         min_wait: float = 0,
     ) -> None:
-        """Reject a query with a Retry-After of at least `min_wait` ms, and reserve that time."""
+        """Reject a query with a Retry-After of at least `min_wait` ms, and reserve its return."""
         due = return_time(now, tenant, query, self.queue, self.drain_rate, self.settings.horizon)
         due = reserve(
             now, tenant, query, self.reservations, max(due, now + min_wait), self.drain_rate
--- a/tansycrank/admission/reader_scheduler.py
+++ b/tansycrank/admission/reader_scheduler.py
@@ -1,8 +1,9 @@
-"""Which client messages the router reads next: its own CPU time is shared fairly by tenants.
+"""Fair sharing of the router's own CPU time: which client messages are read next.
 
 Parsing, planning and rejecting a statement takes about a millisecond of the reactor thread. So that
-the sessions of a flood don't delay the responses of others, each reactor turn reads messages for a
-bounded time only, by start-time fair queueing of tenants over the CPU time that they really used.
+the sessions of an overloading tenant do not delay the responses of others, each reactor turn reads
+messages for a bounded time only, in the order of start-time fair queueing of tenants by the time
+that their messages actually took.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 from tansycrank.admission.fair_queue import FairScheduler, FifoQueue
 
-SLICE_SECONDS = 0.004  # of a reactor turn; the last message may exceed it
+SLICE_SECONDS = 0.004  # reading time per reactor turn; the last read may exceed it
 
 
 class Reader(Protocol):
@@ -21,13 +22,13 @@
     id: int
 
     def read_pending(self) -> None:
-        """Read the messages that are pending."""
+        """Read the pending messages."""
 
 
 class ReaderScheduler:
-    """Schedules the sessions of all tenants.
+    """Schedules the reading of all sessions by tenant.
 
-    `call_soon(f)` calls f in the next reactor turn; `clock()` returns seconds.
+    `call_soon(f)` calls `f` in the next reactor turn; `clock()` returns seconds.
     """
 
     def __init__(
@@ -39,7 +40,7 @@
         self._is_turn_scheduled = False
 
     def wake(self, reader: Reader, tenant: str) -> None:
-        """A session has messages: read them now if this turn has time left, else schedule it."""
+        """Read the messages of a session now if this turn has time left, else schedule it."""
         if not self._scheduler and self._used_seconds < SLICE_SECONDS:
             self._used_seconds += self._read_timed(reader)
         else:
@@ -55,13 +56,13 @@
             self._call_soon(self._on_turn)
 
     def _read_timed(self, reader: Reader) -> float:
-        """Let the session read; returns the seconds used."""
+        """Let a session read its messages; returns the seconds taken."""
         began = self._clock()
         reader.read_pending()
         return max(self._clock() - began, 0.0)
 
     def remove(self, reader: Reader, tenant: str) -> None:
-        """A session has ended."""
+        """Remove a session that has ended."""
         tenant_queue = self._scheduler.children.get(tenant)
         if tenant_queue is not None and tenant_queue.items.pop(reader.id, None) is not None:
             self._scheduler.size -= 1
--- a/tansycrank/admission/reservations.py
+++ b/tansycrank/admission/reservations.py
@@ -11,19 +11,17 @@
 import heapq
 from collections import OrderedDict
 
-SPAN_MS = 50.0  # of one span
-EARLY_SHARE = 0.1  # of the Retry-After by which a client may return early
-MIN_EARLY_MS = 10.0  # ms
-EXPIRY_SHARE = 0.5  # of the Retry-After for which a reservation outlives its due time
-MIN_EXPIRY_MS = 1000.0  # ms
-MIN_RETURN_SHARE = 0.02
-RETURN_SHARE_SMOOTHING = 0.05
+SPAN_MS = 50.0  # length of a booking span
+EARLY_SHARE = 0.1  # share of its Retry-After by which a client may return early
+MIN_EARLY_MS = 10.0  # minimum time by which a client may return early
+EXPIRY_SHARE = 0.5  # share of its Retry-After after which an overdue reservation expires
+MIN_EXPIRY_MS = 1000.0  # minimum time after which an overdue reservation expires
+MIN_RETURN_SHARE = 0.02  # minimum share of reserved cost that is expected to return
+RETURN_SHARE_SMOOTHING = 0.05  # weight of the newest reservation in the share of returns
 
 
 class Reservation:
-    """A kept place: of which query and session, when it is due, how long the wait was, what it will
-    cost.
-    """
+    """The reservation of one rejected query of a session; `wait` is its Retry-After in ms."""
 
     __slots__ = ("cost", "due_at", "expires_at", "fingerprint", "is_active", "session", "wait")
 
@@ -43,14 +41,12 @@
     )  # fmt: skip
 
     def __init__(self) -> None:
-        self.reserved_cost = 0.0  # of reservations
-        self.unreserved_cost = (
-            0.0  # charge promised without a place; it runs off at the tenant's pace
-        )
-        self.return_share = 1.0  # share of reservations that are taken up
-        self.by_fingerprint: dict[
-            int, OrderedDict[int, Reservation]
-        ] = {}  # by query, then by session, the first due first
+        self.reserved_cost = 0.0  # cost of all reservations
+        # Cost of queries that got a Retry-After without a reservation; falls at the tenant's rate.
+        self.unreserved_cost = 0.0
+        self.return_share = 1.0  # smoothed share of reservations that are redeemed
+        # By query fingerprint, then by session in the order of booking.
+        self.by_fingerprint: dict[int, OrderedDict[int, Reservation]] = {}
         self.count = 0
         self.updated_at = 0.0
 
@@ -64,14 +60,14 @@
 
 
 class ReservationBook:
-    """Reservations of all tenants, booked into spans of time."""
+    """Reservations of all tenants, booked into spans of `SPAN_MS` up to the horizon."""
 
     def __init__(self, max_reservations: int, horizon: float) -> None:
         self.max_reservations, self.span_count = max_reservations, max(int(horizon / SPAN_MS), 1)
         self.count = 0
         self._booked_cost = [0.0] * self.span_count
         self._first_span = 0
-        self._next_open: dict[int, int] = {}  # from full spans to the next candidate
+        self._next_open: dict[int, int] = {}  # from a full span to the next candidate
         self._expiry_heap: list[tuple[float, int, str, Reservation]] = []
         self._sequence = 0
 
@@ -92,9 +88,9 @@
             number = self._first_open_span(number)
             if number >= end or self._booked_cost[number % self.span_count] + cost <= capacity:
                 break
-            self._next_open[number] = (
-                number + 1
-            )  # closed: looking through full pages again and again costs time
+            # Full spans are skipped by path compression: scanning them for each booking takes too
+            # much time.
+            self._next_open[number] = number + 1
             number += 1
         if number >= end:
             return max(due_at, end * SPAN_MS)
@@ -103,7 +99,7 @@
         return max(due_at, number * SPAN_MS + filled / capacity * SPAN_MS)
 
     def _first_open_span(self, number: int) -> int:
-        """The first span from this one on that is not full."""
+        """The first span from this one on that is not known to be full."""
         path = []
         while (following := self._next_open.get(number)) is not None:
             path.append(number)
@@ -122,7 +118,7 @@
         due_at: float,
         cost: float,
     ) -> bool:
-        """Add a reservation; False where the bound or the horizon is passed."""
+        """Add a reservation; False if the bound on their number or the horizon is exceeded."""
         if self.count >= self.max_reservations or due_at > now + self.span_count * SPAN_MS:
             owner.unreserved_cost += cost
             return False
@@ -140,11 +136,11 @@
     def find(
         self, owner: TenantReservations, fingerprint: int, session: int, now: float
     ) -> tuple[Reservation | None, bool]:
-        """(The reservation of a query, whether it is due).
+        """Find the reservation of a query; returns it and whether it is due.
 
-        A due reservation serves any session of the client, since connection pools change sessions.
-        Before that it belongs to the session that was told: the same text in another session is
-        another query.
+        A due reservation is valid for any session of the client, since connection pools change
+        sessions. Before that it belongs to the session that got the Retry-After: the same text in
+        another session is another query.
         """
         matching = owner.by_fingerprint.get(fingerprint)
         if not matching:
@@ -155,13 +151,13 @@
         return matching.get(session), False
 
     def redeem(self, owner: TenantReservations, reservation: Reservation) -> None:
-        """The client returned as told."""
+        """Remove a reservation whose client has returned at its time."""
         self.remove(owner, reservation)
         owner.return_share += RETURN_SHARE_SMOOTHING * (1.0 - owner.return_share)
 
     @staticmethod
     def valid_from(reservation: Reservation) -> float:
-        """When a reservation is valid: a little before its time, since clocks differ."""
+        """The time from which a reservation is valid, a little before it is due: clocks differ."""
         return reservation.due_at - max(EARLY_SHARE * reservation.wait, MIN_EARLY_MS)
 
     def remove(self, owner: TenantReservations, reservation: Reservation) -> None:
@@ -186,15 +182,14 @@
                 self.remove(owner, reservation)
 
     def expire(self, now: float, find_owner) -> None:
-        """Let go of places nobody came for; `accounts(tenant)` finds an account or None."""
+        """Remove expired reservations; `find_owner(tenant)` returns those of a tenant or None."""
         while self._expiry_heap and self._expiry_heap[0][0] <= now:
             _, _, tenant, reservation = heapq.heappop(self._expiry_heap)
             owner = find_owner(tenant)
             if reservation.is_active and owner is not None:
                 self.remove(owner, reservation)
                 owner.return_share -= RETURN_SHARE_SMOOTHING * owner.return_share
-        if (
-            len(self._expiry_heap) > 2 * self.count + 1024
-        ):  # the heap keeps removed entries until they expire
+        # The heap keeps entries of removed reservations until they expire.
+        if len(self._expiry_heap) > 2 * self.count + 1024:
             self._expiry_heap = [entry for entry in self._expiry_heap if entry[3].is_active]
             heapq.heapify(self._expiry_heap)
--- a/tansycrank/admission/retry_after.py
+++ b/tansycrank/admission/retry_after.py
@@ -9,29 +9,29 @@
 from tansycrank.admission.reservations import ReservationBook
 from tansycrank.admission.tenants import Tenant
 
+# Bounds on rates in cost per ms, which may be 0 or infinite.
 MIN_RATE = 1e-9
 MAX_RATE = 1e9
-MIN_NEWCOMER_SHARE = 0.02  # of a tenant's rate that new queries get beside returning ones
+MIN_NEW_SHARE = 0.02  # minimum share of a tenant's rate that new queries get
 
 
 def expected_service_time(
     now: float, tenant: Tenant, query: QueuedQuery, queue: AdmissionQueue, drain_rate: float
 ) -> float:
-    """When the query would be served if it were queued now.
+    """The time at which the query would be served if it were queued now.
 
-    New queries get the rate that returning ones leave over. Only those that did return count:
-    counting all reservations would shut out a tenant whose clients never return.
+    New queries get the rate that returning ones leave. Only queries that did return are counted:
+    with all reservations counted, a tenant whose clients never return would be locked out.
     """
     rate = max(tenant.rate, MIN_RATE)
     if rate == math.inf:
         return now
     if query.is_returning:
         return now + (tenant.queue.returning_cost + query.cost) / rate
-    newcomer_rate = max(rate - tenant.return_demand.rate(now), MIN_NEWCOMER_SHARE * rate)
-    due = now + (tenant.queue.cost_ahead(query.client) + query.cost) / newcomer_rate
-    if (
-        not tenant.queue and not tenant.reservations.count
-    ):  # fair queueing serves it within one round
+    new_query_rate = max(rate - tenant.return_demand.rate(now), MIN_NEW_SHARE * rate)
+    due = now + (tenant.queue.cost_ahead(query.client) + query.cost) / new_query_rate
+    # Fair queueing serves the only query of a tenant within one round.
+    if not tenant.queue and not tenant.reservations.count:
         mean = queue.cost / max(queue.scheduler.size, 1)
         due = min(due, now + (len(queue.scheduler.children) * mean + query.cost) / drain_rate)
     return due
@@ -45,8 +45,9 @@
     drain_rate: float,
     horizon: float,
 ) -> float:
-    """When a rejected query should return: after the queue and all earlier reservations of its
-    tenant.
+    """The time at which a rejected query should return.
+
+    That is after the queued queries and all earlier reservations of its tenant.
     """
     expected = expected_service_time(now, tenant, query, queue, drain_rate)
     if query.is_returning or tenant.rate == math.inf:
@@ -68,7 +69,7 @@
     due = reservations.book_time(now, due, query.cost, min(drain_rate, MAX_RATE))
     fingerprint = query.fingerprint or -query.id
     reserved = tenant.reservations.by_fingerprint.get(fingerprint, {}).get(query.session)
-    if reserved is not None and reserved.due_at > now:  # the session sent the same query twice
+    if reserved is not None and reserved.due_at > now:  # the session has sent the same query twice
         return reserved.due_at
     if reserved is not None:  # a due time in the past would give a negative Retry-After
         reservations.remove(tenant.reservations, reserved)
@@ -79,5 +80,5 @@
 
 
 def remaining_wait(tenant: Tenant, cost: float) -> float:
-    """How long, in ms, a query of this cost that returns now as told is still queued."""
+    """The time in ms for which a query of this cost is queued if it returns now as due."""
     return (tenant.queue.returning_cost + cost) / max(tenant.rate, MIN_RATE)
--- a/tansycrank/admission/tenants.py
+++ b/tansycrank/admission/tenants.py
@@ -1,4 +1,4 @@
-"""The tenants that the router knows: a bounded table, with a sketch of those evicted from it."""
+"""The bounded table of known tenants, and a sketch of the finish tags of evicted ones."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from tansycrank.admission.reservations import ReservationBook, TenantReservations
 from tansycrank.admission.settings import Limits
 
-DEMAND_MEMORY_MS = 2000.0
+DEMAND_MEMORY_MS = 2000.0  # time constant of the decaying demand
 EVICTION_CANDIDATES = 8  # least recently seen tenants that are compared for one eviction
-OVERFLOW_QUEUES = 64  # queues shared by tenants that find no room in the table
+OVERFLOW_QUEUES = 64  # queues that are shared by tenants for which the table has no room
 SKETCH_ROWS, SKETCH_CELLS = 4, 4096
-MAX_LIMIT_OVERRIDES = 1024
-OVERFLOW_PREFIX = "~"
+MAX_LIMIT_OVERRIDES = 1024  # tenants with limits changed at run time; the oldest is dropped
+OVERFLOW_PREFIX = "~"  # of the keys of overflow queues
 
 
 class FinishTagSketch:
-    """Finish tags of evicted tenants: an upper bound, exact but for hash collisions.
+    """Finish tags of evicted tenants: upper bounds, which are exact without hash collisions.
 
-    A tag that virtual time has passed has no effect any more, so cells are never cleared.
+    Cells are never cleared, since a tag has no effect once virtual time has passed it.
     """
 
     def __init__(self) -> None:
@@ -42,29 +42,29 @@
             row[cell] = max(row[cell], tag)
 
     def finish_tag(self, key: str) -> float:
-        """The finish tag with which a tenant resumes."""
+        """An upper bound of the finish tag with which an evicted tenant resumes."""
         return min(row[cell] for row, cell in self._cells(key))
 
 
 class DecayingRate:
-    """A rate of cost per ms, exponentially decaying over `memory` ms."""
+    """A rate in cost per ms, with exponential decay over `memory` ms."""
 
-    __slots__ = ("_sum", "_updated_at", "memory")
+    __slots__ = ("_decayed_cost", "_updated_at", "memory")
 
     def __init__(self, memory: float) -> None:
-        self.memory, self._sum, self._updated_at = memory, 0.0, 0.0
+        self.memory, self._decayed_cost, self._updated_at = memory, 0.0, 0.0
 
     def add(self, now: float, cost: float) -> None:
-        """Add a cost."""
-        self._sum, self._updated_at = self.rate(now) * self.memory + cost, now
+        """Add a cost at this time."""
+        self._decayed_cost, self._updated_at = self.rate(now) * self.memory + cost, now
 
     def rate(self, now: float) -> float:
-        """Cost per ms."""
-        return self._sum * math.exp((self._updated_at - now) / self.memory) / self.memory
+        """The rate at this time, in cost per ms."""
+        return self._decayed_cost * math.exp((self._updated_at - now) / self.memory) / self.memory
 
 
 class Tenant:
-    """State and counters of one tenant. `rate` is the cost per ms that it can rely on."""
+    """State and counters of one tenant; `rate` is its fair share in cost per ms."""
 
     __slots__ = (
         "admitted", "answered", "arrived", "cancelled", "corrected", "demand", "early_returns",
@@ -76,46 +76,46 @@
         self.key, self.limits = key, limits
         self.queue = TenantQueue(limits.weight, class_weights)
         self.reservations = TenantReservations()
-        self.shard_requests_in_flight = 0  # shard requests in flight
+        self.shard_requests_in_flight = 0
         self.rate = 0.0
-        self.is_parked = False  # not scheduled, since it holds its maximum share
+        self.is_parked = False  # not scheduled while it holds its maximum share
         self.last_seen = 0.0
         self.demand = DecayingRate(DEMAND_MEMORY_MS)
         self.return_demand = DecayingRate(DEMAND_MEMORY_MS / 2)
         self.arrived = self.admitted = self.answered = self.rejected = 0
         self.corrected = self.early_returns = self.cancelled = 0
-        self.last_retry_after = 0.0  # the latest Retry-After, ms
-        self.served_cost = 0.0  # cost served
+        self.last_retry_after = 0.0  # ms
+        self.served_cost = 0.0  # actual cost of its queries
 
     def record_demand(self, now: float, cost: float) -> None:
-        """Count a new query, not a retry, in the tenant's demand."""
+        """Count a new query, but no retry, in the tenant's demand."""
         self.demand.add(now, cost)
         self.last_seen = now
 
     @property
     def is_busy(self) -> bool:
-        """Whether it has queries queued or in flight."""
+        """Whether the tenant has queries queued or in flight."""
         return bool(self.queue) or self.shard_requests_in_flight > 0
 
     @property
     def queued_cost_by_weight(self) -> float:
-        """Cost of its queued queries, divided by its weight."""
+        """Cost of its queued queries divided by its weight."""
         return self.queue.cost / self.limits.weight
 
     def is_below_max_share(self, shard_requests: int, limit_shard_requests: float) -> bool:
-        """Whether so many more shard requests stay within its maximum share of the concurrency
-        limit.
+        """Whether `shard_requests` more would stay within its maximum share of the concurrency
+        limit; one query is always allowed.
         """
-        most = self.limits.max_share * limit_shard_requests
+        maximum = self.limits.max_share * limit_shard_requests
         return (
             self.limits.max_share >= 1
             or self.shard_requests_in_flight == 0
-            or self.shard_requests_in_flight + shard_requests <= most
+            or self.shard_requests_in_flight + shard_requests <= maximum
         )
 
 
 class TenantTable:
-    """Tenants by key, the least recently seen first."""
+    """At most `capacity` tenants by key, the least recently seen first."""
 
     def __init__(
         self, capacity: int, class_weights: tuple[float, ...], reservations: ReservationBook
@@ -138,17 +138,17 @@
         return self._tenants[key]
 
     def get(self, key: str) -> Tenant | None:
-        """The tenant of this key, if it is known."""
+        """The tenant of this key, None if it is not in the table."""
         return self._tenants.get(key)
 
     def values(self) -> ValuesView[Tenant]:
-        """All known tenants."""
+        """All tenants in the table."""
         return self._tenants.values()
 
     def find_or_add(
         self, key: str, limits: Limits, initial_rate: Callable[[Limits], float]
     ) -> Tenant:
-        """The tenant of this key; an overflow queue if the table is full of busy tenants.
+        """The tenant of this key; an overflow tenant if the table is full of busy tenants.
 
         A tenant with a minimum share is always added.
         """
@@ -173,10 +173,10 @@
         return tenant
 
     def _evict_one(self) -> bool:
-        """Evict, of the least recently seen idle tenants, the one that was served least.
+        """Evict the least served of the least recently seen idle tenants.
 
-        By age alone, keys made up for single queries would evict tenants that send queries
-        steadily.
+        With eviction by age alone, keys invented for single queries would evict tenants that send
+        queries steadily.
         """
         victim: Tenant | None = None
         for _ in range(min(EVICTION_CANDIDATES, len(self._tenants))):
@@ -195,7 +195,7 @@
         return True
 
     def override_limits(self, key: str, limits: Limits) -> Tenant | None:
-        """Set a tenant's limits until the router restarts; returns the tenant if it is known."""
+        """Set a tenant's limits until the router restarts; returns the tenant if it is present."""
         overrides = self.limit_overrides
         if key not in overrides and len(overrides) >= MAX_LIMIT_OVERRIDES:
             del overrides[next(iter(overrides))]
@@ -207,6 +207,6 @@
         return tenant
 
     def reservations(self, key: str) -> TenantReservations | None:
-        """The reservations of a tenant, if it is known."""
+        """The reservations of a tenant, None if it is not in the table."""
         tenant = self._tenants.get(key)
         return tenant.reservations if tenant is not None else None
--- a/tansycrank/admission/views.py
+++ b/tansycrank/admission/views.py
@@ -10,7 +10,7 @@
 from tansycrank.admission.settings import MAX_RESERVED_SHARE, Limits
 from tansycrank.postgres.errors import INVALID_PARAMETER, PgError
 
-MAX_TENANT_ROWS = 200  # tenants in one view, those with most in line and refused first
+MAX_TENANT_ROWS = 200  # those with most queued, running and rejected queries are tenants
 TENANT_COLUMNS = (
     "tenant", "queued", "inside_parts", "rate", "weight", "min_share", "max_share", "burst_ms",
     "arrived", "admitted", "answered", "refused", "corrected", "early", "left", "promised", "show",
@@ -31,15 +31,15 @@
 
 
 def tenant_rows(controller: AdmissionController) -> list[tuple[str, ...]]:
-    """One row a tenant; rate in parts a second, promised: places kept."""
+    """One row per tenant, in the order of `TENANT_COLUMNS`."""
     if controller.policy is None:
         return []
-    found = sorted(
+    tenants = sorted(
         controller.policy.tenants.values(),
         key=lambda t: (-t.queue.size, -t.shard_requests_in_flight, -t.rejected, t.key),
     )
     rows = []
-    for t in found[:MAX_TENANT_ROWS]:
+    for t in tenants[:MAX_TENANT_ROWS]:
         limits = t.limits
         rate = "" if t.rate in (0.0, float("inf")) else f"{t.rate * 1000:.1f}"
         values = (
@@ -54,7 +54,7 @@
 
 
 def admission_figures(controller: AdmissionController) -> list[tuple[str, str]]:
-    """The door as a whole: (figure, value)."""
+    """The state of admission control as (figure, value)."""
     policy = controller.policy
     if policy is None:
         return [("enabled", "off")]
@@ -67,7 +67,7 @@
         "queued": len(policy.queue.queries),
         "queued_bytes": policy.queue.bytes,
         "drain_parts_a_second": "" if drain_rate == float("inf") else f"{drain_rate * 1000:.1f}",
-        "mean_part_ms": f"{policy.costs.mean:.2f}",
+        "mean_part_ms": f"{policy.costs.mean_service_time:.2f}",
         "tenants": len(policy.tenants),
         "places_kept": policy.reservations.count,
         **{f"count_{name}": count for name, count in policy.counts.items()},
@@ -76,8 +76,9 @@
 
 
 def parse_limits_change(text: str) -> tuple[str, dict[str, float]]:
-    """`TENANT key=value ...` as (tenant, changes), checked. Raises PgError 22023 with what is
-    allowed.
+    """Parse `TENANT key=value ...` into the tenant and its changed limits.
+
+    Raises PgError 22023 with the allowed values.
     """
     allowed = f"TENANT and any of {', '.join(f'{key}=NUMBER' for key in LIMIT_FIELDS)}"
     tenant, *pairs = text.split()[:8] or [""]
@@ -104,9 +105,7 @@
 
 
 def change_limits(controller: AdmissionController, text: str) -> None:
-    """Carry a change of limits out. Raises PgError where it is not allowed, and changes nothing
-    then.
-    """
+    """Change limits as `text` says. Raises PgError 22023 and changes nothing if not allowed."""
     tenant, changes = parse_limits_change(text)
     if controller.policy is None:
         raise PgError(INVALID_PARAMETER, "tansycrank.limits: the door is off")
