--- a/tansycrank/admission/identity.py
+++ b/tansycrank/admission/identity.py
@@ -58,7 +58,7 @@
     try:
         return IPNetwork(text.strip()).cidr
     except (AddrFormatError, ValueError):
-        allowed = "a network as 10.1.0.0/16 or 2001:db8::/32, or one address"
+        allowed = "a network such as 10.1.0.0/16 or 2001:db8::/32, or an address"
         raise ValueError(f"{text.strip()!r} is not {allowed}") from None
 
 
--- a/tansycrank/admission/policy.py
+++ b/tansycrank/admission/policy.py
@@ -28,7 +28,7 @@
 from tansycrank.admission.in_flight import QueriesInFlight
 from tansycrank.admission.reservations import Reservation, ReservationBook
 from tansycrank.admission.retry_after import (
-    expected_service_time,
+    expected_start_time,
     remaining_wait,
     reserve,
     return_time,
@@ -110,7 +110,7 @@
         query = QueuedQuery(
             0, tenant.key, event.client, event.query_class, 0, 1, cost, 0, latest_start
         )
-        return self._expected(now, tenant, query) > query.latest_start
+        return self._expected_start(now, tenant, query) > query.latest_start
 
     def expected_wait_on_return(self, now: float, key: str, cost: float) -> float:
         """The time in ms for which a query of this tenant would be queued if it returned now."""
@@ -157,7 +157,7 @@
             self._counts[RejectionReason.TOO_EARLY] += 1
             wait = early.due_at - now
             self._actions.append(Reject(query.id, wait, RejectionReason.TOO_EARLY))
-        elif self._expected(now, tenant, query) > query.latest_start:
+        elif self._expected_start(now, tenant, query) > query.latest_start:
             self._reject(now, tenant, query, RejectionReason.EXPECTED_TOO_LATE)
         elif self._make_room(now, tenant, query):
             self.queue.add(tenant, query, self.tenants)
@@ -229,8 +229,8 @@
     def _is_light(self, cost: float) -> bool:
         return self.in_flight.is_light(cost, self.queue, self.limit)
 
-    def _expected(self, now: float, tenant: Tenant, query: QueuedQuery) -> float:
-        return expected_service_time(now, tenant, query, self.queue, self.drain_rate)
+    def _expected_start(self, now: float, tenant: Tenant, query: QueuedQuery) -> float:
+        return expected_start_time(now, tenant, query, self.queue, self.drain_rate)
 
     def _make_room(self, now: float, tenant: Tenant, query: QueuedQuery) -> bool:
         """Displace queries until the queue has room; False if this query was rejected instead."""
--- a/tansycrank/admission/retry_after.py
+++ b/tansycrank/admission/retry_after.py
@@ -1,4 +1,4 @@
-"""When a query would be served, and the Retry-After of one that is rejected."""
+"""When a query is expected to start, and the Retry-After of a rejected one. Times are in ms."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 MIN_NEW_SHARE = 0.02  # minimum share of a tenant's rate that new queries get
 
 
-def expected_service_time(
+def expected_start_time(
     now: float, tenant: Tenant, query: QueuedQuery, queue: AdmissionQueue, drain_rate: float
 ) -> float:
-    """The time at which the query would be served if it were queued now.
+    """The time at which the query would start if it were queued now.
 
     New queries get the rate that returning ones leave. Only queries that did return are counted:
     with all reservations counted, a tenant whose clients never return would be locked out.
@@ -49,7 +49,7 @@
 
     That is after the queued queries and all earlier reservations of its tenant.
     """
-    expected = expected_service_time(now, tenant, query, queue, drain_rate)
+    expected = expected_start_time(now, tenant, query, queue, drain_rate)
     if query.is_returning or tenant.rate == math.inf:
         return expected
     rate = max(tenant.rate, MIN_RATE)
--- a/tansycrank/config/__init__.py
+++ b/tansycrank/config/__init__.py
@@ -1,7 +1,7 @@
 """Settings from an INI file, checked before use.
 
-`load` and `parse` return a `Config`; a `ConfigError` names file, section, key, value and what is
-allowed.
+`load` and `parse` return a `Config`. A `ConfigError` names the file, section, key, value and what
+is allowed.
 """
 
 from tansycrank.config.conversion import admission_policy, routing_settings, tenant_resolver
--- a/tansycrank/config/checks.py
+++ b/tansycrank/config/checks.py
@@ -1,4 +1,4 @@
-"""Checks across the keys of sections."""
+"""Checks that involve several keys or sections."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def check(path: str, single: dict[str, Section], named: dict[str, dict[str, Section]]) -> Config:
-    """The settings, if all sections are consistent. Raises ConfigError with the first fault."""
+    """Check the sections against each other. Raises ConfigError for the first invalid value."""
     _check_router(path, single["router"])
     _check_store(path, single["store"])
     _check_budget(path, single["rules"])
@@ -70,7 +70,7 @@
         first = second = ""
     if first == second or not first:
         raise ConfigError(
-            path, "store", "schema", store.schema, "a name with {shard}, as s{shard:04d}"
+            path, "store", "schema", store.schema, "a name with {shard}, such as s{shard:04d}"
         )
 
 
--- a/tansycrank/config/conversion.py
+++ b/tansycrank/config/conversion.py
@@ -9,7 +9,7 @@
 from tansycrank.config.model import Config, split_list
 from tansycrank.config.sections import ClassSection
 
-# Each class of the settings file becomes three query classes of the policies, in this order.
+# Each [class] section becomes three query classes of the policies, in this order.
 IDEMPOTENCY_ORDER = (
     routing.Idempotency.IDEMPOTENT,
     routing.Idempotency.WITH_KEY,
@@ -18,7 +18,7 @@
 
 
 def tenant_resolver(config: Config) -> TenantResolver:
-    """The rules that map sessions to tenants."""
+    """The resolver of sessions to tenants, with the networks that may connect."""
     door = config.door
     return TenantResolver(
         config.tenant_rules,
@@ -30,7 +30,7 @@
 
 
 def admission_policy(config: Config) -> Policy | None:
-    """The admission policy, None where admission control is disabled."""
+    """The admission policy, None if admission control is disabled."""
     door = config.door
     if not door.enabled:
         return None
--- a/tansycrank/config/errors.py
+++ b/tansycrank/config/errors.py
@@ -1,4 +1,4 @@
-"""The error that a faulty settings file gives."""
+"""The error for an invalid settings file."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ConfigError(TansycrankError, ValueError):
-    """A fault of a settings file: where it is, the value, and what is allowed."""
+    """An invalid value in a settings file; `value` is None if it is missing."""
 
     def __init__(self, file: str, section: str, key: str, value: str | None, allowed: str):
         self.file, self.section, self.key = file, section, key
--- a/tansycrank/config/loader.py
+++ b/tansycrank/config/loader.py
@@ -1,4 +1,4 @@
-"""Reading of settings files."""
+"""Reads settings files."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def load(path: str | Path) -> Config:
-    """Read and check a settings file. Raises ConfigError with the first fault."""
+    """Read and check a settings file. Raises ConfigError for the first invalid value."""
     path = str(path)
     try:
         text = Path(path).read_text(encoding="utf-8")
@@ -30,7 +30,7 @@
 
 
 def parse(text: str, path: str = "<text>") -> Config:
-    """Check the text of a settings file."""
+    """Parse and check the text of a settings file. Raises ConfigError like `load`."""
     parser = configparser.ConfigParser(
         interpolation=None, strict=True, delimiters=("=",), comment_prefixes=("#",)
     )
@@ -71,7 +71,7 @@
             raw[key] = BOOLEANS.get(value.lower(), value)
     for key, field in known.items():
         if field.required and key not in raw:
-            raise ConfigError(path, section, key, None, "a value is needed")
+            raise ConfigError(path, section, key, None, "a value is required")
     try:
         return msgspec.convert(raw, section_type, strict=False)
     except msgspec.ValidationError as error:
--- a/tansycrank/config/model.py
+++ b/tansycrank/config/model.py
@@ -20,28 +20,28 @@
 
 
 def split_list(text: str) -> list[str]:
-    """The members of a comma-separated list."""
+    """The non-empty members of a comma-separated list."""
     return [member for member in map(str.strip, text.replace("\n", " ").split(",")) if member]
 
 
 def zone_names(section: RouterSection) -> list[str]:
-    """The zones of the fleet in the order of the settings file."""
+    """The zones of all routers and data nodes, in the order of the settings file."""
     return [zone for zone in map(str.strip, section.zones.split(",")) if zone]
 
 
 @dataclass(frozen=True, slots=True)
 class Table:
-    """A table of the catalogue: its columns by name in order, with their type OIDs."""
+    """A table of the catalogue; `columns` maps names, in order, to type OIDs."""
 
     name: str
     columns: dict[str, int]
     distribution: str  # "" for a reference table
-    column: str
+    column: str  # distribution column, "" for a reference table
 
 
 @dataclass(frozen=True, slots=True)
 class Distribution:
-    """A checked distribution; `shard_by_value` maps a text value to its shard."""
+    """A distribution of rows over shards; `shard_by_value` is empty unless `method` is `list`."""
 
     name: str
     method: str
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryClassConfig:
-    """A named class with its compiled pattern."""
+    """A class of queries with its compiled statement pattern."""
 
     name: str
     section: ClassSection
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All settings of one router, checked."""
+    """All checked settings of one router."""
 
     file: str
     router: RouterSection
@@ -78,5 +78,5 @@
 
     @property
     def zones(self) -> tuple[str, ...]:
-        """The names of the zones; the routing policy knows a zone by its position."""
+        """The names of the zones; the routing policy identifies a zone by its position here."""
         return tuple(zone_names(self.router))
--- a/tansycrank/config/tables.py
+++ b/tansycrank/config/tables.py
@@ -11,7 +11,7 @@
 
 
 def check_class(path: str, name: str, section: ClassSection) -> QueryClassConfig:
-    """A class of queries with its compiled pattern."""
+    """Check a class and compile its pattern. Raises ConfigError."""
     where = f"class {name}"
     if section.aim_ms > section.give_up_ms:
         raise ConfigError(
@@ -29,7 +29,7 @@
 def check_distribution(
     path: str, name: str, section: DistributionSection, shards: int
 ) -> Distribution:
-    """A checked distribution."""
+    """Check a distribution. Raises ConfigError."""
     where = f"distribution {name}"
     oid = types.NAMES.get(section.type)
     if oid not in (types.INT2, types.INT4, types.INT8, types.TEXT, types.VARCHAR, types.UUID):
@@ -39,7 +39,11 @@
     shard_by_value = _shards_by_value(path, where, section.values, shards)
     if (section.method == "list") != bool(shard_by_value):
         raise ConfigError(
-            path, where, "values", section.values or None, "needed for list, not allowed for hash"
+            path,
+            where,
+            "values",
+            section.values or None,
+            "required for method list, not allowed for hash",
         )
     return Distribution(name, section.method, oid, shard_by_value)
 
@@ -63,7 +67,7 @@
 def check_table(
     path: str, name: str, section: TableSection, distributions: dict[str, Distribution]
 ) -> Table:
-    """A checked table, whose distribution must exist."""
+    """Check a table, whose distribution must exist. Raises ConfigError."""
     where = f"table {name}"
     columns = _columns(path, where, section.columns)
     if section.kind == "reference":
@@ -81,20 +85,27 @@
         raise ConfigError(
             path, where, "column", section.column or None, f"one of: {', '.join(columns)}"
         )
-    ours, theirs = columns[section.column], distributions[section.distribution].type_oid
+    column_oid, distribution_oid = (
+        columns[section.column],
+        distributions[section.distribution].type_oid,
+    )
     if (
-        ours != theirs
-        and {ours, theirs} - {types.TEXT, types.VARCHAR}
-        and {ours, theirs} - types.INTEGERS
+        column_oid != distribution_oid
+        and {column_oid, distribution_oid} - {types.TEXT, types.VARCHAR}
+        and {column_oid, distribution_oid} - types.INTEGERS
     ):
         raise ConfigError(
-            path, where, "column", section.column, f"of the type {types.type_name(theirs)}"
+            path,
+            where,
+            "column",
+            section.column,
+            f"a column of type {types.type_name(distribution_oid)}",
         )
     return Table(name, columns, section.distribution, section.column)
 
 
 def _columns(path: str, where: str, text: str) -> dict[str, int]:
-    """Type OIDs by column name."""
+    """Type OIDs by column name, in the order of the table."""
     columns: dict[str, int] = {}
     for item in filter(None, map(str.strip, text.replace("\n", " ").split(","))):
         column, _, kind = item.partition(" ")
@@ -106,7 +117,7 @@
         )
         if oid is None or column in columns:
             raise ConfigError(
-                path, where, "columns", item, "NAME TYPE, each name once, of a supported type"
+                path, where, "columns", item, "NAME TYPE, with a unique name and a supported type"
             )
         columns[column] = oid
     return columns
--- a/tansycrank/config/tenants.py
+++ b/tansycrank/config/tenants.py
@@ -23,20 +23,21 @@
 
 
 def check_admission(path: str, door: DoorSection, rules: tuple[TenantRule, ...]) -> None:
-    """Check the networks of `[door]`, and that the minimum shares of all tenants fit."""
+    """Check the networks of `[door]` and the sum of the minimum shares. Raises ConfigError."""
     for key in ("allow", "deny", "operators"):
         _networks(path, "door", key, getattr(door, key))
-    promised = sum(rule.limits.min_share for rule in rules)
-    if promised > MAX_RESERVED_SHARE:
+    reserved_share = sum(rule.limits.min_share for rule in rules)
+    if reserved_share > MAX_RESERVED_SHARE:
         last = rules[-1]
         raise ConfigError(
             path, f"tenant {last.name}", "min_share", str(last.limits.min_share),
-            f"all least shares together at most {MAX_RESERVED_SHARE:g}, these are {promised:g}",
+            f"the minimum shares of all tenants must sum to at most {MAX_RESERVED_SHARE:g},"
+            f" but sum to {reserved_share:g}",
         )  # fmt: skip
 
 
 def check_tenant(path: str, name: str, section: TenantSection) -> TenantRule:
-    """The rule of a tenant section."""
+    """Check a tenant section and return its rule. Raises ConfigError."""
     where = f"tenant {name}"
     patterns = {key: _pattern(path, where, key, getattr(section, key)) for key in PATTERN_KEYS}
     networks = _networks(path, where, "networks", section.networks)
@@ -69,7 +70,7 @@
     try:
         tenant.format(**dict.fromkeys(PLACEHOLDERS, "x"))
     except (KeyError, IndexError, ValueError):
-        allowed = ", ".join("{" + place + "}" for place in PLACEHOLDERS)
+        allowed = ", ".join("{" + placeholder + "}" for placeholder in PLACEHOLDERS)
         raise ConfigError(path, where, "tenant", tenant, f"a name, with {allowed} in it") from None
     return tenant
 
@@ -81,7 +82,7 @@
             where,
             "min_share",
             str(section.min_share),
-            "only for one tenant by name, without {places}",
+            "only for one tenant by name, without {placeholders}",
         )
     if section.min_share > section.max_share:
         raise ConfigError(
