--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -1,4 +1,4 @@
-"""The gate carries out every action of the door, whoever's event brought it."""
+"""The admission controller carries out each action of the policy, whichever event causes it."""
 
 from twisted.internet.task import Clock
 
@@ -8,129 +8,136 @@
 from tansycrank.admission.settings import Limits, Settings
 from tansycrank.postgres.errors import QUERY_REJECTED, PgError
 
-ASKER = CallerIdentity("a", "a/x", Limits())
+CALLER = CallerIdentity("a", "a/x", Limits())
 
 
-class LocalCluster:
-    """A gate with queries that end when told to."""
+class ControllerHarness:
+    """An admission controller whose admitted queries run until `end` is called."""
 
     def __init__(self, **bounds):
         self.clock = Clock()
-        self.gate = AdmissionController(self.clock, Policy(Settings(**bounds)))
-        self.running, self.heard, self.left = {}, {}, {}
+        self.controller = AdmissionController(self.clock, Policy(Settings(**bounds)))
+        self.running, self.outcomes, self.remaining_at_start = {}, {}, {}
 
-    def ask(self, name, asker=ASKER, remaining=1000.0, fingerprint=0):
-        def start(left, done):
-            self.running[name], self.left[name] = done, left
+    def submit(self, name, caller=CALLER, remaining=1000.0, fingerprint=0):
+        def start(remaining, done):
+            self.running[name], self.remaining_at_start[name] = done, remaining
             return name
 
-        return self.gate.submit(
-            asker, 0, 1, remaining, start,
-            lambda outcome: self.heard.setdefault(name, []).append(outcome),
+        return self.controller.submit(
+            caller, 0, 1, remaining, start,
+            lambda outcome: self.outcomes.setdefault(name, []).append(outcome),
             fingerprint=fingerprint,
         )  # fmt: skip
 
     def end(self, name, outcome="answer"):
         self.running.pop(name)(outcome)
 
-    def crowd(self, count=40):
+    def fill(self, count=40):
         for number in range(count):
-            self.ask(f"crowd-{number}", remaining=60_000.0)
-        return [n for n in (f"crowd-{k}" for k in range(count)) if n not in self.running]
-
-
-def test_a_query_waits_and_starts_with_the_time_it_has_left():
-    site = LocalCluster()
-    waiting = site.crowd()
-    assert waiting
-    site.clock.advance(0.3)
-    first = next(iter(site.running))
-    site.end(first)
-    assert site.heard[first] == ["answer"]
-    assert waiting[0] in site.running and site.left[waiting[0]] <= 59_700.0
-
-
-def test_what_a_glance_lets_in_is_started():
-    site = LocalCluster()
-    site.crowd()
-    for _ in range(3):  # ends one after the other, so that the door knows its pace
-        site.clock.advance(0.5)
-        site.end(next(iter(site.running)))
-    before = len(site.running)
-    site.gate.policy.in_flight.shard_requests -= 2  # room that nobody was told of
-    problem = site.gate.reject_early(CallerIdentity("b", "b/x", Limits()), 0, 1.0, 7, False)
-    problem = problem or site.gate.reject_early(ASKER, 0, 1.0, 9, False)
-    site.gate.policy.in_flight.shard_requests += 2
-    assert problem is None or problem.state == QUERY_REJECTED
-    assert len(site.gate.entries) == len(site.gate.policy.queue.queries) + len(
-        site.gate.policy.in_flight.queries
+            self.submit(f"filler-{number}", remaining=60_000.0)
+        return [n for n in (f"filler-{k}" for k in range(count)) if n not in self.running]
+
+
+def test_a_queued_query_starts_with_its_remaining_time():
+    harness = ControllerHarness()
+    queued = harness.fill()
+    assert queued
+    harness.clock.advance(0.3)
+    first = next(iter(harness.running))
+    harness.end(first)
+    assert harness.outcomes[first] == ["answer"]
+    assert queued[0] in harness.running and harness.remaining_at_start[queued[0]] <= 59_700.0
+
+
+def test_queries_admitted_by_an_early_rejection_check_are_started():
+    harness = ControllerHarness()
+    harness.fill()
+    for _ in range(3):  # queries that end one by one, so that the drain rate is known
+        harness.clock.advance(0.5)
+        harness.end(next(iter(harness.running)))
+    before = len(harness.running)
+    harness.controller.policy.in_flight.shard_requests -= (
+        2  # capacity not yet given to queued queries
     )
-    assert len(site.running) >= before
+    error = harness.controller.reject_early(CallerIdentity("b", "b/x", Limits()), 0, 1.0, 7, False)
+    error = error or harness.controller.reject_early(CALLER, 0, 1.0, 9, False)
+    harness.controller.policy.in_flight.shard_requests += 2
+    assert error is None or error.state == QUERY_REJECTED
+    assert len(harness.controller.entries) == len(harness.controller.policy.queue.queries) + len(
+        harness.controller.policy.in_flight.queries
+    )
+    assert len(harness.running) >= before
 
 
-def test_a_glance_refuses_only_what_has_no_chance_and_leaves_nothing_behind():
-    site = LocalCluster()
-    site.crowd()
+def test_early_rejection_is_limited_to_hopeless_queries_and_leaves_no_entry():
+    harness = ControllerHarness()
+    harness.fill()
     for _ in range(3):
-        site.clock.advance(0.5)
-        site.end(next(iter(site.running)))
-    problem = site.gate.reject_early(ASKER, 0, 5.0, 9, False)
+        harness.clock.advance(0.5)
+        harness.end(next(iter(harness.running)))
+    error = harness.controller.reject_early(CALLER, 0, 5.0, 9, False)
     assert (
-        isinstance(problem, PgError)
-        and problem.state == QUERY_REJECTED
-        and "retry_after_ms=" in problem.detail
+        isinstance(error, PgError)
+        and error.state == QUERY_REJECTED
+        and "retry_after_ms=" in error.detail
     )
-    assert site.gate.reject_early(ASKER, 0, 1e9, 11, False) is None
-    assert len(site.gate.entries) == len(site.gate.policy.queue.queries) + len(
-        site.gate.policy.in_flight.queries
+    assert harness.controller.reject_early(CALLER, 0, 1e9, 11, False) is None
+    assert len(harness.controller.entries) == len(harness.controller.policy.queue.queries) + len(
+        harness.controller.policy.in_flight.queries
     )
 
 
-def test_the_modules_refusal_leaves_with_the_doors_wait():
-    site = LocalCluster()
-    site.ask("q", fingerprint=3)
-    site.end("q", PgError(QUERY_REJECTED, "no", "retry_after_ms=900"))
-    (answer,) = site.heard["q"]
+def test_a_rejection_by_the_routing_policy_gets_the_retry_after_of_admission():
+    harness = ControllerHarness()
+    harness.submit("q", fingerprint=3)
+    harness.end("q", PgError(QUERY_REJECTED, "no", "retry_after_ms=900"))
+    (answer,) = harness.outcomes["q"]
     assert int(answer.detail.split("=")[1].split()[0]) >= 900 and "reason=module" in answer.detail
 
 
-def test_who_leaves_hears_once_and_frees_the_line():
-    site = LocalCluster()
-    site.crowd()
-    entry = site.ask("leaver", remaining=60_000.0)
-    site.gate.cancel(entry, lambda running: None)
-    site.gate.cancel(entry, lambda running: None)
-    assert [a.state for a in site.heard["leaver"]] == ["57014"]
-    assert entry.id not in site.gate.policy.queue.queries
+def test_a_cancelled_query_gets_one_outcome_and_leaves_the_queue():
+    harness = ControllerHarness()
+    harness.fill()
+    entry = harness.submit("cancelled", remaining=60_000.0)
+    harness.controller.cancel(entry, lambda running: None)
+    harness.controller.cancel(entry, lambda running: None)
+    assert [a.state for a in harness.outcomes["cancelled"]] == ["57014"]
+    assert entry.id not in harness.controller.policy.queue.queries
 
 
-def test_the_end_of_the_router_is_told_to_all_who_wait():
-    site = LocalCluster()
-    waiting = site.crowd()
-    site.gate.close(PgError("57P01", "over"))
-    assert all(site.heard[name][0].state == "57P01" for name in waiting)
-    assert not [call for call in site.clock.getDelayedCalls() if call.active()]
+def test_close_answers_all_queued_queries():
+    harness = ControllerHarness()
+    queued = harness.fill()
+    harness.controller.close(PgError("57P01", "over"))
+    assert all(harness.outcomes[name][0].state == "57P01" for name in queued)
+    assert not [call for call in harness.clock.getDelayedCalls() if call.active()]
 
 
-def test_a_line_that_is_late_is_answered_at_its_moment():
-    site = LocalCluster()
-    site.crowd()
-    site.ask("hurried", remaining=200.0)
-    assert "hurried" not in site.heard
-    site.clock.pump([0.01] * 25)
-    assert site.heard["hurried"][0].state == QUERY_REJECTED
+def test_a_queued_query_is_rejected_at_its_latest_useful_start():
+    harness = ControllerHarness()
+    harness.fill()
+    harness.submit("urgent", remaining=200.0)
+    assert "urgent" not in harness.outcomes
+    harness.clock.pump([0.01] * 25)
+    assert harness.outcomes["urgent"][0].state == QUERY_REJECTED
 
 
-def test_with_the_door_off_everyone_goes_straight_in():
+def test_without_a_policy_each_query_is_admitted_at_once():
     clock, started = Clock(), []
-    gate = AdmissionController(clock, None)
+    controller = AdmissionController(clock, None)
     for _ in range(100):
-        gate.submit(
-            ASKER, 0, 1, 100.0, lambda left, done: started.append(left), lambda outcome: None
+        controller.submit(
+            CALLER,
+            0,
+            1,
+            100.0,
+            lambda remaining, done: started.append(remaining),
+            lambda outcome: None,
         )
     assert len(started) == 100
 
 
-def test_the_wait_is_in_a_field_machines_can_read():
+def test_the_retry_after_is_machine_readable():
     assert rejection_error(12.2, "line").detail == "retry_after_ms=13 reason=line corrected=0"
     assert rejection_error(-5, "early", True).detail == "retry_after_ms=0 reason=early corrected=1"
--- a/tests/admission/test_machine.py
+++ b/tests/admission/test_machine.py
@@ -1,4 +1,4 @@
-"""No order of events loses or doubles a query, passes a bound, or starves a tenant with a share."""
+"""In any order of events each query gets one outcome, bounds hold and free capacity is used."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -25,26 +25,26 @@
 )
 
 
-class Door(RuleBasedStateMachine):
-    """All that can happen, in any order; each query's one fate is written down."""
+class AdmissionMachine(RuleBasedStateMachine):
+    """Random events in any order; records the one outcome of each query."""
 
     def __init__(self):
         super().__init__()
         self.policy = Policy(BOUNDS)
         self.now, self.ids = 0.0, 0
-        self.open, self.inside, self.fate, self.marks = {}, set(), {}, {}
+        self.open, self.in_flight_ids, self.outcomes, self.unused_marks = {}, set(), {}, {}
 
-    def play(self, *events):
+    def step(self, *events):
         for action in self.policy.step(self.now, events):
             match action:
                 case Admit(number):
-                    assert number in self.open and number not in self.inside
-                    self.inside.add(number)
+                    assert number in self.open and number not in self.in_flight_ids
+                    self.in_flight_ids.add(number)
                 case Reject(number, wait):
                     assert number in self.open and wait >= 0
-                    assert number not in self.inside
+                    assert number not in self.in_flight_ids
                     del self.open[number]
-                    self.fate[number] = "refused"
+                    self.outcomes[number] = "refused"
                 case SetTimer(at):
                     assert at >= self.now or self.policy.queue.queries
 
@@ -53,61 +53,70 @@
         client=st.sampled_from("xy"),
         query_class=st.integers(0, 1),
         shard_requests=st.integers(1, 9),
-        left=st.floats(1, 3000),
+        remaining=st.floats(1, 3000),
         size=st.integers(0, 1500),
         fingerprint=st.integers(0, 30),
-        repeat=st.booleans(),
+        is_retry=st.booleans(),
         share=st.sampled_from([0.0, 0.0, 0.2]),
     )
-    def arrives(
-        self, tenant, client, query_class, shard_requests, left, size, fingerprint, repeat, share
+    def query_arrives(
+        self,
+        tenant,
+        client,
+        query_class,
+        shard_requests,
+        remaining,
+        size,
+        fingerprint,
+        is_retry,
+        share,
     ):
         self.ids += 1
         self.open[self.ids] = tenant
-        self.play(
+        self.step(
             QueryArrived(
-                self.ids, tenant, client, query_class, shard_requests, left, fingerprint % 5,
-                fingerprint, size, repeat,
+                self.ids, tenant, client, query_class, shard_requests, remaining, fingerprint % 5,
+                fingerprint, size, is_retry,
                 Limits(min_share=share),
             )
         )  # fmt: skip
 
-    @precondition(lambda self: self.inside)
+    @precondition(lambda self: self.in_flight_ids)
     @rule(
         data=st.data(),
         kind=st.sampled_from(["answered", "answered", "refused", "failed", "cancelled"]),
     )
-    def ends(self, data, kind):
-        number = data.draw(st.sampled_from(sorted(self.inside)))
-        self.inside.discard(number)
+    def query_ends(self, data, kind):
+        number = data.draw(st.sampled_from(sorted(self.in_flight_ids)))
+        self.in_flight_ids.discard(number)
         if kind != "refused":
             del self.open[number]
-            self.fate[number] = kind
-        self.play(QueryEnded(number, kind, data.draw(st.floats(0, 5000)), 50.0))
-        assert number in self.fate
+            self.outcomes[number] = kind
+        self.step(QueryEnded(number, kind, data.draw(st.floats(0, 5000)), 50.0))
+        assert number in self.outcomes
 
     @precondition(lambda self: self.policy.queue.queries)
     @rule(data=st.data())
-    def leaves(self, data):
+    def query_cancelled(self, data):
         number = data.draw(st.sampled_from(sorted(self.policy.queue.queries)))
         del self.open[number]
-        self.fate[number] = "left"
-        self.play(QueryCancelled(number))
+        self.outcomes[number] = "cancelled in the queue"
+        self.step(QueryCancelled(number))
 
-    @rule(after=st.floats(0, 4000), late=st.sampled_from([0.0, 0.0, 5.0, 2000.0]))
-    def time_goes_by(self, after, late):
-        self.now += after
-        self.play(PeriodicTick(late))
+    @rule(elapsed=st.floats(0, 4000), timer_lag=st.sampled_from([0.0, 0.0, 5.0, 2000.0]))
+    def time_passes(self, elapsed, timer_lag):
+        self.now += elapsed
+        self.step(PeriodicTick(timer_lag))
 
-    @rule(tenant=st.sampled_from("abcd"), weight=st.floats(0.01, 100), most=st.floats(0.05, 1))
-    def limits_change(self, tenant, weight, most):
-        self.play(LimitsChanged(tenant, Limits(weight, 0.0, most, 100.0)))
+    @rule(tenant=st.sampled_from("abcd"), weight=st.floats(0.01, 100), max_share=st.floats(0.05, 1))
+    def limits_changed(self, tenant, weight, max_share):
+        self.step(LimitsChanged(tenant, Limits(weight, 0.0, max_share, 100.0)))
 
     @invariant()
-    def every_query_is_somewhere_once(self):
-        waiting = set(self.policy.queue.queries)
-        assert waiting | self.inside == set(self.open) and not waiting & self.inside
-        assert set(self.policy.in_flight.queries) == self.inside
+    def each_open_query_is_queued_or_in_flight(self):
+        queued = set(self.policy.queue.queries)
+        assert queued | self.in_flight_ids == set(self.open) and not queued & self.in_flight_ids
+        assert set(self.policy.in_flight.queries) == self.in_flight_ids
 
     @invariant()
     def bounds_hold(self):
@@ -131,10 +140,10 @@
             )
 
     @invariant()
-    def lines_add_up(self):
+    def totals_per_tenant_are_consistent(self):
         for tenant in self.policy.tenants.values():
-            mine = [t for t in self.policy.queue.queries.values() if t.tenant == tenant.key]
-            assert tenant.queue.size == len(mine)
+            queued = [t for t in self.policy.queue.queries.values() if t.tenant == tenant.key]
+            assert tenant.queue.size == len(queued)
             assert tenant.shard_requests_in_flight == sum(
                 t.shard_requests
                 for t in self.policy.in_flight.queries.values()
@@ -142,35 +151,35 @@
             )
 
     @invariant()
-    def nobody_waits_beside_room(self):
+    def no_query_is_queued_beside_free_capacity(self):
         policy = self.policy
-        able = [t for t in policy.tenants.values() if t.queue and not t.is_parked]
-        assert not able or policy.in_flight.shard_requests >= policy.limit.shard_requests
+        schedulable = [t for t in policy.tenants.values() if t.queue and not t.is_parked]
+        assert not schedulable or policy.in_flight.shard_requests >= policy.limit.shard_requests
 
     @invariant()
-    def nobody_waits_past_his_time(self):
+    def no_query_is_queued_past_its_latest_start(self):
         assert all(t.latest_start > self.now for t in self.policy.queue.queries.values())
 
     def teardown(self):
-        """Whatever came before: once all inside has ended and time has passed, everyone has an
-        answer.
+        """After any events, once the queries in flight have ended and all deadlines have passed,
+        each query has an outcome.
         """
-        while self.inside:
-            number = min(self.inside)
-            self.inside.discard(number)
+        while self.in_flight_ids:
+            number = min(self.in_flight_ids)
+            self.in_flight_ids.discard(number)
             del self.open[number]
-            self.fate[number] = "answered"
-            self.play(QueryEnded(number, "answered", 10.0))
+            self.outcomes[number] = "answered"
+            self.step(QueryEnded(number, "answered", 10.0))
         self.now += 10_000
-        self.play(PeriodicTick())
-        while self.inside:
-            number = min(self.inside)
-            self.inside.discard(number)
+        self.step(PeriodicTick())
+        while self.in_flight_ids:
+            number = min(self.in_flight_ids)
+            self.in_flight_ids.discard(number)
             del self.open[number]
-            self.fate[number] = "answered"
-            self.play(QueryEnded(number, "answered", 10.0))
-        assert not self.open and not self.policy.queue.queries and len(self.fate) == self.ids
+            self.outcomes[number] = "answered"
+            self.step(QueryEnded(number, "answered", 10.0))
+        assert not self.open and not self.policy.queue.queries and len(self.outcomes) == self.ids
 
 
-TestDoor = Door.TestCase
-TestDoor.settings = settings(max_examples=60, stateful_step_count=60, deadline=None)
+TestAdmissionMachine = AdmissionMachine.TestCase
+TestAdmissionMachine.settings = settings(max_examples=60, stateful_step_count=60, deadline=None)
--- a/tests/admission/test_simulated.py
+++ b/tests/admission/test_simulated.py
@@ -1,24 +1,24 @@
-"""Door, coordinator and module together in simulated time: the same run every time."""
+"""Admission control, coordinator and routing policy together in deterministic simulated time."""
 
 from tansycrank.admission.settings import Limits
 from tansycrank.testbed.admission_emulator import Load, Play, Scene, jain
 from tansycrank.testbed.simulated import SimClock
 
-SITE = {"nodes": 6, "shards": 6, "slots": 2, "seed": 3}
+CLUSTER = {"nodes": 6, "shards": 6, "slots": 2, "seed": 3}
 NAMES = [f"t{n}" for n in range(6)]
 
 
-def test_a_flood_leaves_the_others_what_they_had():
-    calm = Play(Scene([Load(n, 25) for n in NAMES], seconds=4, **SITE)).run()
+def test_an_overloading_tenant_leaves_the_others_their_service():
+    calm = Play(Scene([Load(n, 25) for n in NAMES], seconds=4, **CLUSTER)).run()
     flood = Load("big", 1500, "never", clients=20)
-    mixed = Play(Scene([*(Load(n, 25) for n in NAMES), flood], seconds=4, **SITE)).run()
+    mixed = Play(Scene([*(Load(n, 25) for n in NAMES), flood], seconds=4, **CLUSTER)).run()
     assert mixed.service(NAMES) >= 0.95 * calm.service(NAMES)
-    assert mixed.tallies["big"].answered > 100  # it gets what the others leave
+    assert mixed.tallies["big"].answered > 100  # it gets the remaining capacity
 
 
-def test_waits_are_true_in_steady_overload():
+def test_retry_after_is_accurate_in_steady_overload():
     loads = [Load(n, 80, limits=Limits(1 + i % 2)) for i, n in enumerate(NAMES)]
-    play = Play(Scene(loads, seconds=8, **SITE))
+    play = Play(Scene(loads, seconds=8, **CLUSTER))
     found = play.run().honesty(since=2.0)
     assert found["promises"] > 200
     assert (
@@ -29,34 +29,34 @@
     assert play.jain(NAMES) > 0.95
 
 
-def test_half_the_nodes_die_and_come_back_and_nobody_is_lost():
+def test_no_query_is_lost_while_half_the_nodes_fail_and_return():
     faults = ((2.0, "die", 0.5), (5.5, "back", 0.5))
-    play = Play(Scene([Load(n, 45) for n in NAMES], seconds=12, faults=faults, **SITE)).run()
+    play = Play(Scene([Load(n, 45) for n in NAMES], seconds=12, faults=faults, **CLUSTER)).run()
     limits = {round(second, 1): limit for second, limit, _ in play.limits}
     drains = {round(second, 1): drain_rate for second, _, drain_rate in play.limits}
     assert drains[5.4] < 0.8 * drains[1.9] and limits[5.4] < limits[1.9]
-    # the module tries the nodes that came back after half an aim; the door follows it up
+    # The routing policy probes returned nodes after half a latency objective; the limit follows.
     assert drains[9.3] > 1.2 * drains[5.4] and limits[9.3] > limits[6.5]
     gate = play.routers[0].gate
     assert len(gate.entries) == len(gate.policy.queue.queries) + len(gate.policy.in_flight.queries)
 
 
-def test_the_same_scene_plays_the_same_twice():
-    scene = Scene([Load(n, 60) for n in NAMES], seconds=2, faults=((0.8, "die", 0.5),), **SITE)
+def test_a_simulation_is_deterministic():
+    scene = Scene([Load(n, 60) for n in NAMES], seconds=2, faults=((0.8, "die", 0.5),), **CLUSTER)
     one, two = Play(scene).run(), Play(scene).run()
     assert [t.answered for t in one.tallies.values()] == [t.answered for t in two.tallies.values()]
     assert [p.wait for p in one.promises] == [p.wait for p in two.promises]
 
 
-def test_the_clock_calls_in_order_and_forgets_what_was_cancelled():
-    clock, heard = SimClock(), []
-    late = clock.callLater(2, heard.append, "late")
-    clock.callLater(1, heard.append, "early")
-    clock.callLater(1, heard.append, "second")
-    gone = clock.callLater(1.5, heard.append, "gone")
-    gone.cancel()
+def test_the_clock_calls_in_order_and_skips_cancelled_calls():
+    clock, called = SimClock(), []
+    late = clock.callLater(2, called.append, "late")
+    clock.callLater(1, called.append, "early")
+    clock.callLater(1, called.append, "second")
+    cancelled = clock.callLater(1.5, called.append, "cancelled")
+    cancelled.cancel()
     clock.run(1.7)
-    assert heard == ["early", "second"] and late.active() and clock.seconds() == 1.7
+    assert called == ["early", "second"] and late.active() and clock.seconds() == 1.7
 
 
 def test_jains_index():
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Settings: an error names file, section, key, value and what is allowed."""
+"""The settings file: errors name the file, section, key, value and what is allowed."""
 
 import pytest
 from test_planner import TEXT
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    "old, new, words",
+    "old, new, message_parts",
     [
         ("aim_ms = 1000", "aim_ms = soon", ("[class lookup]", "aim_ms", "soon")),
         ("aim_ms = 1000", "aim_ms = 5000", ("aim_ms", "at most give_up_ms")),
@@ -43,25 +43,25 @@
         ("give_up_ms = 2000", "give_up_ms = 2000\npattern = (", ("pattern", "regular expression")),
     ],
 )
-def test_an_error_names_what_is_wrong_and_what_is_allowed(old, new, words):
+def test_an_error_names_the_invalid_value_and_the_allowed_ones(old, new, message_parts):
     assert old in TEXT
-    with pytest.raises(config.ConfigError) as problem:
+    with pytest.raises(config.ConfigError) as error:
         config.parse(TEXT.replace(old, new, 1), "router.ini")
-    for word in ("router.ini", *words):
-        assert word in str(problem.value)
+    for word in ("router.ini", *message_parts):
+        assert word in str(error.value)
 
 
-def test_a_missing_file_is_named(tmp_path):
-    with pytest.raises(config.ConfigError) as problem:
+def test_an_error_names_a_missing_file(tmp_path):
+    with pytest.raises(config.ConfigError) as error:
         config.load(tmp_path / "none.ini")
-    assert "none.ini" in str(problem.value)
+    assert "none.ini" in str(error.value)
 
 
-def test_the_module_gets_three_classes_for_each_of_ours():
-    found = config.parse(
+def test_each_class_becomes_three_query_classes_of_the_routing_policy():
+    loaded = config.parse(
         TEXT + "\n[class report]\naim_ms = 5\ngive_up_ms = 9\ndedup_window_ms = 7\n"
     )
-    settings = config.routing_settings(found)
+    settings = config.routing_settings(loaded)
     assert [c.idempotency for c in settings.classes] == [
         Idempotency.IDEMPOTENT,
         Idempotency.WITH_KEY,
@@ -86,8 +86,8 @@
             assert field.name in page, field.name
 
 
-def test_the_example_settings_are_good():
+def test_the_example_settings_are_valid():
     from pathlib import Path
 
-    found = config.load(Path(__file__).parent.parent / "deploy/router.example.ini")
-    assert found.tables["trips"].distribution == "district"
+    loaded = config.load(Path(__file__).parent.parent / "deploy/router.example.ini")
+    assert loaded.tables["trips"].distribution == "district"
