--- a/tansycrank/admission/admission_queue.py
+++ b/tansycrank/admission/admission_queue.py
@@ -32,8 +32,8 @@
         self.cost += query.cost
         heapq.heappush(self._backlogs, (-tenant.queued_cost_by_weight, tenant.key))
         if len(self._backlogs) > 4 * self.scheduler.size + HEAP_SLACK:
-            backlogged = (one for one in tenants.values() if one.queue)
-            self._backlogs = [(-one.queued_cost_by_weight, one.key) for one in backlogged]
+            backlogged = (other for other in tenants.values() if other.queue)
+            self._backlogs = [(-other.queued_cost_by_weight, other.key) for other in backlogged]
             heapq.heapify(self._backlogs)
         if not tenant.is_parked:
             self.scheduler.schedule(tenant.key, tenant.queue)
@@ -42,17 +42,17 @@
     def remove(self, tenant: Tenant, query: QueuedQuery) -> None:
         """Remove a query out of turn, since it is cancelled, expired or displaced."""
         tenant.queue.remove(query)
-        self._removed(query)
+        self._update_totals(query)
         self.scheduler.compact()
 
     def take_next(self, tenant: Tenant) -> QueuedQuery:
         """Remove and return the next query of the tenant that is scheduled first."""
         query = tenant.queue.take()
         self.scheduler.serve(query.cost)
-        self._removed(query)
+        self._update_totals(query)
         return query
 
-    def _removed(self, query: QueuedQuery) -> None:
+    def _update_totals(self, query: QueuedQuery) -> None:
         del self.queries[query.id]
         self.scheduler.size -= 1
         self.bytes -= query.size
@@ -125,5 +125,5 @@
     def compact(self) -> None:
         """Drop heap entries of removed queries once they outnumber those of queued ones."""
         if len(self._deadlines) > 2 * len(self.queries) + HEAP_SLACK:
-            self._deadlines = [(one.latest_start, one.id) for one in self.queries.values()]
+            self._deadlines = [(query.latest_start, query.id) for query in self.queries.values()]
             heapq.heapify(self._deadlines)
--- a/tansycrank/admission/controller.py
+++ b/tansycrank/admission/controller.py
@@ -203,7 +203,7 @@
                 burst_ms=limits.burst,
             )
 
-    def close(self, problem: PgError) -> None:
+    def close(self, error: PgError) -> None:
         """Answer all queued queries with this error, since the router shuts down."""
         for call in (self._tick_call, self._timer):
             if call is not None and call.active():
@@ -211,7 +211,7 @@
         self._tick_call = self._timer = None
         for entry in list(self.entries.values()):
             if not entry.is_admitted:
-                self._finish(entry, problem)
+                self._finish(entry, error)
 
     # --- actions ----------------------------------------------------------------------------
 
--- a/tansycrank/admission/fair_queue.py
+++ b/tansycrank/admission/fair_queue.py
@@ -213,7 +213,7 @@
         client.schedule(query.query_class, class_queue)
         self.schedule(query.client, client)
 
-    def _removed(self, query: QueuedQuery) -> None:
+    def _update_totals(self, query: QueuedQuery) -> None:
         self.size -= 1
         self.cost = max(self.cost - query.cost, 0.0) if self.size else 0.0
         if query.is_returning:
@@ -232,7 +232,7 @@
             client.size -= 1
             client.serve(query.cost)
             self.serve(query.cost)
-        self._removed(query)
+        self._update_totals(query)
         return query
 
     def next_shard_requests(self) -> int:
@@ -253,7 +253,7 @@
             client.size -= 1
             client.compact()
             self.compact()
-        self._removed(query)
+        self._update_totals(query)
 
     def cost_ahead(self, client: str) -> float:
         """The cost that is served before a new query of this client."""
--- a/tansycrank/admission/reservations.py
+++ b/tansycrank/admission/reservations.py
@@ -1,4 +1,4 @@
-"""Reservations: the times at which rejected queries are told to return, spread out over time.
+"""Reservations: the times at which rejected queries should return, spread out over time.
 
 Reservations of a tenant follow one another at the tenant's rate, scaled by the share of its clients
 that return. All reservations are booked into short spans of time, each filled no further than the
@@ -104,8 +104,8 @@
         while (following := self._next_open.get(number)) is not None:
             path.append(number)
             number = following
-        for one in path:
-            self._next_open[one] = number
+        for full_span in path:
+            self._next_open[full_span] = number
         return number
 
     def add(
@@ -151,7 +151,7 @@
         return matching.get(session), False
 
     def redeem(self, owner: TenantReservations, reservation: Reservation) -> None:
-        """Remove a reservation whose client has returned at its time."""
+        """Remove a reservation whose client has returned when due, and count the return."""
         self.remove(owner, reservation)
         owner.return_share += RETURN_SHARE_SMOOTHING * (1.0 - owner.return_share)
 
--- a/tansycrank/admission/tenants.py
+++ b/tansycrank/admission/tenants.py
@@ -104,7 +104,7 @@
 
     def is_below_max_share(self, shard_requests: int, limit_shard_requests: float) -> bool:
         """Whether `shard_requests` more would stay within its maximum share of the concurrency
-        limit; one query is always allowed.
+        limit; always true while none is in flight.
         """
         maximum = self.limits.max_share * limit_shard_requests
         return (
--- a/tansycrank/config/conversion.py
+++ b/tansycrank/config/conversion.py
@@ -34,7 +34,7 @@
     door = config.door
     if not door.enabled:
         return None
-    sections = [one.section for one in config.classes for _ in IDEMPOTENCY_ORDER]
+    sections = [named.section for named in config.classes for _ in IDEMPOTENCY_ORDER]
     settings = AdmissionSettings(
         class_weights=tuple(section.weight for section in sections),
         useful_times=tuple(_useful_ms(section) for section in sections),
@@ -56,8 +56,8 @@
     rules, store, router = config.rules, config.store, config.router
     return routing.Settings(
         classes=tuple(
-            _query_class(one.section, idempotency)
-            for one in config.classes
+            _query_class(named.section, idempotency)
+            for named in config.classes
             for idempotency in IDEMPOTENCY_ORDER
         ),
         router_index=router.me,
--- a/tansycrank/config/loader.py
+++ b/tansycrank/config/loader.py
@@ -75,6 +75,6 @@
     try:
         return msgspec.convert(raw, section_type, strict=False)
     except msgspec.ValidationError as error:
-        what, _, where = str(error).partition(" - at `$.")
+        message, _, where = str(error).partition(" - at `$.")
         key = where.rstrip("`") or "-"
-        raise ConfigError(path, section, key, raw.get(key), what) from None
+        raise ConfigError(path, section, key, raw.get(key), message) from None
--- a/tansycrank/config/tenants.py
+++ b/tansycrank/config/tenants.py
@@ -14,11 +14,11 @@
 
 
 def _networks(path: str, section: str, key: str, text: str) -> tuple[str, ...]:
-    for one in split_list(text):
+    for network in split_list(text):
         try:
-            read_network(one)
-        except ValueError as problem:
-            raise ConfigError(path, section, key, one, str(problem)) from None
+            read_network(network)
+        except ValueError as error:
+            raise ConfigError(path, section, key, network, str(error)) from None
     return tuple(split_list(text))
 
 
