--- a/tansycrank/admission/in_flight.py
+++ b/tansycrank/admission/in_flight.py
@@ -7,7 +7,8 @@
 from tansycrank.admission.fair_queue import QueuedQuery
 from tansycrank.admission.tenants import Tenant
 
-LIGHT_FACTOR = 8.0  # how much less than the mean of queued and running queries a light one costs
+# A light query costs at most the mean cost of queued and running queries divided by this.
+LIGHT_FACTOR = 8.0
 LIGHT_SHARE = 0.25  # of the concurrency limit that light queries may hold in addition to it
 
 
@@ -16,9 +17,9 @@
 
     def __init__(self) -> None:
         self.queries: dict[int, QueuedQuery] = {}
-        self.shard_requests = 0  # in flight, of all queries
+        self.shard_requests = 0  # of all queries
         self.cost = 0.0
-        self.light_shard_requests = 0  # those of light queries
+        self.light_shard_requests = 0  # of light queries
 
     def add(self, now: float, tenant: Tenant, query: QueuedQuery) -> None:
         """Add an admitted query."""
--- a/tansycrank/admission/retry_after.py
+++ b/tansycrank/admission/retry_after.py
@@ -30,7 +30,7 @@
         return now + (tenant.queue.returning_cost + query.cost) / rate
     new_query_rate = max(rate - tenant.return_demand.rate(now), MIN_NEW_SHARE * rate)
     due = now + (tenant.queue.cost_ahead(query.client) + query.cost) / new_query_rate
-    # Fair queueing serves the only query of a tenant within one round.
+    # Fair queueing serves the first query of a tenant that was idle within one round.
     if not tenant.queue and not tenant.reservations.count:
         mean = queue.cost / max(queue.scheduler.size, 1)
         due = min(due, now + (len(queue.scheduler.children) * mean + query.cost) / drain_rate)
@@ -80,5 +80,5 @@
 
 
 def remaining_wait(tenant: Tenant, cost: float) -> float:
-    """The time in ms for which a query of this cost is queued if it returns now as due."""
+    """The time in ms for which a query of this cost is queued if it returns now, when due."""
     return (tenant.queue.returning_cost + cost) / max(tenant.rate, MIN_RATE)
--- a/tansycrank/admission/views.py
+++ b/tansycrank/admission/views.py
@@ -10,7 +10,7 @@
 from tansycrank.admission.settings import MAX_RESERVED_SHARE, Limits
 from tansycrank.postgres.errors import INVALID_PARAMETER, PgError
 
-MAX_TENANT_ROWS = 200  # those with most queued, running and rejected queries are tenants
+MAX_TENANT_ROWS = 200  # the view shows tenants with most queued, running and rejected queries
 TENANT_COLUMNS = (
     "tenant", "queued", "inside_parts", "rate", "weight", "min_share", "max_share", "burst_ms",
     "arrived", "admitted", "answered", "refused", "corrected", "early", "left", "promised", "show",
@@ -31,7 +31,11 @@
 
 
 def tenant_rows(controller: AdmissionController) -> list[tuple[str, ...]]:
-    """One row per tenant, in the order of `TENANT_COLUMNS`."""
+    """One row per tenant with the columns `TENANT_COLUMNS`.
+
+    `rate` is in shard requests per second, `promised` is the number of reservations and `show` the
+    share of them that is redeemed.
+    """
     if controller.policy is None:
         return []
     tenants = sorted(
@@ -46,8 +50,7 @@
             t.key, t.queue.size, t.shard_requests_in_flight, rate, f"{limits.weight:g}",
             f"{limits.min_share:g}", f"{limits.max_share:g}", f"{limits.burst:g}", t.arrived,
             t.admitted, t.answered, t.rejected, t.corrected, t.early_returns, t.cancelled,
-            t.reservations.count,
-            f"{t.reservations.return_share:.2f}", f"{t.last_retry_after:.0f}",
+            t.reservations.count, f"{t.reservations.return_share:.2f}", f"{t.last_retry_after:.0f}",
         )  # fmt: skip
         rows.append(tuple(str(value) for value in values))
     return rows
