--- a/tansycrank/testbed/soak/seeded_bugs.py
+++ b/tansycrank/testbed/soak/seeded_bugs.py
@@ -28,11 +28,11 @@
     def start(self, now: float) -> None:
         """It may."""
 
-    def may_leave(self, now: float) -> bool:
+    def may_still_start(self, now: float) -> bool:
         """It may."""
         return True
 
-    def take_back(self) -> None:
+    def undo_start(self) -> None:
         """Nothing is kept of it."""
 
 
@@ -72,7 +72,7 @@
                 one.zone,
                 routing.EndpointStatus.IN_SERVICE,
                 one.started_at,
-                one.size_hint,
+                one.weight,
                 one.reported_incarnation,
             )
             for one in event.entries
@@ -152,7 +152,7 @@
     reactor = clock.install_reactor()
 
     def received(self: DiscoveryExchange, data: bytes) -> None:
-        delay = 0.6 if reactor.overslept() > clock.STALL_SECONDS else 0.0
+        delay = 0.6 if reactor.unread_seconds() > clock.STALL_SECONDS else 0.0
         reactor.callLater(delay, receive, self, data)
 
     DiscoveryExchange.dataReceived = received
