--- a/tansycrank/http_router/daemon.py
+++ b/tansycrank/http_router/daemon.py
@@ -102,7 +102,7 @@
         )
         self.maintenance = Maintenance(reactor, self.pool, self.server, self._report_state, log)
         self.discovery_failures = 0
-        self._is_empty_list_doubted = False  # an empty list is being confirmed by a poll
+        self._is_confirming_empty_list = False  # an empty list is being confirmed by a poll
         self._may_become_ready = False  # a list was received, or waiting timed out
         self._listen_timer = None  # set while a retry to bind the address is scheduled
 
@@ -194,8 +194,8 @@
         if not self._is_outdated(document):
             self._version_reset.clear()
             is_empty = document.full and not document.servers and len(self.endpoint_directory) > 0
-            if is_empty and not self._is_empty_list_doubted:
-                self._is_empty_list_doubted = True
+            if is_empty and not self._is_confirming_empty_list:
+                self._is_confirming_empty_list = True
                 log(
                     "empty_endpoint_list_received",
                     version=document.version,
@@ -203,7 +203,7 @@
                 )
                 self.discovery.poll_once()
             else:
-                self._is_empty_list_doubted = False
+                self._is_confirming_empty_list = False
                 self._apply_endpoint_list(
                     document,
                     routing.EndpointListKind.SNAPSHOT
--- a/tansycrank/http_router/http_server.py
+++ b/tansycrank/http_router/http_server.py
@@ -17,9 +17,8 @@
 # s a connection is protected from eviction after an answer, which may still be in transit, and
 # another request may follow it
 MIN_IDLE_AFTER_ANSWER = 0.1
-MIN_STALL = (
-    0.05  # s of a process stall from which connections are assumed to have been queued by it
-)
+# s of a process stall from which new connections are assumed to have waited in the accept queue
+MIN_STALL = 0.05
 ACCEPT_RETRY_INTERVAL = 0.02  # s between checks of a full server whether it can accept again
 
 
--- a/tests/http_router/live.py
+++ b/tests/http_router/live.py
@@ -1,5 +1,6 @@
-"""A router of the platform on a clock and transports in memory; clients, nodes and discovery are
-played.
+"""Test harness: an HTTP router on an in-memory clock and transports.
+
+The tests act as clients, data nodes and discovery.
 """
 
 import json
@@ -11,7 +12,7 @@
 from tansycrank.http_router import settings as configuration
 from tansycrank.http_router.daemon import Daemon
 
-START = 1_700_000_000.0  # s; nodes' starts are told on the same clock
+START = 1_700_000_000.0  # s; start times of nodes use the same clock
 
 OPERATOR_SETTINGS = {
     "caps": {
@@ -93,8 +94,8 @@
 
 
 def config(servers=(1, 2, 3), **more):
-    """The bytes of a configuration file; `more` replaces top-level keys."""
-    told = {
+    """An encoded configuration file; `more` replaces top-level keys."""
+    document = {
         "name": "n0",
         "listen": "127.0.0.1:7000",
         "discovery": "127.0.0.9:8500",
@@ -103,33 +104,33 @@
         "known": {"version": 4, "full": True, "servers": [entry(n) for n in servers]},
         "settings": OPERATOR_SETTINGS,
     }
-    return json.dumps(told | more).encode()
+    return json.dumps(document | more).encode()
 
 
-class SilentSocket:
-    """A socket of which the system tells nothing."""
+class SocketWithoutOptions:
+    """A socket on which getsockopt fails."""
 
     def getsockopt(self, *what):
         raise OSError
 
 
 class Transport(StringTransport):
-    """Ends its protocol's connection when told to, as a socket would."""
+    """An in-memory transport that notifies its protocol when the connection closes."""
 
     def __init__(self, protocol=None):
         super().__init__()
         self.protocol, self.over, self.half_closed = protocol, False, False
 
-    stuck = False  # whether the system takes no more bytes
+    stuck = False  # whether the kernel accepts no more bytes
 
     def setTcpNoDelay(self, enabled):
         pass
 
     def doRead(self):
-        """Nothing waits: what a peer says is read at once."""
+        """Do nothing: sent data is delivered immediately, so none is ever pending."""
 
     def getHandle(self):
-        return SilentSocket()
+        return SocketWithoutOptions()
 
     def registerProducer(self, producer, streaming):
         super().registerProducer(producer, streaming)
@@ -156,33 +157,33 @@
             self.protocol.connectionLost(Failure(ConnectionDone()))
 
     def take(self):
-        """What was written since this was last asked."""
+        """Return and clear the bytes written since the last call."""
         written = self.value()
         self.clear()
         return written
 
 
 def parse_shard_requests(call):
-    """The parts of a call, as a node reads them: (id, shard, ms, text)."""
+    """The shard requests of a frame, as a data node parses them: (id, shard, ms, text)."""
     shard_requests = []
     while call:
         line, _, call = call.partition(b"\n")
-        id, shard, told, length = line.decode().split()
-        wait = told.partition(",")[0].removeprefix("d=")
-        shard_requests.append((id, int(shard), int(wait), call[: int(length)]))
+        id, shard, options, length = line.decode().split()
+        max_wait = options.partition(",")[0].removeprefix("d=")
+        shard_requests.append((id, int(shard), int(max_wait), call[: int(length)]))
         call = call[int(length) :]
     return shard_requests
 
 
 class Peer:
-    """The far end of a connection that the router made."""
+    """The remote end of a connection opened by the router."""
 
     def __init__(self, host, port, factory):
         self.host, self.port, self.factory = host, port, factory
         self.protocol = self.transport = None
 
     def accept(self, stuck=False):
-        """The connection comes up; `stuck` if the system takes no byte for it."""
+        """Establish the connection; `stuck` if the kernel accepts no bytes for it."""
         self.protocol = self.factory.buildProtocol(None)
         self.transport = Transport(self.protocol)
         self.transport.stuck = stuck
@@ -193,7 +194,7 @@
         self.factory.clientConnectionFailed(None, Failure(ConnectionRefusedError()))
 
     def take_shard_requests(self):
-        """The parts sent since this was last asked: (id, shard, ms, text)."""
+        """Return the shard requests received since the last call: (id, shard, ms, text)."""
         data, shard_requests = self.transport.take(), []
         self.cancelled_ids = []
         while data:
@@ -231,7 +232,7 @@
 
 
 class Port:
-    """The listening port, as far as a full router uses it."""
+    """The part of the listening port that the HTTP server uses."""
 
     reading = True
     starved = False
@@ -254,7 +255,7 @@
 
 
 class RouterHarness:
-    """The daemon and the far ends of its connections."""
+    """The daemon and the remote ends of its connections."""
 
     def __init__(self, raw=None, environ=None):
         self.reactor = MemoryReactorClock()
@@ -269,7 +270,7 @@
         self.run(0)
 
     def run(self, seconds):
-        """Pass time in steps of 5 ms; new connections are sorted to discovery and nodes."""
+        """Advance time in steps of 5 ms, then sort new connections into discovery and nodes."""
         for _ in range(max(round(seconds / 0.005), 3)):
             self.reactor.advance(0.005 if seconds else 0)
         for host, port, factory, *_ in self.reactor.tcpClients[self.seen :]:
@@ -277,7 +278,7 @@
         self.seen = len(self.reactor.tcpClients)
 
     def use_port(self):
-        """Give the router a port that can do what the system's can, once it listens."""
+        """Replace the port of a listening router by one that records pausing."""
         if self.daemon.server.port is not None:
             self.daemon.server.port = self.port
 
@@ -289,14 +290,14 @@
         return protocol, transport
 
     def send_request(self, data, client=None):
-        """A client sends this; returns its transport."""
+        """Send data as a client; returns its transport."""
         protocol, transport = client or self.client()
         protocol.dataReceived(data)
         self.run(0)
         return transport
 
     def take_shard_requests(self):
-        """All parts sent to nodes since this was last asked: (peer, id, shard)."""
+        """Return the shard requests sent to nodes since the last call: (peer, id, shard)."""
         self.run(0)
         for peer in self.nodes:
             if peer.transport is None:
--- a/tests/http_router/test_given_up.py
+++ b/tests/http_router/test_given_up.py
@@ -1,6 +1,4 @@
-"""Each request that is refused or fails is counted with its reason, and logged with its history,
-bounded.
-"""
+"""Rejected and failed queries are counted by reason and logged with their history, rate-limited."""
 
 import json
 
@@ -12,13 +10,13 @@
 
 
 @pytest.fixture
-def live(caplog):
+def harness(caplog):
     caplog.set_level("INFO", logger="tansycrank")
     return RouterHarness()
 
 
-def told(caplog):
-    """The lines about requests given up: (request, answer, reason, history)."""
+def logged_failures(caplog):
+    """The logged rejections and failures: (request, answer, reason, history)."""
     events = [json.loads(record.getMessage()) for record in caplog.records]
     return [
         (event["request"], event["answer"], event["reason"], event["history"])
@@ -27,95 +25,98 @@
     ]
 
 
-def drain_all(live):
-    watch = live.discovery[0].accept()
+def drain_all(harness):
+    watch = harness.discovery[0].accept()
     line = json.dumps(
         {"version": 5, "full": False, "servers": [entry(n, "terminating") for n in (1, 2, 3)]}
     )
     chunk = f"{len(line) + 1:x}\r\n{line}\n\r\n"
     watch.send(f"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}".encode())
-    live.run(0.02)
+    harness.run(0.02)
 
 
-def nobody_could_be_sent_to(live):
-    drain_all(live)
-    live.send_request(post())
-    live.run(1.0)
+def all_nodes_draining(harness):
+    drain_all(harness)
+    harness.send_request(post())
+    harness.run(1.0)
 
 
-def silent_to_the_end(live):
-    live.send_request(post())
-    live.take_shard_requests()
-    live.run(2.5)
+def no_answer_before_the_deadline(harness):
+    harness.send_request(post())
+    harness.take_shard_requests()
+    harness.run(2.5)
 
 
-def lost_after_it_was_sent(live):
-    live.send_request(post(path="/book"))
-    [(peer, _, _)] = live.take_shard_requests()
+def connection_lost_after_send(harness):
+    harness.send_request(post(path="/book"))
+    [(peer, _, _)] = harness.take_shard_requests()
     peer.transport.end()
-    live.run(0)
+    harness.run(0)
 
 
-def out_when_the_router_stops_and_its_policy_sleeps(live):
-    live.daemon.terminate()
-    live.run(1.0)
-    live.send_request(post(path="/book", deadline=2000))
-    live.take_shard_requests()
-    live.daemon.coordinator.loop.stop()
-    live.daemon.coordinator.loop.handle = lambda *events: None
-    live.run(live.daemon.settings.shutdown_timeout / 1000 - 1.0 + 0.1)
+def shutdown_while_the_policy_is_unresponsive(harness):
+    harness.daemon.terminate()
+    harness.run(1.0)
+    harness.send_request(post(path="/book", deadline=2000))
+    harness.take_shard_requests()
+    harness.daemon.coordinator.loop.stop()
+    harness.daemon.coordinator.loop.handle = lambda *events: None
+    harness.run(harness.daemon.settings.shutdown_timeout / 1000 - 1.0 + 0.1)
 
 
-def its_answers_are_not_read(live):
-    protocol, _ = client = live.client()
-    live.send_request(post(deadline=2000), client)
-    live.take_shard_requests()
+def client_does_not_read_answers(harness):
+    protocol, _ = client = harness.client()
+    harness.send_request(post(deadline=2000), client)
+    harness.take_shard_requests()
     protocol.reject_pending()
 
 
-def a_fault_of_the_policy(live):
-    live.send_request(post())
-    live.daemon.coordinator.loop.policy.step = None
-    live.run(0.5)
+def exception_in_the_policy(harness):
+    harness.send_request(post())
+    harness.daemon.coordinator.loop.policy.step = None
+    harness.run(0.5)
 
 
 @pytest.mark.parametrize(
-    "happens, reason, kind",
+    "scenario, reason, kind",
     [
-        (nobody_could_be_sent_to, FailureReason.NO_START, "rejected"),
-        (silent_to_the_end, FailureReason.DEADLINE_PASSED, "rejected"),
-        (lost_after_it_was_sent, FailureReason.TOO_FEW_SHARDS, "failed"),
-        (out_when_the_router_stops_and_its_policy_sleeps, FailureReason.STOPPING, "failed"),
-        (its_answers_are_not_read, FailureReason.UNREADABLE, "rejected"),
-        (a_fault_of_the_policy, FailureReason.FAULT, "rejected"),
+        (all_nodes_draining, FailureReason.NO_START, "rejected"),
+        (no_answer_before_the_deadline, FailureReason.DEADLINE_PASSED, "rejected"),
+        (connection_lost_after_send, FailureReason.TOO_FEW_SHARDS, "failed"),
+        (shutdown_while_the_policy_is_unresponsive, FailureReason.STOPPING, "failed"),
+        (client_does_not_read_answers, FailureReason.UNREADABLE, "rejected"),
+        (exception_in_the_policy, FailureReason.FAULT, "rejected"),
     ],
     ids=lambda value: getattr(value, "__name__", ""),
 )
-def test_the_reason_is_counted_and_logged_with_the_history(live, caplog, happens, reason, kind):
-    happens(live)
-    [(request, answered, why, history)] = told(caplog)
-    assert (request, answered, why) == ("q1", kind, reason.value)
+def test_failure_reason_is_counted_and_logged_with_history(harness, caplog, scenario, reason, kind):
+    scenario(harness)
+    [(request, answer_kind, logged_reason, history)] = logged_failures(caplog)
+    assert (request, answer_kind, logged_reason) == ("q1", kind, reason.value)
     assert "taken" in history[0] and any(event.endswith(kind) for event in history)
-    assert live.daemon.coordinator.failure_log.counts_by_reason() == {reason.name.lower(): 1}
+    assert harness.daemon.coordinator.failure_log.counts_by_reason() == {reason.name.lower(): 1}
 
 
-def test_what_is_served_is_given_no_reason(live, caplog):
-    transport = live.send_request(post())
-    [(peer, id, _)] = live.take_shard_requests()
+def test_answered_query_records_no_failure_reason(harness, caplog):
+    transport = harness.send_request(post())
+    [(peer, id, _)] = harness.take_shard_requests()
     peer.send(answer(id))
-    live.run(0)
+    harness.run(0)
     assert status(transport.take()) == 200
-    assert not told(caplog) and not live.daemon.coordinator.failure_log.counts_by_reason()
+    assert (
+        not logged_failures(caplog)
+        and not harness.daemon.coordinator.failure_log.counts_by_reason()
+    )
 
 
-def test_the_log_is_bounded_while_all_are_counted(live, caplog):
-    drain_all(live)
+def test_failure_log_is_rate_limited_but_counts_all(harness, caplog):
+    drain_all(harness)
     for number in range(20):
-        live.send_request(post(id=f"q{number}"))
-    live.run(0.9)
-    assert len(told(caplog)) == MAX_LINES_PER_SECOND
-    assert live.daemon.coordinator.failure_log.counts_by_reason() == {"no_start": 20}
-    live.run(1.0)
-    live.send_request(post(id="later"))
-    live.run(0.9)
-    assert [request for request, *_ in told(caplog)][-1] == "later"
+        harness.send_request(post(id=f"q{number}"))
+    harness.run(0.9)
+    assert len(logged_failures(caplog)) == MAX_LINES_PER_SECOND
+    assert harness.daemon.coordinator.failure_log.counts_by_reason() == {"no_start": 20}
+    harness.run(1.0)
+    harness.send_request(post(id="later"))
+    harness.run(0.9)
+    assert [request for request, *_ in logged_failures(caplog)][-1] == "later"
--- a/tests/http_router/test_program.py
+++ b/tests/http_router/test_program.py
@@ -1,4 +1,4 @@
-"""The program itself on loopback sockets, against a data node and a discovery played by threads."""
+"""The router process on loopback sockets, with a data node and discovery served by threads."""
 
 import contextlib
 import json
@@ -22,12 +22,12 @@
 
 
 def listener():
-    made = socket.create_server(("127.0.0.1", 0))
-    return made, made.getsockname()[1]
+    listening_socket = socket.create_server(("127.0.0.1", 0))
+    return listening_socket, listening_socket.getsockname()[1]
 
 
 def serve(listening, handle):
-    """Each connection in a thread of its own, until the listener closes."""
+    """Handle each connection in its own thread until the listener closes."""
 
     def accept():
         while True:
@@ -41,7 +41,7 @@
 
 
 def node(connection):
-    """Answers each part with its shard as the value."""
+    """Answer each shard request with a value that contains its shard."""
     stream = connection.makefile("rb")
     while header := stream.read(4):
         frame = stream.read(int.from_bytes(header, "little"))
@@ -53,17 +53,17 @@
             connection.sendall(answer(id, value=f"value of {shard}"))
 
 
-class DiscoveryClient:
+class DiscoveryServer:
     def __init__(self):
         self.listening, self.port = listener()
-        self.asked = threading.Event()
+        self.requested = threading.Event()
         serve(self.listening, self.handle)
 
     def handle(self, connection):
         self.request = connection.recv(4096)
-        self.asked.set()
+        self.requested.set()
         connection.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
-        with contextlib.suppress(OSError):  # the router went
+        with contextlib.suppress(OSError):  # the router disconnected
             while True:
                 time.sleep(0.5)
                 connection.sendall(b"1\r\n\n\r\n")
@@ -73,7 +73,7 @@
 def program(tmp_path):
     nodes, node_port = listener()
     serve(nodes, node)
-    first = DiscoveryClient()
+    first = DiscoveryServer()
     reserved = ReservedPort()
     port = reserved.number
     path = tmp_path / "config.json"
@@ -107,9 +107,9 @@
     nodes.close()
 
 
-def ask(program, body, **headers):
-    told = {"X-Request-Id": "q1", "X-Deadline-Ms": "1900"} | headers
-    request = urllib.request.Request(program.base + "/look", body, told)
+def send_query(program, body, **headers):
+    all_headers = {"X-Request-Id": "q1", "X-Deadline-Ms": "1900"} | headers
+    request = urllib.request.Request(program.base + "/look", body, all_headers)
     try:
         with urllib.request.urlopen(request, timeout=10) as found:
             return found.status, json.loads(found.read())
@@ -117,24 +117,26 @@
         return problem.code, json.loads(problem.read())
 
 
-GOOD = b'{"shards":[{"shard":1,"weight":0.5},{"shard":5,"weight":0.5}],"q":"x"}'
+VALID_BODY = b'{"shards":[{"shard":1,"weight":0.5},{"shard":5,"weight":0.5}],"q":"x"}'
 
 
-def test_it_serves_reloads_and_leaves(program):
-    status, found = ask(program, GOOD)
+def test_serves_reloads_and_shuts_down(program):
+    status, found = send_query(program, VALID_BODY)
     assert status == 200 and found["complete"] is True
     assert {hit["shard"]: hit["doc"] for hit in found["hits"]} == {1: "value of 1", 5: "value of 5"}
-    assert ask(program, b"{}")[0] == 400 and ask(program, b"x" * 200_000)[0] == 413
-    second = DiscoveryClient()
+    assert send_query(program, b"{}")[0] == 400 and send_query(program, b"x" * 200_000)[0] == 413
+    second = DiscoveryServer()
     program.write(second)
     program.send_signal(signal.SIGHUP)
-    assert second.asked.wait(10) and second.request.startswith(b"GET /api/targets?watch=1&after=4 ")
+    assert second.requested.wait(10) and second.request.startswith(
+        b"GET /api/targets?watch=1&after=4 "
+    )
     program.send_signal(signal.SIGTERM)
-    assert ask(program, GOOD)[0] == 200  # it goes on for a moment
+    assert send_query(program, VALID_BODY)[0] == 200  # still served until draining starts
     assert program.wait(10) == 0
 
 
-def test_a_configuration_that_cannot_be_used_ends_it_with_a_reason(tmp_path):
+def test_invalid_configuration_exits_with_the_reason(tmp_path):
     path = tmp_path / "config.json"
     path.write_bytes(config(listen="nowhere"))
     environ = os.environ | {"NODE_CONFIG": str(path), "PYTHONPATH": str(ROOT)}
@@ -144,7 +146,7 @@
     assert found.returncode == 2 and b"listen: an address host:port is needed" in found.stderr
 
 
-def test_it_loads_nothing_of_the_other_fronts():
+def test_imports_no_modules_of_the_sql_router():
     names = (
         "pglast",
         "duckdb",
