--- a/tansycrank/http_router/daemon.py
+++ b/tansycrank/http_router/daemon.py
@@ -258,12 +258,16 @@
         except ConfigError as problem:
             log("configuration_rejected", problem=str(problem))
             return
-        unchanged = [
+        needs_restart = [
             attribute
             for attribute in ("listen", "module", "sockets", "zones", "classes")
             if getattr(new, attribute) != getattr(self.settings, attribute)
         ]
-        log("configuration_reloaded", discovery=list(new.discovery), only_after_a_restart=unchanged)
+        log(
+            "configuration_reloaded",
+            discovery=list(new.discovery),
+            only_after_a_restart=needs_restart,
+        )
         self.discovery.set_address(*new.discovery)
 
     def terminate(self) -> None:
