--- a/tansycrank/http_router/coordinator.py
+++ b/tansycrank/http_router/coordinator.py
@@ -98,7 +98,7 @@
         self.queries[request.id] = self._queries_by_id[query.id] = query
         self.in_flight += query.size
         self.counts["taken"] += 1
-        self.loop.handle(*events)
+        self.loop.enqueue(*events)
         return query
 
     def _check_may_accept(self, request: QueryRequest) -> None:
@@ -157,7 +157,7 @@
             self.counts["left"] += 1
             self.lifecycle.abandon(query.lifecycle_query, self.loop.now)
             self._end(query)
-            self.loop.handle(routing.QueryCancelled(query.id))
+            self.loop.enqueue(routing.QueryCancelled(query.id))
 
     def reject(self, query: ActiveQuery, reason: FailureReason) -> None:
         """Answer a query without a decision of the policy.
@@ -172,7 +172,7 @@
             self._reject(routing.Reject(query.id, retry_after, reason))
         else:
             self._fail(routing.Fail(query.id, reason))
-        self.loop.handle(routing.QueryCancelled(query.id))
+        self.loop.enqueue(routing.QueryCancelled(query.id))
 
     def reject_all(self, reason: FailureReason) -> None:
         """Reject or fail all queries in flight."""
@@ -211,8 +211,8 @@
                 query.lifecycle_query,
                 shard_request.shard,
                 action.endpoint,
-                action.time_out,
-                action.leave_within,
+                action.timeout,
+                action.write_timeout,
                 started_at,
             )
         except AttemptDeniedError as denied:
@@ -252,9 +252,9 @@
                 time_out,
                 on_ended,
                 attempt,
-                action.connect_within,
+                action.connect_timeout,
                 query.request.idempotency_key,
-                action.leave_within,
+                action.write_timeout,
             )
         )
 
@@ -269,7 +269,7 @@
         if event.outcome is routing.Outcome.SUCCEEDED and shard_request.value is None:
             shard_request.value = value
             self._revoke_unsent(shard_request)
-        self.loop.handle(event)
+        self.loop.enqueue(event)
         if query.has_ended:
             self._forget(shard_request)
 
@@ -284,7 +284,7 @@
                 OutgoingCall.never_sent(shard_request.name, shard_request.shard)
             )
         self.outcomes[routing.Outcome.NOT_SENT.value] += 1
-        self.loop.handle(
+        self.loop.enqueue(
             routing.AttemptEnded(
                 action.shard_request,
                 number,
@@ -361,7 +361,7 @@
         for entry in event.entries:
             if entry.status is routing.EndpointStatus.DRAINING:
                 self.pool.revoke_unsent(entry.endpoint)
-        self.loop.handle(event)
+        self.loop.enqueue(event)
 
     def _on_violation(self, violation: Violation) -> None:
         self.log(
--- a/tansycrank/http_router/daemon.py
+++ b/tansycrank/http_router/daemon.py
@@ -226,7 +226,7 @@
     def on_discovery_failure(self) -> None:
         """Notify the policy that a poll or the watch of discovery has failed."""
         self.discovery_failures += 1
-        self.coordinator.loop.handle(routing.EndpointListUpdate(routing.EndpointListKind.FAILED))
+        self.coordinator.loop.enqueue(routing.EndpointListUpdate(routing.EndpointListKind.FAILED))
         if self.settings.module.polls_discovery:
             self._become_ready()
 
@@ -289,7 +289,7 @@
         log(
             "shutdown_completed",
             **self.coordinator.counts,
-            **lifecycle.figures(),
+            **lifecycle.counters(),
             given_up=self.coordinator.failure_log.counts_by_reason(),
         )
         self.coordinator.loop.stop()
@@ -306,7 +306,7 @@
             **self.coordinator.counts,
             **self.server.counts,
             outcomes=self.coordinator.outcomes,
-            **self.coordinator.lifecycle.figures(),
+            **self.coordinator.lifecycle.counters(),
             closed=self.server.closed,
             given_up=self.coordinator.failure_log.counts_by_reason(),
             open=len(self.coordinator.queries),
@@ -317,12 +317,12 @@
             steps=loop.steps,
             discovery_failures=self.discovery_failures,
             unusable_last=self.server.latest_rejection,
-            late_ms=round(loop.latest, 1),
+            late_ms=round(loop.max_timer_lateness, 1),
             **self.stall_metrics.report(),
             cpu_s=round(usage.ru_utime + usage.ru_stime, 2),
             rss_mb=round(usage.ru_maxrss / 1024, 1),
         )
-        loop.latest = 0.0
+        loop.max_timer_lateness = 0.0
 
 
 def main() -> int:
@@ -335,8 +335,8 @@
         print(f"run: {problem}", file=sys.stderr)
         return 2
     reactor = clock.install_reactor()
-    daemon = Daemon(reactor, settings, os.environ, reactor.overslept)
-    reactor.on_late = daemon.stall_metrics.record_lateness
+    daemon = Daemon(reactor, settings, os.environ, reactor.unread_seconds)
+    reactor.on_late_poll = daemon.stall_metrics.record_lateness
 
     def on_signal(number: int, handler) -> None:
         signal.signal(number, lambda *_: reactor.callFromThread(handler))
--- a/tansycrank/http_router/http_server.py
+++ b/tansycrank/http_router/http_server.py
@@ -169,7 +169,7 @@
         if self.port is None:
             return None
         if (stalled := self.overslept()) > MIN_STALL:
-            self.port.note_waiting(self.now - stalled)
+            self.port.record_waiting(self.now - stalled)
         return self.port.waiting_since
 
     def _resume_accepting(self) -> None:
@@ -178,7 +178,7 @@
         if self._is_full():
             self.reactor.callLater(ACCEPT_RETRY_INTERVAL, self._resume_accepting)
         else:
-            self.port.note_waiting(self._paused_at)
+            self.port.record_waiting(self._paused_at)
             self.port.startReading()
 
     # --- maintenance and shutdown -----------------------------------------------------
@@ -198,7 +198,7 @@
         before, self.port.numberAccepts = self.counts["accepted"], room
         if room > 0:
             self.port.doRead()
-        return room > 0 and self.counts["accepted"] - before < room and not self.port.starved
+        return room > 0 and self.counts["accepted"] - before < room and not self.port.accept_failed
 
     def stop_admitting(self) -> None:
         """Reject the queries that await admission, and all queries read from now on."""
--- a/tansycrank/http_router/settings.py
+++ b/tansycrank/http_router/settings.py
@@ -1,7 +1,7 @@
 """Loads and validates the configuration: environment variables and the `NODE_CONFIG` file.
 
 Shutdown times and connection limits are derived from it. The `settings` object of the file uses the
-simulator's names and is read by `operator_settings.settings_from`.
+simulator's names and is read by `operator_settings.parse_settings`.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 import msgspec
 
 from tansycrank import routing
-from tansycrank.operator_settings import settings_from
+from tansycrank.operator_settings import parse_settings
 
 # ms: the platform counts longer deadlines as this when it computes the time for a restart
 MAX_COUNTED_DEADLINE = 3_000.0
@@ -162,7 +162,7 @@
     """Parse and validate a configuration; a ConfigError names the invalid field."""
     try:
         file = msgspec.json.decode(raw, type=_ConfigFile)
-        module = settings_from(bytes(file.settings).decode())
+        module = parse_settings(bytes(file.settings).decode())
     except (ValueError, TypeError) as problem:
         raise ConfigError(f"NODE_CONFIG: {problem}") from problem
     try:
--- a/tansycrank/sql_router/node_connection.py
+++ b/tansycrank/sql_router/node_connection.py
@@ -26,7 +26,7 @@
     ProtocolError,
 )
 from tansycrank.routing import Outcome
-from tansycrank.single_connection import OneConnection
+from tansycrank.single_connection import SingleConnectionFactory
 
 READ_AT_ONCE = 16 * 1024  # bytes
 REQUEST_KEY = "tansycrank.request_key"
@@ -222,7 +222,7 @@
             return True
         self._notifications.ensure_read()  # may end the request, or close this connection
         if self.state is ConnectionState.BUSY:
-            if self._unsent.may_leave(self.reactor.seconds() * 1000):
+            if self._unsent.may_still_start(self.reactor.seconds() * 1000):
                 return True
             self._take_back_request()
         elif self.state is ConnectionState.SETTLING:
@@ -236,7 +236,7 @@
 
     def _take_back_request(self) -> None:
         """End a shard request of which nothing has left; the connection is idle again."""
-        self._unsent.take_back()
+        self._unsent.undo_start()
         self._unsent = None
         self.state = ConnectionState.IDLE
         self._finish(AttemptResult(Outcome.NOT_SENT))
@@ -257,7 +257,7 @@
             self._cancel_open = True
             peer = self.transport.getPeer()
             canceller = _Canceller(self.key, self._cancel_closed)
-            factory = OneConnection(canceller, canceller.connectionLost)
+            factory = SingleConnectionFactory(canceller, canceller.connectionLost)
             self.reactor.connectTCP(peer.host, peer.port, factory, timeout=self.cancel_grace)
 
     def abort(self) -> None:
--- a/tests/http_router/live.py
+++ b/tests/http_router/live.py
@@ -235,10 +235,10 @@
     """The part of the listening port that the HTTP server uses."""
 
     reading = True
-    starved = False
+    accept_failed = False
     waiting_since = None
 
-    def note_waiting(self, since):
+    def record_waiting(self, since):
         self.waiting_since = since
 
     def stopReading(self):
--- a/tests/http_router/test_given_up.py
+++ b/tests/http_router/test_given_up.py
@@ -60,7 +60,7 @@
     harness.send_request(post(path="/book", deadline=2000))
     harness.take_shard_requests()
     harness.daemon.coordinator.loop.stop()
-    harness.daemon.coordinator.loop.handle = lambda *events: None
+    harness.daemon.coordinator.loop.enqueue = lambda *events: None
     harness.run(harness.daemon.settings.shutdown_timeout / 1000 - 1.0 + 0.1)
 
 
