--- a/tansycrank/http_router/client_connection.py
+++ b/tansycrank/http_router/client_connection.py
@@ -122,7 +122,7 @@
     def _arrival_time(self) -> float:
         """Time in seconds at which the bytes just read became readable."""
         now = self.server.now
-        unread = self.server.overslept()
+        unread = self.server.unread_seconds()
         if self._queued_since is not None:  # the first request may have waited in the accept queue
             queued = min(seconds_since_data(self.transport.getHandle()), now - self._queued_since)
             self._queued_since = None
--- a/tansycrank/http_router/daemon.py
+++ b/tansycrank/http_router/daemon.py
@@ -65,14 +65,14 @@
         reactor,
         settings: Settings,
         environ: Mapping[str, str],
-        overslept: Callable[[], float] = lambda: 0.0,
+        unread_seconds: Callable[[], float] = lambda: 0.0,
     ) -> None:
-        """`overslept` returns for how many seconds the input read now may have been waiting."""
+        """`unread_seconds` returns how long the input read now may have been waiting."""
         self.reactor = reactor
         self.settings = settings
         self.environ = environ
         self.state = ProcessState.STARTING
-        self.stall_metrics = StallMetrics(overslept, log)
+        self.stall_metrics = StallMetrics(unread_seconds, log)
         self.endpoint_directory = EndpointDirectory(settings.zones)
         self.pool = ConnectionPool(
             reactor,
@@ -96,7 +96,7 @@
             self.discovery.set_watch,
             self.discovery.poll_once,
         )
-        self.server = HttpServer(reactor, settings, self.coordinator, log, overslept)
+        self.server = HttpServer(reactor, settings, self.coordinator, log, unread_seconds)
         self.shutdown = GracefulShutdown(
             reactor, settings, self.server, self.coordinator, self._on_drained
         )
--- a/tansycrank/http_router/http_server.py
+++ b/tansycrank/http_router/http_server.py
@@ -25,8 +25,8 @@
 class HttpServer(Factory):
     """Accepts client connections, at most `max_client_connections`.
 
-    It implements `ConnectionServer` for its connections. `overslept` returns for how many seconds
-    the input read now may have been waiting.
+    It implements `ConnectionServer` for its connections. `unread_seconds` returns how long the
+    input read now may have been waiting.
     """
 
     noisy = False
@@ -37,13 +37,13 @@
         settings: Settings,
         coordinator: Coordinator,
         log: Callable[..., None],
-        overslept: Callable[[], float],
+        unread_seconds: Callable[[], float],
     ) -> None:
         self.reactor = reactor
         self.settings = settings
         self.coordinator = coordinator
         self.log = log
-        self.overslept = overslept
+        self.unread_seconds = unread_seconds
         self.connections: dict[ClientConnection, None] = {}  # in order of accept
         # connections that are idle after a query, longest idle first
         self.idle_after_query: dict[ClientConnection, None] = {}
@@ -168,7 +168,7 @@
         """
         if self.port is None:
             return None
-        if (stalled := self.overslept()) > MIN_STALL:
+        if (stalled := self.unread_seconds()) > MIN_STALL:
             self.port.record_waiting(self.now - stalled)
         return self.port.waiting_since
 
--- a/tansycrank/http_router/interfaces.py
+++ b/tansycrank/http_router/interfaces.py
@@ -16,7 +16,7 @@
     settings: Settings
     coordinator: Coordinator
     log: Callable[..., None]
-    overslept: Callable[[], float]
+    unread_seconds: Callable[[], float]
     ready: bool
     draining: bool
     is_admitting: bool
