--- a/tansycrank/http_router/coordinator.py
+++ b/tansycrank/http_router/coordinator.py
@@ -276,7 +276,7 @@
     def _end_unsent_attempt(
         self, action: routing.Send, shard_request: ActiveShardRequest | None
     ) -> None:
-        """Report an attempt that was not sent to the policy, which counts it like any other."""
+        """Report to the policy that an attempt was not sent; it counts like any other attempt."""
         number = 0
         if shard_request is not None:
             number = len(shard_request.attempts)
