--- a/tests/http_router/test_discovery.py
+++ b/tests/http_router/test_discovery.py
@@ -168,7 +168,9 @@
     parsed = configuration.parse(config(), {})
     assert parsed.listen == ("127.0.0.1", 7000) and parsed.discovery == ("127.0.0.9", 8500)
     assert (
-        parsed.classes == {"look": 0, "book": 1} and parsed.streams == 8 and parsed.idle == 10_000.0
+        parsed.classes == {"look": 0, "book": 1}
+        and parsed.streams_per_connection == 8
+        and parsed.idle_timeout == 10_000.0
     )
     assert parsed.max_client_connections + parsed.max_node_connections < parsed.sockets
     assert parsed.seed == 0x8C1F30D27A5BE964
