--- a/tansycrank/invariants.py
+++ b/tansycrank/invariants.py
@@ -1,4 +1,4 @@
-"""The invariants of a router, which the lifecycle checks while it runs."""
+"""The invariants of a router, which the lifecycle checks at run time."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Invariant(Enum):
-    """What holds at all times."""
+    """A condition that holds at all times."""
 
     ONE_ANSWER = "a request gets one final answer"
     ANSWER_IN_TIME = "a request is answered in its time"
@@ -21,9 +21,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """An invariant that was broken, or would have been.
+    """A violation of an invariant, or an operation that would have violated it and was denied.
 
-    `request` is the client's id of the query, `history` its events, oldest first.
+    `request` is the client's id of the query; `history` holds its events, oldest first.
     """
 
     invariant: Invariant
--- a/tansycrank/lifecycle.py
+++ b/tansycrank/lifecycle.py
@@ -1,10 +1,11 @@
-"""What may still happen to a query, an attempt, an endpoint, a connection and this process.
+"""Lifecycle rules of queries, attempts, endpoints, connections and the process.
 
-The lifecycle is asked at the moment of each send, retry, answer, close and stop. It alone holds the
-states that the rules are about. It counts each check, each denial with its reason, and each
-violation: a step that must never have been decided on.
+The routers consult the lifecycle before each send, retry, answer, connection close and shutdown.
+It is the only holder of the states that the rules depend on. It counts each check, each denied
+attempt by reason, and each violation: an operation that should never have been requested.
 
-Pure decisions: no clock, no I/O. Times are milliseconds of the caller's monotonic clock.
+It makes pure decisions: it reads no clock and does no I/O. Times are milliseconds of the caller's
+monotonic clock.
 """
 
 from __future__ import annotations
@@ -26,13 +27,13 @@
 )
 from tansycrank.routing.sliding_sum import SlidingSum
 
-# ms after its deadline up to which an answer only loses its worth; later it is a violation
-LATE = 500.0
-HISTORY = 32  # events kept of one query
+# ms: an answer that is late by no more than this is of less value to its client, but no violation
+MAX_ANSWER_LATENESS = 500.0
+MAX_HISTORY_EVENTS = 32  # per query
 
 
 class DenialReason(Enum):
-    """Why an attempt may not be made or started now."""
+    """Why an attempt may not be prepared or started."""
 
     REQUEST_ENDED = "its request has ended"
     ANSWERED = "its shard request has its answer"
@@ -44,8 +45,9 @@
     STOPPED = "this process has stopped"
 
 
-# Violations if the policy asks for the attempt; the other reasons may come true in between.
-_BROKEN_BY_CHOOSING = {
+# Invariants that the policy violates by requesting an attempt that is denied for these reasons. The
+# other reasons can arise between its decision and the request, and are no violation.
+_VIOLATED_BY_REQUEST = {
     DenialReason.REQUEST_ENDED: Invariant.NO_START_AFTER_END,
     DenialReason.ANSWERED: Invariant.NO_START_AFTER_END,
     DenialReason.MAY_HAVE_RUN: Invariant.NO_DOUBLE_EFFECT,
@@ -55,7 +57,7 @@
 
 
 class AttemptDeniedError(TansycrankError):
-    """An attempt may not be made, for this reason."""
+    """The attempt was denied for `reason`."""
 
     def __init__(self, reason: DenialReason) -> None:
         super().__init__(reason.value)
@@ -63,7 +65,7 @@
 
 
 class QueryState(Enum):
-    """The states of a query; the last two are final."""
+    """The states of a query; ANSWERED and ABANDONED are final."""
 
     OPEN = "open"
     ANSWERED = "answered"
@@ -75,13 +77,13 @@
 
     COMPLETE = "complete"
     PARTIAL = "partial"
-    REJECTED = "rejected"  # promises that nothing took effect
+    REJECTED = "rejected"  # states that the query had no effect
     FAILED = "failed"
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """An attempt of a shard request; `started_at` and `outcome` are set once."""
+    """One attempt of a shard request; `started_at` and `outcome` are set once."""
 
     lifecycle: Lifecycle
     query: Query
@@ -90,45 +92,48 @@
     deadline: float
     start_by: float
     started_at: float | None = None
-    is_counted: bool = False  # in the budget of hedges and retries
+    is_charged: bool = False  # whether it was charged to the budget of hedges and retries
     outcome: Outcome | None = None
 
     @property
     def may_have_run(self) -> bool:
-        """Whether it left this process and its outcome does not prove that it never ran."""
-        proven = self.outcome is not None and self.outcome.never_executed
-        return self.started_at is not None and not proven
+        """Whether it was sent and its outcome does not prove that it was never executed."""
+        never_ran = self.outcome is not None and self.outcome.never_executed
+        return self.started_at is not None and not never_ran
 
     def start(self, now: float) -> DenialReason | None:
-        """Start it as its bytes leave; the reason if it may not start, else None."""
+        """Mark it as started before its bytes are written; return why not, if it is denied."""
         return self.lifecycle.start(self, now)
 
     def may_still_start(self, now: float) -> bool:
-        """Whether it still may start when its first byte leaves, after `start`."""
+        """Whether it is still allowed after `start`, when its first byte is about to be sent."""
         return self.lifecycle.may_still_start(self, now)
 
     def undo_start(self) -> None:
-        """Undo `start`: none of its bytes have left."""
+        """Undo `start`; only valid while none of its bytes have been sent."""
         self.started_at = None
 
     def end(self, outcome: Outcome, now: float) -> None:
-        """Record its one outcome."""
+        """Record its only outcome."""
         self.lifecycle.end(self, outcome, now)
 
 
 @dataclass(slots=True, eq=False)
 class Query:
-    """One query and its attempts. With a key it may be retried for `window` ms."""
+    """A query and its attempts.
+
+    With an idempotency key it may be retried for `dedup_window` ms after its first attempt.
+    """
 
     name: str
     idempotency: Idempotency
-    window: float
+    dedup_window: float
     deadline: float
     state: QueryState = QueryState.OPEN
-    # by shard request, in order
+    # by shard request, oldest attempt first
     attempts: dict[Hashable, list[Attempt]] = field(default_factory=dict)
-    answered: set[Hashable] = field(default_factory=set)  # shard requests
-    history: deque[str] = field(default_factory=lambda: deque(maxlen=HISTORY))
+    answered: set[Hashable] = field(default_factory=set)  # shard requests with a successful attempt
+    history: deque[str] = field(default_factory=lambda: deque(maxlen=MAX_HISTORY_EVENTS))
 
     @property
     def is_open(self) -> bool:
@@ -142,30 +147,33 @@
             attempt.may_have_run for attempts in self.attempts.values() for attempt in attempts
         )
 
-    def note(self, now: float, event: str) -> None:
-        """Add an event to the history, which a violation reports."""
+    def record_event(self, now: float, event: str) -> None:
+        """Add an event to the history that is reported with a violation."""
         self.history.append(f"{now:.1f} {event}")
 
 
 class Lifecycle:
-    """The states of one router; `report` gets each violation. Memory is bounded by open queries."""
+    """The lifecycle states of one router.
+
+    `report` is called with each violation. Memory use grows with the number of open queries only.
+    """
 
     def __init__(self, settings: Settings, report: Callable[[Violation], None]) -> None:
         self._settings, self._report = settings, report
-        span = settings.budget_window or 0.0
-        self._taken = SlidingSum(span)
-        self._repeated = SlidingSum(span)
+        window = settings.budget_window or 0.0
+        self._accepted = SlidingSum(window)
+        self._hedges_and_retries = SlidingSum(window)
         self._in_service: set[int] = set()
         self._open: set[Query] = set()
         self._stopped = False
         self.checked: Counter[Invariant] = Counter()
-        self.refused: Counter[DenialReason] = Counter()
+        self.denied: Counter[DenialReason] = Counter()
         self.violated: Counter[Invariant] = Counter()
 
     # --- endpoints and process ----------------------------------------------------------
 
     def update_endpoints(self, event: EndpointListUpdate) -> None:
-        """Apply an endpoint list: nothing starts any more at an endpoint that is not in service."""
+        """Apply an endpoint list; attempts at endpoints that are not in service are denied."""
         if event.kind is EndpointListKind.FAILED:
             return
         if event.kind is not EndpointListKind.DELTA:
@@ -177,84 +185,92 @@
                 self._in_service.discard(entry.endpoint)
 
     def stop(self, now: float, unanswered: int = 0) -> None:
-        """Stop the process: no answer may be owed then.
+        """Mark the process as stopped; each query without an answer is a violation.
 
-        `unanswered` is the number of requests that were read and have no answer, admitted or not.
+        `unanswered` is the number of requests that were read but not answered, admitted or not.
         """
         self._stopped = True
         self.checked[Invariant.ANSWER_OWED] += 1
         if unanswered:
             self.violated[Invariant.ANSWER_OWED] += 1
-            detail = f"the process ends with {unanswered} requests read and not answered"
+            detail = f"the process stops with {unanswered} requests read but not answered"
             self._report(Violation(Invariant.ANSWER_OWED, detail))
         for query in self._open:
-            self._violate(Invariant.ANSWER_OWED, "the process ends", query, now)
+            self._record_violation(Invariant.ANSWER_OWED, "the process stops", query, now)
 
-    # --- requests -----------------------------------------------------------------------
+    # --- queries ------------------------------------------------------------------------
 
     def accept(
         self,
         name: str,
         idempotency: Idempotency,
-        window: float,
+        dedup_window: float,
         deadline: float,
         shard_requests: int,
         now: float,
     ) -> Query:
-        """Accept a query: its final answer is owed from now on, by `deadline`."""
-        query = Query(name, idempotency, window, deadline)
-        query.note(now, f"taken, {shard_requests} sub-requests, until {deadline:.1f}")
+        """Accept a query, which has to be answered by `deadline` from now on."""
+        query = Query(name, idempotency, dedup_window, deadline)
+        query.record_event(
+            now, f"accepted, {shard_requests} shard requests, deadline {deadline:.1f}"
+        )
         self._open.add(query)
-        self._taken.add(now, 1 + shard_requests)
+        self._accepted.add(now, 1 + shard_requests)
         return query
 
     def answer(
         self, query: Query, kind: AnswerKind, now: float, missing: int = 0
     ) -> AnswerKind | None:
-        """Return the answer to send: this one, a weaker one, or None if it was answered before.
+        """Return the kind of answer to send; None if the query was answered or abandoned before.
 
-        `missing` is the number of shard requests without a value, if the answer claims to be
-        complete.
+        An answer that claims more than is proven becomes FAILED. `missing` is the number of shard
+        requests without a value in an answer that claims to be complete.
         """
         self.checked[Invariant.ONE_ANSWER] += 1
         if not query.is_open:
-            self._violate(
+            self._record_violation(
                 Invariant.ONE_ANSWER, f"{kind.value} after {query.state.value}", query, now
             )
             return None
         self.checked[Invariant.ANSWER_IN_TIME] += 1
-        if now > query.deadline + LATE:
-            late = f"{kind.value} {now - query.deadline:.0f} ms after its deadline"
-            self._violate(Invariant.ANSWER_IN_TIME, late, query, now)
+        if now > query.deadline + MAX_ANSWER_LATENESS:
+            detail = f"{kind.value} {now - query.deadline:.0f} ms after its deadline"
+            self._record_violation(Invariant.ANSWER_IN_TIME, detail, query, now)
         self.checked[Invariant.HONEST_ANSWER] += 1
         if missing:
-            self._violate(Invariant.HONEST_ANSWER, f"whole with {missing} missing", query, now)
+            self._record_violation(
+                Invariant.HONEST_ANSWER, f"complete with {missing} values missing", query, now
+            )
             kind = AnswerKind.FAILED
         if (
             kind is AnswerKind.REJECTED
             and query.idempotency is not Idempotency.IDEMPOTENT
             and query.may_have_run
         ):
-            self._violate(Invariant.HONEST_ANSWER, "refused although it may have run", query, now)
+            self._record_violation(
+                Invariant.HONEST_ANSWER, "rejected although it may have run", query, now
+            )
             kind = AnswerKind.FAILED
         self._close(query, QueryState.ANSWERED, kind.value, now)
         return kind
 
     def abandon(self, query: Query, now: float) -> None:
-        """End a query whose client has left or cancelled it: nothing is owed any more."""
+        """End a query that its client cancelled or disconnected from; it needs no answer."""
         if query.is_open:
-            self._close(query, QueryState.ABANDONED, "its client left", now)
+            self._close(query, QueryState.ABANDONED, "abandoned by its client", now)
 
     def close_connection(self, queries: Iterable[Query], reason: str, now: float) -> None:
-        """Check that no answer is owed on a connection that this process ends."""
+        """Check that no query is unanswered on a connection that this process closes."""
         self.checked[Invariant.ANSWER_OWED] += 1
         for query in queries:
             if query.is_open:
-                self._violate(Invariant.ANSWER_OWED, f"its connection closes: {reason}", query, now)
+                self._record_violation(
+                    Invariant.ANSWER_OWED, f"its connection closes: {reason}", query, now
+                )
 
     def _close(self, query: Query, state: QueryState, event: str, now: float) -> None:
         query.state = state
-        query.note(now, event)
+        query.record_event(now, event)
         self._open.discard(query)
 
     # --- attempts -----------------------------------------------------------------------
@@ -264,62 +280,68 @@
         query: Query,
         shard_request: Hashable,
         endpoint: int,
-        time_out: float,
+        timeout: float,
         start_within: float,
         now: float,
     ) -> Attempt:
-        """Prepare an attempt that the policy chose; raises AttemptDeniedError if none may be made.
+        """Prepare an attempt that the policy requested; raise AttemptDeniedError if it is denied.
 
-        It times out after `time_out`, at the query's deadline at the latest; its bytes leave within
-        `start_within` if that is above 0.
+        It times out after `timeout` ms, and at the query's deadline at the latest. It may only
+        start within `start_within` ms, if that is above 0.
         """
         start_by = now + start_within if start_within else float("inf")
-        deadline = min(now + time_out, query.deadline)
+        deadline = min(now + timeout, query.deadline)
         attempt = Attempt(self, query, shard_request, endpoint, deadline, start_by)
         self.checked[Invariant.NO_START_AFTER_END] += 1
         if reason := self._denial(attempt, now):
-            self.refused[reason] += 1
-            if invariant := _BROKEN_BY_CHOOSING.get(reason):
-                self._violate(invariant, f"chosen for {endpoint}: {reason.value}", query, now)
+            self.denied[reason] += 1
+            if invariant := _VIOLATED_BY_REQUEST.get(reason):
+                self._record_violation(
+                    invariant, f"requested at endpoint {endpoint}: {reason.value}", query, now
+                )
             raise AttemptDeniedError(reason)
         query.attempts.setdefault(shard_request, []).append(attempt)
-        query.note(now, f"{shard_request}: chosen for {endpoint}")
+        query.record_event(now, f"{shard_request}: prepared for endpoint {endpoint}")
         return attempt
 
     def start(self, attempt: Attempt, now: float) -> DenialReason | None:
-        """Start an attempt; the reason if it may not start, else None."""
+        """Mark an attempt as started; return the reason if it is denied, else None."""
         query = attempt.query
         reason = self._denial(attempt, now)
-        if reason is None and not attempt.is_counted and self._is_repeat(attempt):
+        if reason is None and not attempt.is_charged and self._is_hedge_or_retry(attempt):
             self.checked[Invariant.WITHIN_BUDGET] += 1
-            if self._budget_spent(now):
+            if self._is_budget_spent(now):
                 reason = DenialReason.BUDGET
             else:
-                attempt.is_counted = True
-                self._repeated.add(now)
+                attempt.is_charged = True
+                self._hedges_and_retries.add(now)
         if reason is not None:
-            self.refused[reason] += 1
-            query.note(
-                now, f"{attempt.shard_request}: not started at {attempt.endpoint}, {reason.value}"
+            self.denied[reason] += 1
+            query.record_event(
+                now,
+                f"{attempt.shard_request}: not started at endpoint {attempt.endpoint}, "
+                f"{reason.value}",
             )
             return reason
         attempt.started_at = now
-        query.note(now, f"{attempt.shard_request}: started at {attempt.endpoint}")
+        query.record_event(now, f"{attempt.shard_request}: started at endpoint {attempt.endpoint}")
         return None
 
     def may_still_start(self, attempt: Attempt, now: float) -> bool:
-        """Whether a started attempt still may start: its first byte leaves only now.
+        """Whether a started attempt is still allowed when its first byte is about to be sent.
 
-        Time may have passed since, in which its query ended or its endpoint began to drain.
+        Its query may have ended, or its endpoint begun to drain, since `start`.
         """
         return self._denial(attempt, now) is None
 
     def end(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
-        """Record the one outcome of an attempt."""
+        """Record the only outcome of an attempt."""
         attempt.outcome = outcome
         if outcome is Outcome.SUCCEEDED:
             attempt.query.answered.add(attempt.shard_request)
-        attempt.query.note(now, f"{attempt.shard_request}: {outcome.value} at {attempt.endpoint}")
+        attempt.query.record_event(
+            now, f"{attempt.shard_request}: {outcome.value} at endpoint {attempt.endpoint}"
+        )
 
     def _denial(self, attempt: Attempt, now: float) -> DenialReason | None:
         query = attempt.query
@@ -339,50 +361,50 @@
         return self._retry_denial(attempt, now)
 
     def _retry_denial(self, attempt: Attempt, now: float) -> DenialReason | None:
-        """Deny a retry that could take effect twice."""
+        """Return why a hedge or retry is denied because the query could take effect twice."""
         if attempt.query.idempotency is Idempotency.IDEMPOTENT:
             return None
         self.checked[Invariant.NO_DOUBLE_EFFECT] += 1
-        ran = [one for one in self._others(attempt) if one.may_have_run]
-        if not ran:
+        may_have_run = [other for other in self._other_attempts(attempt) if other.may_have_run]
+        if not may_have_run:
             return None
         if attempt.query.idempotency is Idempotency.NOT_IDEMPOTENT:
             return DenialReason.MAY_HAVE_RUN
-        first = min(one.started_at for one in ran)
-        return DenialReason.REPEAT_WINDOW if now > first + attempt.query.window else None
+        first = min(other.started_at for other in may_have_run)
+        return DenialReason.REPEAT_WINDOW if now > first + attempt.query.dedup_window else None
 
     @staticmethod
-    def _others(attempt: Attempt) -> list[Attempt]:
+    def _other_attempts(attempt: Attempt) -> list[Attempt]:
         return [
-            one
-            for one in attempt.query.attempts.get(attempt.shard_request, ())
-            if one is not attempt
+            other
+            for other in attempt.query.attempts.get(attempt.shard_request, ())
+            if other is not attempt
         ]
 
-    def _is_repeat(self, attempt: Attempt) -> bool:
-        """Whether another attempt of the same shard request has left this process before."""
-        return any(one.started_at is not None for one in self._others(attempt))
+    def _is_hedge_or_retry(self, attempt: Attempt) -> bool:
+        """Whether another attempt of the same shard request was started before."""
+        return any(other.started_at is not None for other in self._other_attempts(attempt))
 
-    def _budget_spent(self, now: float) -> bool:
+    def _is_budget_spent(self, now: float) -> bool:
         settings = self._settings
         if settings.budget_window is None:
             return False
-        allowed = settings.budget_floor + settings.budget_share * self._taken.total(now)
-        return self._repeated.total(now) + 1 > allowed
+        allowed = settings.budget_floor + settings.budget_share * self._accepted.total(now)
+        return self._hedges_and_retries.total(now) + 1 > allowed
 
     def counters(self) -> dict[str, dict[str, int]]:
-        """For the log: how often each invariant was checked and violated, and why attempts did not
-        start.
-        """
-        counted = {"checked": self.checked, "violated": self.violated, "not_started": self.refused}
+        """Return, for the log, the checks and violations by invariant and the denials by reason."""
+        counters = {"checked": self.checked, "violated": self.violated, "not_started": self.denied}
         return {
-            name: {key.name.lower(): number for key, number in counts.items()}
-            for name, counts in counted.items()
+            name: {key.name.lower(): count for key, count in counts.items()}
+            for name, counts in counters.items()
         }
 
     # --- violations ---------------------------------------------------------------------
 
-    def _violate(self, invariant: Invariant, detail: str, query: Query, now: float) -> None:
+    def _record_violation(
+        self, invariant: Invariant, detail: str, query: Query, now: float
+    ) -> None:
         self.violated[invariant] += 1
-        query.note(now, f"VIOLATION: {detail}")
+        query.record_event(now, f"VIOLATION: {detail}")
         self._report(Violation(invariant, detail, query.name, tuple(query.history)))
--- a/tests/http_router/test_given_up.py
+++ b/tests/http_router/test_given_up.py
@@ -95,7 +95,7 @@
     happens(live)
     [(request, answered, why, history)] = told(caplog)
     assert (request, answered, why) == ("q1", kind, reason.value)
-    assert "taken" in history[0] and any(event.endswith(kind) for event in history)
+    assert "accepted" in history[0] and any(event.endswith(kind) for event in history)
     assert live.daemon.coordinator.failure_log.figures() == {reason.name.lower(): 1}
 
 
