--- a/tansycrank/__init__.py
+++ b/tansycrank/__init__.py
@@ -1,4 +1,4 @@
-"""tansycrank: the routing decisions of a query router in front of a sharded, replicated store."""
+"""A query router in front of a sharded, replicated store."""
 
 from tansycrank.routing import Settings
 from tansycrank.routing.policy import RoutingPolicy
--- a/tansycrank/__main__.py
+++ b/tansycrank/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m tansycrank`."""
+"""Entry point of `python -m tansycrank`."""
 
 import os
 import signal
@@ -6,13 +6,12 @@
 
 
 def _main() -> int | None:
-    if sys.argv[1:] == [
-        "run"
-    ]:  # danger: a small machine; nothing of the other fronts may be loaded
-        signal.signal(
-            signal.SIGHUP, signal.SIG_IGN
-        )  # till the daemon hears it: the file is not read yet
-        signal.signal(signal.SIGTERM, lambda *_: os._exit(0))  # nothing is taken yet
+    # `run` may be used on a machine with little memory: it must not load the SQL router or the CLI.
+    if sys.argv[1:] == ["run"]:
+        # Until the daemon handles SIGHUP, a reload is not needed: the configuration was not read.
+        signal.signal(signal.SIGHUP, signal.SIG_IGN)
+        # No request has been accepted yet, so the process may exit at once.
+        signal.signal(signal.SIGTERM, lambda *_: os._exit(0))
         from tansycrank.http_router.daemon import main as run
 
         return run()
--- a/tansycrank/operator_settings.py
+++ b/tansycrank/operator_settings.py
@@ -1,6 +1,6 @@
-"""Reader of the operators' settings object, which the simulator and the platform have in common.
+"""Parser of the operators' settings object, which the simulator and the platform share.
 
-This is where the operators' names of settings are mapped to the fields of `routing.Settings`.
+It maps the operators' names of settings to the fields of `routing.Settings`.
 """
 
 from __future__ import annotations
@@ -11,13 +11,14 @@
 
 from tansycrank import routing
 
-EFFECTS = {
+IDEMPOTENCY_BY_EFFECT = {
     "read_like": routing.Idempotency.IDEMPOTENT,
     "idempotency_key": routing.Idempotency.WITH_KEY,
     "non_idempotent": routing.Idempotency.NOT_IDEMPOTENT,
 }
 
-# A field of `routing.Settings`, the group of the settings object, its key there, and its kind.
+# For each field of `routing.Settings`: the group in the settings object, the key in the group, and
+# the `_JsonObject` method that reads the value.
 _FIELDS = (
     ("router_index", "", "me", "count"),
     ("routers", "", "replicasOfMe", "count"),
@@ -49,11 +50,13 @@
     ("price_probe", "prices", "probe", "number"),
     ("price_late_fail", "prices", "lateFail", "number"),
 )
-_BUDGET = (
+# Required only if one of these keys is present.
+_BUDGET_FIELDS = (
     ("budget_floor", "rules", "extraFloor", "number"),
     ("budget_share", "rules", "repeatRatio", "number"),
     ("budget_window", "rules", "countedOver", "number"),
 )
+# Keys of one entry of `services`.
 _CLASS_FIELDS = (
     ("latency_objective", "aim"),
     ("deadline", "giveUp"),
@@ -61,7 +64,8 @@
     ("late_weight", "lateWorth"),
     ("dedup_window", "window"),
 )
-_CLASS_SHARES = (
+# Keys of `familyInfo` whose values are arrays with one entry per class.
+_CLASS_ARRAY_FIELDS = (
     ("minimum_coverage", "minShare"),
     ("complete_coverage", "wholeAt"),
     ("partial_weight", "shortWorth"),
@@ -69,13 +73,13 @@
 )
 
 
-def parse_settings(info: str) -> routing.Settings:
-    """Read the settings object from its JSON text.
+def parse_settings(settings_json: str) -> routing.Settings:
+    """Parse the settings object from its JSON text.
 
-    Raises ValueError, which names the path of what is missing or out of range.
+    Raise ValueError with the path of a key that is missing or whose value is invalid.
     """
     try:
-        raw = json.loads(info)
+        raw = json.loads(settings_json)
     except json.JSONDecodeError as error:
         raise ValueError(f"settings: not JSON: {error}") from error
     root = _JsonObject(raw, "settings")
@@ -83,14 +87,14 @@
         name: root.object_at(name) for name in ("familyInfo", "caps", "clients", "rules", "prices")
     }
     groups[""] = root
-    # One key of a budget is enough to require the others: half a budget must not pass for none.
-    budget = any(key in groups["rules"].raw for _, _, key, _ in _BUDGET)
-    fields = _FIELDS + (_BUDGET if budget else ())
+    # One budget key requires the others: an incomplete budget must not be read as no budget.
+    has_budget = any(key in groups["rules"].raw for _, _, key, _ in _BUDGET_FIELDS)
+    fields = _FIELDS + (_BUDGET_FIELDS if has_budget else ())
     arguments = {name: getattr(groups[group], kind)(key) for name, group, key, kind in fields}
     paths = {name: f"{groups[group].path}.{key}" for name, group, key, _ in fields}
     classes = tuple(
-        _class(groups["familyInfo"], node, index)
-        for index, node in enumerate(root.objects("services"))
+        _parse_class(groups["familyInfo"], service, index)
+        for index, service in enumerate(root.objects("services"))
     )
     paths |= {"classes": "settings.services", "zones": "settings.localities"}
     polls_discovery = root.choice("discovery", ("ask", "push")) == "ask"
@@ -105,27 +109,30 @@
     )
 
 
-def _class(family: _JsonObject, node: _JsonObject, index: int) -> routing.QueryClass:
-    arguments: dict[str, object] = {name: node.number(key) for name, key in _CLASS_FIELDS}
-    paths = {name: f"{node.path}.{key}" for name, key in _CLASS_FIELDS}
-    for name, key in _CLASS_SHARES:
-        values, paths[name] = family.array(key), f"{family.path}.{key}[{index}]"
+def _parse_class(family_info: _JsonObject, service: _JsonObject, index: int) -> routing.QueryClass:
+    arguments: dict[str, object] = {name: service.number(key) for name, key in _CLASS_FIELDS}
+    paths = {name: f"{service.path}.{key}" for name, key in _CLASS_FIELDS}
+    for name, key in _CLASS_ARRAY_FIELDS:
+        values, paths[name] = family_info.array(key), f"{family_info.path}.{key}[{index}]"
         if index >= len(values):
-            raise ValueError(f"{paths[name]}: no figure for class {index}")
+            raise ValueError(f"{paths[name]}: no value for class {index}")
         arguments[name] = _number(values[index], paths[name])
     _count(arguments["follow_up"], paths["follow_up"])
     return _construct(
-        routing.QueryClass, paths, idempotency=EFFECTS[node.choice("effect", EFFECTS)], **arguments
+        routing.QueryClass,
+        paths,
+        idempotency=IDEMPOTENCY_BY_EFFECT[service.choice("effect", IDEMPOTENCY_BY_EFFECT)],
+        **arguments,
     )
 
 
 def _construct(kind: type, paths: Mapping[str, str], **arguments: object):
-    """Construct a record; a value that it does not accept is reported with its path."""
+    """Construct a `kind`; replace the name of a rejected argument in the error by its path."""
     try:
         return kind(**arguments)
-    except ValueError as problem:
-        name, colon, rest = str(problem).partition(":")
-        raise ValueError(f"{paths.get(name, name)}{colon}{rest}") from problem
+    except ValueError as error:
+        name, colon, rest = str(error).partition(":")
+        raise ValueError(f"{paths.get(name, name)}{colon}{rest}") from error
 
 
 def _number(value: object, path: str) -> float:
@@ -137,12 +144,12 @@
 def _count(value: object, path: str) -> int:
     number = _number(value, path)
     if number != int(number):
-        raise ValueError(f"{path}: a whole number is needed, got {number}")
+        raise ValueError(f"{path}: an integer is needed, got {number}")
     return int(number)
 
 
 class _JsonObject:
-    """A JSON object that knows its own path, for error messages."""
+    """A JSON object with its path, which error messages report."""
 
     def __init__(self, raw: object, path: str) -> None:
         if not isinstance(raw, dict):
@@ -156,37 +163,37 @@
         return self.raw[key]
 
     def object_at(self, key: str) -> _JsonObject:
-        """The object under this key."""
+        """Return the object at a key."""
         return _JsonObject(self[key], f"{self.path}.{key}")
 
     def number(self, key: str) -> float:
-        """A finite number."""
+        """Return the finite number at a key."""
         return _number(self[key], f"{self.path}.{key}")
 
     def count(self, key: str) -> int:
-        """A whole number."""
+        """Return the integer at a key."""
         return _count(self[key], f"{self.path}.{key}")
 
     def flag(self, key: str) -> bool:
-        """True or false, or 1 or 0."""
+        """Return the boolean at a key; 1 and 0 are accepted too."""
         if self[key] not in (True, False):
             raise ValueError(f"{self.path}.{key}: true or false is needed, got {self[key]!r:.40}")
         return bool(self[key])
 
-    def choice(self, key: str, known: Container[str]) -> str:
-        """One of the words that are known."""
-        if not isinstance(self[key], str) or self[key] not in known:
-            raise ValueError(f"{self.path}.{key}: unknown word {self[key]!r:.40}")
+    def choice(self, key: str, allowed: Container[str]) -> str:
+        """Return the string at a key, which has to be one of the allowed values."""
+        if not isinstance(self[key], str) or self[key] not in allowed:
+            raise ValueError(f"{self.path}.{key}: unknown value {self[key]!r:.40}")
         return self[key]
 
     def array(self, key: str) -> list:
-        """A list."""
+        """Return the list at a key."""
         if not isinstance(self[key], list):
             raise ValueError(f"{self.path}.{key}: a list is needed, got {self[key]!r:.40}")
         return self[key]
 
     def objects(self, key: str) -> list[_JsonObject]:
-        """The objects of a list."""
+        """Return the objects of the list at a key."""
         return [
             _JsonObject(value, f"{self.path}.{key}[{index}]")
             for index, value in enumerate(self.array(key))
--- a/tansycrank/simulator_protocol.py
+++ b/tansycrank/simulator_protocol.py
@@ -1,4 +1,8 @@
-"""Codec of the simulator's protocol: frames and settings to and from the types of `routing`."""
+"""Codec of the simulator's protocol: decodes event frames, encodes replies with actions.
+
+A frame is a header, records of a fixed size, and a tail with data of variable length, to which
+records refer by offset and length. All integers are little-endian.
+"""
 
 from __future__ import annotations
 
@@ -10,16 +14,16 @@
 
 HEADER = struct.Struct("<IdI")
 REPLY_HEADER = struct.Struct("<II")
-EVENT_BYTES = 56
-ACTION_BYTES = 24
-ENTRY = struct.Struct("<HfIBBdH")
-EVERY_PEER = 0xFFFFFFFF
-MAX_FRAME = 1 << 30
+EVENT_BYTES = 56  # size of an event record, padded
+ACTION_BYTES = 24  # size of an action record, padded
+ENTRY_LAYOUT = struct.Struct("<HfIBBdH")
+ALL_PEERS = 0xFFFFFFFF
+MAX_FRAME_BYTES = 1 << 30
 
 ATTACH, VIEW, CRASH_NOW, FIRST, REQ, FROM_PEER, DIRECTORY, RING, DONE, ABORTED, PROBE_RESULT = (
     range(1, 12)
 )
-EVENTS = {
+EVENT_LAYOUTS = {
     ATTACH: struct.Struct("<xHQII"),
     VIEW: struct.Struct("<xHBIB"),
     CRASH_NOW: struct.Struct("<xH"),
@@ -68,48 +72,48 @@
     2: routing.EndpointListKind.DELTA,
     3: routing.EndpointListKind.CACHED,
 }
-REPEAT_BIT = 2
+RETRY_FLAG = 2  # in the options of REQ
 
 
 class FrameError(ValueError):
-    """A frame that can't be read, with the place of the fault."""
+    """A frame that cannot be decoded; the message gives the position of the error."""
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceStarted:
-    """A fresh instance, with its seed and the text of its settings."""
+    """A router instance is started, or restarted, with a seed and settings."""
 
     seed: int
-    info: str
+    settings_json: str
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceKilled:
-    """The instance is no more."""
+    """A router instance was killed."""
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceFailed:
-    """The decision code of an instance has failed."""
+    """The routing policy of an instance raised an exception, or could not be created."""
 
     text: str
 
 
 class Decoder:
-    """Turns frames into (clock, [(instance, record)]); remembers the numbered lists."""
+    """Decodes frames; keeps the numbered endpoint lists, to which later frames refer."""
 
     def __init__(self) -> None:
-        self._lists: dict[int, tuple[routing.EndpointEntry, ...]] = {}
+        self._endpoint_lists: dict[int, tuple[routing.EndpointEntry, ...]] = {}
 
     def decode(self, frame: bytes) -> tuple[float, list[tuple[int, object]]]:
-        """Read one whole frame, header included."""
+        """Decode a complete frame; return the clock in ms and (instance, record) pairs."""
         if len(frame) < HEADER.size:
             raise FrameError(
                 f"frame of {len(frame)} bytes is shorter than its header ({HEADER.size})"
             )
         size, clock, count = HEADER.unpack_from(frame)
         if size != len(frame):
-            raise FrameError(f"byte 0: frame says {size} bytes but has {len(frame)}")
+            raise FrameError(f"byte 0: frame size is {size} but {len(frame)} bytes were received")
         tail_at = HEADER.size + count * EVENT_BYTES
         if tail_at > size:
             raise FrameError(
@@ -120,29 +124,29 @@
         for index in range(count):
             at = HEADER.size + index * EVENT_BYTES
             where = f"record {index} at byte {at}"
-            layout = EVENTS.get(frame[at])
+            layout = EVENT_LAYOUTS.get(frame[at])
             if layout is None:
                 raise FrameError(f"{where}: unknown event code {frame[at]}")
             fields = layout.unpack_from(frame, at)
             if frame[at] == DIRECTORY:
                 number, offset, length = fields
-                self._lists[number] = self._entries(tail, offset, length, where)
+                self._endpoint_lists[number] = self._decode_entries(tail, offset, length, where)
             else:
-                records.append((fields[0], self._record(frame[at], fields[1:], tail, where)))
+                records.append((fields[0], self._decode_record(frame[at], fields[1:], tail, where)))
         return clock, records
 
-    def _record(self, code: int, fields: tuple, tail: bytes, where: str) -> object:
+    def _decode_record(self, code: int, fields: tuple, tail: bytes, where: str) -> object:
         if code == REQ:
-            return _request(fields)
+            return _decode_request(fields)
         if code == DONE:
-            shard_request, attempt, endpoint, ended, latency, closed, count, *load = fields
+            shard_request, attempt, endpoint, outcome, latency, ended, count, *load = fields
             return routing.AttemptEnded(
                 shard_request,
                 attempt,
                 endpoint,
-                _look_up(OUTCOMES, ended, "disposition", where),
+                _look_up(OUTCOMES, outcome, "disposition", where),
                 latency,
-                bool(closed),
+                bool(ended),
                 tuple(load[:count]),
             )
         if code == RING:
@@ -154,7 +158,9 @@
             kind = _look_up(LIST_KINDS, scope, "scope", where)
             if kind is routing.EndpointListKind.FAILED:
                 return routing.EndpointListUpdate(kind)
-            return routing.EndpointListUpdate(kind, _look_up(self._lists, number, "buffer", where))
+            return routing.EndpointListUpdate(
+                kind, _look_up(self._endpoint_lists, number, "buffer", where)
+            )
         if code == ATTACH:
             seed, offset, length = fields
             try:
@@ -166,10 +172,10 @@
         if code == CRASH_NOW:
             return InstanceKilled()
         if code == PROBE_RESULT:
-            ended, endpoint, latency, count, *load = fields
+            outcome, endpoint, latency, count, *load = fields
             return routing.HealthCheckEnded(
                 endpoint,
-                _look_up(OUTCOMES, ended, "disposition", where),
+                _look_up(OUTCOMES, outcome, "disposition", where),
                 latency,
                 tuple(load[:count]),
             )
@@ -179,31 +185,37 @@
         return routing.ResponseStarted(*fields)
 
     @staticmethod
-    def _entries(
+    def _decode_entries(
         tail: bytes, offset: int, count: int, where: str
     ) -> tuple[routing.EndpointEntry, ...]:
-        raw = _slice_of_tail(tail, offset, count * ENTRY.size, where)
+        raw = _slice_of_tail(tail, offset, count * ENTRY_LAYOUT.size, where)
         return tuple(
             routing.EndpointEntry(
-                endpoint, cell, zone, _look_up(STATUSES, status, "status", where), came_up, hint
+                endpoint, cell, zone, _look_up(STATUSES, status, "status", where), started_at, hint
+            )
+            for _shape, hint, endpoint, zone, status, started_at, cell in ENTRY_LAYOUT.iter_unpack(
+                raw
             )
-            for _shape, hint, endpoint, zone, status, came_up, cell in ENTRY.iter_unpack(raw)
         )
 
 
-def _request(fields: tuple) -> object:
-    job, measure, _work, _customer, number, query_class, key, left, options, shard = fields
+def _decode_request(fields: tuple) -> object:
+    """Decode REQ: a query if its shard is negative, else a shard request.
+
+    `measure` is the number of shard requests of a query, or the weight of a shard request.
+    """
+    id, measure, _work, _customer, number, query_class, key, remaining, options, shard = fields
     if shard < 0:
         return routing.QueryArrived(
-            job, int(number), query_class, left, int(measure), key, bool(options & REPEAT_BIT)
+            id, int(number), query_class, remaining, int(measure), key, bool(options & RETRY_FLAG)
         )
-    return routing.ShardRequestArrived(job, int(number), int(shard), measure, key)
+    return routing.ShardRequestArrived(id, int(number), int(shard), measure, key)
 
 
 def _slice_of_tail(tail: bytes, offset: int, length: int, where: str) -> bytes:
     if offset + length > len(tail):
         raise FrameError(
-            f"{where}: bytes {offset} to {offset + length} lie beyond the tail of {len(tail)} bytes"
+            f"{where}: bytes {offset} to {offset + length} are beyond the tail of {len(tail)} bytes"
         )
     return tail[offset : offset + length]
 
@@ -215,7 +227,7 @@
 
 
 def encode(actions: Iterable[tuple[int, object]]) -> bytes:
-    """Write one reply from (instance, action) pairs."""
+    """Encode a reply from (instance, action) pairs."""
     records: list[bytes] = []
     tail = bytearray()
     for instance, action in actions:
@@ -228,9 +240,9 @@
     if isinstance(action, routing.SendGossip):
         return _encode_gossip(instance, action, tail)
     if isinstance(action, routing.LogMessage):
-        return _text(NOTE_DOWN, instance, action.text, tail)
+        return _encode_text(NOTE_DOWN, instance, action.text, tail)
     if isinstance(action, InstanceFailed):
-        return _text(BROKEN, instance, action.text, tail)
+        return _encode_text(BROKEN, instance, action.text, tail)
     if type(action) not in _ACTIONS:
         raise TypeError(f"not an action: {action!r}")
     code, layout, fields = _ACTIONS[type(action)]
@@ -238,13 +250,13 @@
 
 
 def _encode_gossip(instance: int, action: routing.SendGossip, tail: bytearray) -> bytes:
-    peer = EVERY_PEER if action.peer is None else action.peer
+    peer = ALL_PEERS if action.peer is None else action.peer
     record = struct.pack("<BHIII", SIGNAL, instance, peer, len(tail), len(action.data))
     tail += action.data
     return record
 
 
-# By action: its code on the wire, the layout of its record, and the fields in it.
+# For each type of action: its code, the layout of its record, and the fields that it holds.
 _ACTIONS = {
     routing.Send: (
         SUBMIT_TO,
@@ -263,7 +275,7 @@
 }
 
 
-def _text(code: int, instance: int, text: str, tail: bytearray) -> bytes:
+def _encode_text(code: int, instance: int, text: str, tail: bytearray) -> bytes:
     raw = text.encode("utf-8", "replace")
     record = struct.pack("<BHII", code, instance, len(tail), len(raw))
     tail += raw
--- a/tests/test_edge_forms.py
+++ b/tests/test_edge_forms.py
@@ -144,7 +144,7 @@
 
 
 def test_the_simulator_s_codes_keep_their_numbers():
-    assert sorted(simulator_protocol.EVENTS) == [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11]
+    assert sorted(simulator_protocol.EVENT_LAYOUTS) == [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11]
     assert sorted(simulator_protocol.OUTCOMES) == [10, 20, 30, 40, 50, 60, 70, 80]
     assert (sorted(simulator_protocol.STATUSES), sorted(simulator_protocol.LIST_KINDS)) == (
         [0, 1, 2],
@@ -153,7 +153,7 @@
     assert (
         simulator_protocol.DROP_ATTEMPT,
         simulator_protocol.SUBMIT_TO,
-        simulator_protocol.EVERY_PEER,
+        simulator_protocol.ALL_PEERS,
     ) == (65, 77, 0xFFFFFFFF)
 
 
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -200,7 +200,7 @@
         (frame(b"\x08")[:40], "byte 0"),
         (struct.pack("<IdI", 16, 1.0, 4), "byte 12"),
         (frame(struct.pack("<BHBIB", 2, 1, 0, 1, 9)), "unknown buffer 9"),
-        (frame(struct.pack("<BHQII", 1, 1, 1, 0, 50)), "beyond the tail"),
+        (frame(struct.pack("<BHQII", 1, 1, 1, 0, 50)), "are beyond the tail"),
         (frame(bytes.fromhex("090300c4913a5d13110a0000074a12030b")), "unknown disposition 11"),
     ],
 )
