--- a/tansycrank/clock.py
+++ b/tansycrank/clock.py
@@ -88,8 +88,8 @@
     def unread_seconds(self) -> float:
         """Return for how long data read now may have lain unread because the process stalled.
 
-        The result may be too large, by at most the time left until the next timer when the stall
-        began.
+        It is counted from the time when the poll should have ended, which is up to the time left
+        until the next timer after the stall began.
         """
         since = (
             min(self._poll_due, self._stalled_since) if self._polls_after_stall else self._poll_due
--- a/tansycrank/lifecycle.py
+++ b/tansycrank/lifecycle.py
@@ -137,7 +137,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether its final answer is still owed."""
+        """Whether it has neither been answered nor abandoned."""
         return self.state is QueryState.OPEN
 
     @property
@@ -209,7 +209,7 @@
         shard_requests: int,
         now: float,
     ) -> Query:
-        """Accept a query, which has to be answered by `deadline` from now on."""
+        """Accept a query; it now has to be answered by `deadline`."""
         query = Query(name, idempotency, dedup_window, deadline)
         query.record_event(
             now, f"accepted, {shard_requests} shard requests, deadline {deadline:.1f}"
--- a/tansycrank/simulator_protocol.py
+++ b/tansycrank/simulator_protocol.py
@@ -12,14 +12,15 @@
 
 from tansycrank import routing
 
-HEADER = struct.Struct("<IdI")
-REPLY_HEADER = struct.Struct("<II")
+HEADER = struct.Struct("<IdI")  # size of the frame, clock in ms, number of records
+REPLY_HEADER = struct.Struct("<II")  # size of the frame, number of records
 EVENT_BYTES = 56  # size of an event record, padded
 ACTION_BYTES = 24  # size of an action record, padded
 ENTRY_LAYOUT = struct.Struct("<HfIBBdH")
-ALL_PEERS = 0xFFFFFFFF
+ALL_PEERS = 0xFFFFFFFF  # instead of the number of a peer
 MAX_FRAME_BYTES = 1 << 30
 
+# Codes of events and actions, with the names of the protocol.
 ATTACH, VIEW, CRASH_NOW, FIRST, REQ, FROM_PEER, DIRECTORY, RING, DONE, ABORTED, PROBE_RESULT = (
     range(1, 12)
 )
@@ -243,9 +244,9 @@
         return _encode_text(NOTE_DOWN, instance, action.text, tail)
     if isinstance(action, InstanceFailed):
         return _encode_text(BROKEN, instance, action.text, tail)
-    if type(action) not in _ACTIONS:
+    if type(action) not in _ACTION_LAYOUTS:
         raise TypeError(f"not an action: {action!r}")
-    code, layout, fields = _ACTIONS[type(action)]
+    code, layout, fields = _ACTION_LAYOUTS[type(action)]
     return layout.pack(code, instance, *(getattr(action, field) for field in fields))
 
 
@@ -257,7 +258,7 @@
 
 
 # For each type of action: its code, the layout of its record, and the fields that it holds.
-_ACTIONS = {
+_ACTION_LAYOUTS = {
     routing.Send: (
         SUBMIT_TO,
         struct.Struct("<BHQId"),
