--- a/tests/test_edge_forms.py
+++ b/tests/test_edge_forms.py
@@ -76,7 +76,7 @@
 
 
 def test_the_settings_file_keeps_its_sections_and_keys():
-    sections = config.SINGLE | config.NAMED
+    sections = config.SINGLE_SECTIONS | config.NAMED_SECTIONS
     assert {name: " ".join(keys(record)) for name, record in sections.items()} == SETTINGS_FILE
 
 
@@ -170,16 +170,18 @@
 
 
 def test_responses_to_http_clients_keep_their_bytes():
-    assert request_codec.encode(request_codec.Response(503, b"{}", 150.0), closes=True) == (
+    assert request_codec.encode_response(
+        request_codec.Response(503, b"{}", 150.0), closes=True
+    ) == (
         b"HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\n"
         b"Content-Length: 2\r\n"
         b"Retry-After: 0.150\r\nConnection: close\r\n\r\n{}"
     )
     assert (
-        request_codec.hits(True, [(3, "v")]).body
+        request_codec.query_answer(True, [(3, "v")]).body
         == b'{"complete":true,"hits":[{"shard":3,"doc":"v"}]}'
     )
-    assert request_codec.error(503, "why").body == b'{"error":"why"}'
+    assert request_codec.error_response(503, "why").body == b'{"error":"why"}'
 
 
 def test_requests_of_http_clients_keep_their_fields():
@@ -190,8 +192,10 @@
         b"idempotency-key": b"k~1",
     }
     body = b'{"shards":[{"shard":1,"weight":1.0,"cost":2,"key":"00000000000000ff"}],"q":"t"}'
-    request = request_codec.read(b"/look", b"obj=00000000000000aa", headers, body, {"look": 0}, 4)
-    assert (request.id, request.deadline, request.repeat, request.key) == (
+    request = request_codec.decode_query(
+        b"/look", b"obj=00000000000000aa", headers, body, {"look": 0}, 4
+    )
+    assert (request.id, request.deadline, request.is_retry, request.key) == (
         b"id-1",
         900.0,
         True,
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -1,7 +1,7 @@
 """The lifecycle denies what its rules do not allow, and counts violations of the invariants."""
 
 import pytest
-from helpers import listed
+from helpers import endpoint_entry
 
 from tansycrank import routing
 from tansycrank.lifecycle import (
@@ -29,7 +29,7 @@
         )
         self.now, self.violations = 0.0, []
         self.lifecycle = Lifecycle(settings, self.violations.append)
-        self.update_endpoints(routing.EndpointListKind.SNAPSHOT, *map(listed, (1, 2, 3, 4)))
+        self.update_endpoints(routing.EndpointListKind.SNAPSHOT, *map(endpoint_entry, (1, 2, 3, 4)))
 
     def update_endpoints(self, kind, *entries):
         self.lifecycle.update_endpoints(routing.EndpointListUpdate(kind, entries))
@@ -109,7 +109,7 @@
 def test_no_attempt_starts_at_an_endpoint_that_is_draining_or_removed(router, status):
     query = router.accept()
     prepared = router.prepare(query)
-    router.update_endpoints(routing.EndpointListKind.DELTA, listed(1, status=status))
+    router.update_endpoints(routing.EndpointListKind.DELTA, endpoint_entry(1, status=status))
     assert prepared.start(1.0) is DenialReason.ENDPOINT and not router.violations
     assert denial_reason(router, query) is DenialReason.ENDPOINT
     assert router.violated_invariants == [Invariant.NOTHING_TO_DRAINING]
@@ -118,7 +118,7 @@
 def test_a_snapshot_removes_missing_endpoints_and_a_failed_poll_removes_none(router):
     router.update_endpoints(routing.EndpointListKind.FAILED)
     router.start(router.accept())
-    router.update_endpoints(routing.EndpointListKind.SNAPSHOT, listed(2))
+    router.update_endpoints(routing.EndpointListKind.SNAPSHOT, endpoint_entry(2))
     assert denial_reason(router, router.accept(), endpoint=1) is DenialReason.ENDPOINT
     router.start(router.accept(), endpoint=2)
 
