--- a/tests/http_router/test_given_up.py
+++ b/tests/http_router/test_given_up.py
@@ -93,7 +93,7 @@
     scenario(harness)
     [(request, answer_kind, logged_reason, history)] = logged_failures(caplog)
     assert (request, answer_kind, logged_reason) == ("q1", kind, reason.value)
-    assert "taken" in history[0] and any(event.endswith(kind) for event in history)
+    assert "accepted" in history[0] and any(event.endswith(kind) for event in history)
     assert harness.daemon.coordinator.failure_log.counts_by_reason() == {reason.name.lower(): 1}
 
 
