--- a/tansycrank/postgres/server/session_commands.py
+++ b/tansycrank/postgres/server/session_commands.py
@@ -8,7 +8,7 @@
 from tansycrank.postgres.server.context import SessionContext
 from tansycrank.postgres.server.result_formats import with_formats
 from tansycrank.postgres.server.sqlstates import ACTIVE_TRANSACTION, NO_ACTIVE_TRANSACTION
-from tansycrank.sql.plan import Local, Prepared
+from tansycrank.sql.plan import LocalCommand, Prepared
 
 END_OF_BLOCK = ("commit", "rollback")
 
@@ -33,7 +33,7 @@
             "rollback": self._end_block,
         }
 
-    def run(self, command: Local) -> list[bytes]:
+    def run(self, command: LocalCommand) -> list[bytes]:
         """The messages that answer a command, without RowDescription. Raises PgError."""
         tag = command.tag
         if command.command in END_OF_BLOCK and self._context.transaction.has_failed:
@@ -55,56 +55,56 @@
             return with_formats(local.fields, result_formats)
         return None
 
-    def _show_fields(self, command: Local) -> tuple[pg.Field, ...]:
+    def _show_fields(self, command: LocalCommand) -> tuple[pg.Field, ...]:
         view = self._context.service.view(command.name.lower(), self._context.caller)
         if view is None:
             return (pg.Field(command.name, types.TEXT),)
         return tuple(pg.Field(name, types.TEXT) for name in view[0])
 
     @staticmethod
-    def _rows(command: Local) -> list[bytes]:
+    def _rows(command: LocalCommand) -> list[bytes]:
         return [pg.data_row(row) for row in command.rows]
 
-    def _show(self, command: Local) -> list[bytes]:
+    def _show(self, command: LocalCommand) -> list[bytes]:
         view = self._context.service.view(command.name.lower(), self._context.caller)
         rows = view[1] if view is not None else [(self._context.settings.shown(command.name),)]
         return [pg.data_row([value.encode() for value in row]) for row in rows]
 
-    def _set(self, command: Local) -> list[bytes]:
+    def _set(self, command: LocalCommand) -> list[bytes]:
         context = self._context
         return context.settings.assign(command.name, command.value, context.caller)
 
-    def _reset(self, command: Local) -> list[bytes]:
+    def _reset(self, command: LocalCommand) -> list[bytes]:
         self._context.settings.reset()
         if command.tag == "DISCARD ALL":
             self._context.statements.clear()
         return []
 
-    def _close_cursors(self, command: Local) -> list[bytes]:
+    def _close_cursors(self, command: LocalCommand) -> list[bytes]:
         if command.name:
             self._context.cursors.close(command.name)
         else:
             self._context.cursors.close_each()
         return []
 
-    def _deallocate(self, command: Local) -> list[bytes]:
+    def _deallocate(self, command: LocalCommand) -> list[bytes]:
         if command.name:
             self._context.statements.deallocate(command.name)
         else:
             self._context.statements.clear()
         return []
 
-    def _begin(self, command: Local) -> list[bytes]:
+    def _begin(self, command: LocalCommand) -> list[bytes]:
         if not self._context.transaction.is_idle:
             return [_warning(ACTIVE_TRANSACTION, "there is already a transaction in progress")]
         self._context.transaction.begin()
         return []
 
-    def _savepoint(self, command: Local) -> list[bytes]:
+    def _savepoint(self, command: LocalCommand) -> list[bytes]:
         self._context.transaction.change_savepoints(command)
         return []
 
-    def _end_block(self, command: Local) -> list[bytes]:
+    def _end_block(self, command: LocalCommand) -> list[bytes]:
         was_idle = self._context.transaction.is_idle
         self._context.transaction.end()
         self._context.release_portals_and_cursors()
--- a/tansycrank/postgres/server/statement_execution.py
+++ b/tansycrank/postgres/server/statement_execution.py
@@ -12,7 +12,7 @@
 from tansycrank.postgres.server.context import SessionContext
 from tansycrank.postgres.server.pending_operation import PendingOperation
 from tansycrank.postgres.server.row_writer import RowTransfer, RowWriter
-from tansycrank.sql.plan import Local, Prepared
+from tansycrank.sql.plan import LocalCommand, Prepared
 from tansycrank.sql_router.service import Request
 
 LONG_COMMANDS = ("declare", "fetch", "copy")  # session commands that run a query or write rows
@@ -76,7 +76,9 @@
 
         self.run(_inner_request(request, request.results), on_outcome)
 
-    def _fetch(self, command: Local, with_description: bool, on_finished: OnFinished) -> None:
+    def _fetch(
+        self, command: LocalCommand, with_description: bool, on_finished: OnFinished
+    ) -> None:
         cursors = self._context.cursors
         cursor = cursors.get(command.name)
         cursors.mark_used(cursor)
--- a/tansycrank/postgres/server/transaction.py
+++ b/tansycrank/postgres/server/transaction.py
@@ -6,7 +6,7 @@
 
 from tansycrank.postgres.errors import IN_FAILED_TRANSACTION, LIMIT_EXCEEDED, READ_ONLY, PgError
 from tansycrank.postgres.server.sqlstates import INVALID_SAVEPOINT, NO_ACTIVE_TRANSACTION
-from tansycrank.sql.plan import Local, Prepared
+from tansycrank.sql.plan import LocalCommand, Prepared
 
 MAX_SAVEPOINTS = 100  # names in one block
 ALLOWED_IN_FAILED_BLOCK = ("commit", "rollback", "rollback_to")
@@ -72,7 +72,7 @@
                 hint="blocks are read-only here; write in autocommit mode, one shard a statement",
             )
 
-    def change_savepoints(self, command: Local) -> None:
+    def change_savepoints(self, command: LocalCommand) -> None:
         """Run SAVEPOINT, RELEASE or ROLLBACK TO; the last also reopens a failed block."""
         if self.is_idle:
             raise PgError(
--- a/tansycrank/sql/local.py
+++ b/tansycrank/sql/local.py
@@ -10,7 +10,7 @@
 from tansycrank.postgres import types
 from tansycrank.postgres.errors import PgError
 from tansycrank.postgres.messages import Field
-from tansycrank.sql.plan import Local
+from tansycrank.sql.plan import LocalCommand
 from tansycrank.sql.tree import NotConstantError, column_name, constant, function_name, walk
 
 SERVER_VERSION = "15.0 (tansycrank)"
@@ -49,7 +49,7 @@
 )
 
 
-def answer(stmt: ast.SelectStmt) -> Local | None:
+def answer(stmt: ast.SelectStmt) -> LocalCommand | None:
     """The rows of a SELECT without tables made of constants and known functions; None for all
     others.
 
@@ -59,7 +59,7 @@
     if _type_lookup(stmt):
         names = [t.name or (column_name(t.val) or ("", "?column?"))[1] for t in stmt.targetList]
         fields = tuple(Field(name, TYPE_COLUMNS.get(name, types.TEXT)) for name in names)
-        return Local("rows", "SELECT 0", fields, ())
+        return LocalCommand("rows", "SELECT 0", fields, ())
     if (
         stmt.fromClause
         or stmt.whereClause
@@ -82,7 +82,7 @@
         name, oid, value = found
         fields.append(Field(target.name or name, oid, types.SIZES.get(oid, -1)))
         row.append(None if value is None else types.encode(oid, 0, value))
-    return Local("rows", "SELECT 1", tuple(fields), (tuple(row),))
+    return LocalCommand("rows", "SELECT 1", tuple(fields), (tuple(row),))
 
 
 def is_type_query(stmt: ast.SelectStmt) -> bool:
@@ -91,7 +91,7 @@
     return [c.ctename for c in ctes] == ["typeinfo_tree"]
 
 
-def type_rows(oids: Sequence[int]) -> Local:
+def type_rows(oids: Sequence[int]) -> LocalCommand:
     """What that look-up finds: arrays with their elements after them in depth, plain types."""
     fields = tuple(Field(name, oid) for name, oid in TYPE_INFO)
     found: dict[tuple[int, int], None] = {}
@@ -122,7 +122,7 @@
             None,
         )
         rows.append(tuple(None if v is None else str(v).encode() for v in values))
-    return Local("rows", f"SELECT {len(rows)}", fields, tuple(rows))
+    return LocalCommand("rows", f"SELECT {len(rows)}", fields, tuple(rows))
 
 
 def _value(node: ast.Node) -> tuple[str, int, object] | None:
--- a/tansycrank/sql/plan.py
+++ b/tansycrank/sql/plan.py
@@ -121,7 +121,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Local:
+class LocalCommand:
     """Answered by the router itself: rows of text values, or a session command."""
 
     # "rows", "set", "reset", "show", "begin", "commit", "rollback", "nothing", "deallocate", ...
@@ -146,7 +146,7 @@
     sql: str
     tag: str
     oids: tuple[int, ...] = ()
-    local: Local | None = None
+    local: LocalCommand | None = None
     writes: bool = False
     volatile: str = ""
     tables: tuple[str, ...] = ()
@@ -155,7 +155,7 @@
     inner: Prepared | None = None  # the query of DECLARE or COPY
     options: tuple[tuple[str, object], ...] = ()  # of COPY
     bind: Callable[[Sequence[object]], BoundStatement] | None = None
-    compute: Callable[[Sequence[object]], Local] | None = (
+    compute: Callable[[Sequence[object]], LocalCommand] | None = (
         None  # a local answer that depends on parameters
     )
     describe_sql: Callable[[], ShardSql] | None = None
--- a/tansycrank/sql/planner.py
+++ b/tansycrank/sql/planner.py
@@ -30,7 +30,7 @@
 from tansycrank.sql.infer import insert_columns, parameter_types
 from tansycrank.sql.many import plan_many, text_of
 from tansycrank.sql.names import SAFE
-from tansycrank.sql.plan import BoundStatement, Local, MergePlan, Prepared, ShardSql
+from tansycrank.sql.plan import BoundStatement, LocalCommand, MergePlan, Prepared, ShardSql
 from tansycrank.sql.scope import ShardRule, scope_of
 from tansycrank.sql.shards import NoShardError, canonical, shard_of
 from tansycrank.sql.tree import NotConstantError, constant, contains, function_name, walk
@@ -105,14 +105,14 @@
             case ast.VariableSetStmt():
                 return _session(_set(stmt), text)
             case ast.VariableShowStmt():
-                return _session(Local("show", "SHOW", name=stmt.name), text, True)
+                return _session(LocalCommand("show", "SHOW", name=stmt.name), text, True)
             case ast.TransactionStmt():
                 return _session(_transaction(stmt), text)
             case ast.DiscardStmt():
-                return _session(Local("reset", "DISCARD ALL"), text)
+                return _session(LocalCommand("reset", "DISCARD ALL"), text)
             case ast.DeallocateStmt():
                 return _session(
-                    Local(
+                    LocalCommand(
                         "deallocate",
                         "DEALLOCATE ALL" if stmt.isall else "DEALLOCATE",
                         name=stmt.name or "",
@@ -121,7 +121,7 @@
                 )
             case ast.ClosePortalStmt():
                 tag = "CLOSE CURSOR" if stmt.portalname else "CLOSE CURSOR ALL"
-                return _session(Local("close", tag, name=stmt.portalname or ""), text)
+                return _session(LocalCommand("close", tag, name=stmt.portalname or ""), text)
             case ast.DeclareCursorStmt():
                 return self._declare(stmt, oids)
             case ast.FetchStmt():
@@ -129,7 +129,7 @@
             case ast.CopyStmt():
                 return self._copy(stmt, oids)
             case ast.UnlistenStmt():
-                return _session(Local("nothing", "UNLISTEN"), text)
+                return _session(LocalCommand("nothing", "UNLISTEN"), text)
         name = type(stmt).__name__.removesuffix("Stmt")
         raise PgError(FEATURE_NOT_SUPPORTED, f"statement not supported: {name}")
 
@@ -147,7 +147,7 @@
         if stmt.options & CURSOR_SCROLL or stmt.options & CURSOR_HOLD:
             raise PgError(FEATURE_NOT_SUPPORTED, "cursors WITH HOLD or SCROLL are not supported")
         inner = self._inner(stmt.query, "DECLARE", oids)
-        command = Local("declare", "DECLARE CURSOR", name=stmt.portalname)
+        command = LocalCommand("declare", "DECLARE CURSOR", name=stmt.portalname)
         return Prepared(
             inner.sql, command.tag, inner.oids, command, returns_rows=False, inner=inner
         )
@@ -172,7 +172,7 @@
             inner.sql,
             "COPY",
             inner.oids,
-            Local("copy", "COPY"),
+            LocalCommand("copy", "COPY"),
             returns_rows=False,
             inner=inner,
             options=tuple(options),
@@ -461,7 +461,7 @@
         if inner.local is not None:
             rows = ((b"Answered by the router",),)
             return Prepared(
-                text, "EXPLAIN", oids, Local("rows", "EXPLAIN", fields, rows), fields=fields
+                text, "EXPLAIN", oids, LocalCommand("rows", "EXPLAIN", fields, rows), fields=fields
             )
         return Prepared(text, "EXPLAIN", inner.oids, None, explain=inner, fields=fields)
 
@@ -482,20 +482,22 @@
     return lines
 
 
-def _session(command: Local, text: str, rows: bool = False) -> Prepared:
+def _session(command: LocalCommand, text: str, rows: bool = False) -> Prepared:
     return Prepared(text, command.tag, (), command, returns_rows=rows)
 
 
-def _set(stmt: ast.VariableSetStmt) -> Local:
+def _set(stmt: ast.VariableSetStmt) -> LocalCommand:
     kind = stmt.kind
     if kind == VariableSetKind.VAR_RESET_ALL:
-        return Local("reset", "RESET")
+        return LocalCommand("reset", "RESET")
     if kind in (VariableSetKind.VAR_RESET, VariableSetKind.VAR_SET_DEFAULT):
-        return Local("set", "RESET" if kind == VariableSetKind.VAR_RESET else "SET", name=stmt.name)
+        return LocalCommand(
+            "set", "RESET" if kind == VariableSetKind.VAR_RESET else "SET", name=stmt.name
+        )
     if kind == VariableSetKind.VAR_SET_MULTI:
         if stmt.name == "TRANSACTION SNAPSHOT":
             raise PgError(FEATURE_NOT_SUPPORTED, "SET TRANSACTION SNAPSHOT is not supported")
-        return Local("nothing", "SET")
+        return LocalCommand("nothing", "SET")
     words = []
     for arg in stmt.args or ():
         try:
@@ -507,34 +509,34 @@
             if isinstance(value, bool)
             else str(value)
         )
-    return Local("set", "SET", name=stmt.name, value=", ".join(words))
+    return LocalCommand("set", "SET", name=stmt.name, value=", ".join(words))
 
 
-def _fetch(stmt: ast.FetchStmt) -> Local:
+def _fetch(stmt: ast.FetchStmt) -> LocalCommand:
     if stmt.ismove:
         raise PgError(FEATURE_NOT_SUPPORTED, "MOVE is not supported")
     if stmt.direction != FetchDirection.FETCH_FORWARD or stmt.howMany < 0:
         raise PgError(FEATURE_NOT_SUPPORTED, "FETCH other than forward is not supported")
     count = -1 if stmt.howMany >= 2**31 - 1 else stmt.howMany
-    return Local("fetch", "FETCH", name=stmt.portalname, count=count)
+    return LocalCommand("fetch", "FETCH", name=stmt.portalname, count=count)
 
 
-def _transaction(stmt: ast.TransactionStmt) -> Local:
+def _transaction(stmt: ast.TransactionStmt) -> LocalCommand:
     kinds = TransactionStmtKind
     match stmt.kind:
         case kinds.TRANS_STMT_BEGIN | kinds.TRANS_STMT_START:
             tag = "BEGIN" if stmt.kind == kinds.TRANS_STMT_BEGIN else "START TRANSACTION"
-            return Local("begin", tag)
+            return LocalCommand("begin", tag)
         case kinds.TRANS_STMT_COMMIT:
-            return Local("commit", "COMMIT")
+            return LocalCommand("commit", "COMMIT")
         case kinds.TRANS_STMT_ROLLBACK:
-            return Local("rollback", "ROLLBACK")
+            return LocalCommand("rollback", "ROLLBACK")
         case kinds.TRANS_STMT_SAVEPOINT:
-            return Local("savepoint", "SAVEPOINT", name=stmt.savepoint_name)
+            return LocalCommand("savepoint", "SAVEPOINT", name=stmt.savepoint_name)
         case kinds.TRANS_STMT_RELEASE:
-            return Local("release", "RELEASE", name=stmt.savepoint_name)
+            return LocalCommand("release", "RELEASE", name=stmt.savepoint_name)
         case kinds.TRANS_STMT_ROLLBACK_TO:
-            return Local("rollback_to", "ROLLBACK", name=stmt.savepoint_name)
+            return LocalCommand("rollback_to", "ROLLBACK", name=stmt.savepoint_name)
     name = stmt.kind.name.removeprefix("TRANS_STMT_").replace("_", " ")
     raise PgError(FEATURE_NOT_SUPPORTED, f"{name} is not supported")
 
