--- a/tansycrank/merge/pipeline.py
+++ b/tansycrank/merge/pipeline.py
@@ -54,8 +54,10 @@
             rows = op.top(rows, by, limit + offset, memory)
         else:
             rows = op.external_sort(rows, by, memory)
-    visible = fields[: len(fields) - plan.hidden] if plan.hidden else fields
-    return visible, op.limited(op.shaped(rows, op.cutter(plan.hidden, len(fields))), limit, offset)
+    visible = fields[: len(fields) - plan.hidden_columns] if plan.hidden_columns else fields
+    return visible, op.limited(
+        op.shaped(rows, op.cutter(plan.hidden_columns, len(fields))), limit, offset
+    )
 
 
 def streams(plan: MergePlan | None) -> bool:
--- a/tansycrank/merge/rows.py
+++ b/tansycrank/merge/rows.py
@@ -46,7 +46,7 @@
         return results
     if plan.kind == "grouped":
         return ()
-    return results + (0,) * plan.hidden if len(results) > 1 else results
+    return results + (0,) * plan.hidden_columns if len(results) > 1 else results
 
 
 def scalar(value: Scalar, params: Sequence[object], what: str) -> int | None:
@@ -115,7 +115,7 @@
     plan: MergePlan, shard_results: Sequence[ShardRows], limit: int | None, offset: int
 ) -> Result:
     fields = shard_results[0].fields
-    visible = fields[: len(fields) - plan.hidden] if plan.hidden else fields
+    visible = fields[: len(fields) - plan.hidden_columns] if plan.hidden_columns else fields
     if not plan.sort and not plan.distinct:
         frames = [row for shard_result in shard_results for row in shard_result.rows]
         frames = _cut(frames, limit, offset)
@@ -131,7 +131,7 @@
             seen.setdefault(key, row)
         rows = list(seen.values())
     rows = _cut(sort_rows(rows, plan.sort, fields, 1), limit, offset)
-    if plan.hidden:
+    if plan.hidden_columns:
         frames = [data_row(row[1 : len(visible) + 1]) for row in rows]
     else:
         frames = [row[0] for row in rows]
@@ -190,7 +190,7 @@
         self.plan, self.shard_fields, self.told = plan, fields, told
         self.params = list(zip(oids, params, strict=True))
         width = len(plan.outputs)
-        self.codes = _codes(results, width - plan.hidden) + (0,) * plan.hidden
+        self.codes = _codes(results, width - plan.hidden_columns) + (0,) * plan.hidden_columns
         self._orders = [types.order_key(f.oid, f.format) for f in fields[: plan.groups]]
         self._folds = [(plan.groups + i, _fold(a, fields)) for i, a in enumerate(plan.aggregates)]
         self._plain = self._passed_on()
@@ -319,7 +319,7 @@
         table.add(*table.split(frame))
     rows = [tuple(read_row(frame)) for frames in table.result() for frame in frames]
     rows = _cut(sort_rows(rows, plan.sort, table.fields), limit, offset)
-    visible = len(plan.outputs) - plan.hidden
+    visible = len(plan.outputs) - plan.hidden_columns
     return Result(
         table.fields[:visible], [data_row(row[:visible]) for row in rows], f"SELECT {len(rows)}"
     )
--- a/tansycrank/sql/plan.py
+++ b/tansycrank/sql/plan.py
@@ -60,7 +60,7 @@
     """
 
     kind: str = "concat"
-    hidden: int = 0
+    hidden_columns: int = 0
     sort: tuple[SortKey, ...] = ()
     distinct: bool = False
     limit: Scalar = Scalar()
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -122,7 +122,7 @@
 def test_limit_and_offset_go_down_together(planner):
     found = shard_requests(planner, "SELECT id FROM trips ORDER BY fare DESC, id LIMIT 5 OFFSET 10")
     assert "LIMIT 15" in found.shard_requests[0].sql and "OFFSET" not in found.shard_requests[0].sql
-    assert found.merge.hidden == 1 and [k.column for k in found.merge.sort] == [-1, 0]
+    assert found.merge.hidden_columns == 1 and [k.column for k in found.merge.sort] == [-1, 0]
 
 
 def test_text_keys_are_sorted_by_collation_c_at_the_nodes(planner):
