--- a/tansycrank/postgres/server/extended_query.py
+++ b/tansycrank/postgres/server/extended_query.py
@@ -234,7 +234,7 @@
             self._execute_command(portal, with_description)
         elif portal.result is not None:
             self._write_portal(portal, message.limit, with_description)
-        elif (prepared.writes or prepared.volatile) and self._deferred_write is None:
+        elif (prepared.writes or prepared.volatile_function) and self._deferred_write is None:
             self._deferred_write = message
             self._deferred_description = message.portal if with_description else None
         else:
@@ -257,9 +257,9 @@
         prepared, bind = portal.statement.prepared, portal.bind
         fields = self._commands.fields(prepared, bind.results)
         local = prepared.local
-        if prepared.compute is not None:
+        if prepared.compute_local is not None:
             values = self._context.service.decoded(prepared, bind.values, bind.formats)
-            local = prepared.compute(values)
+            local = prepared.compute_local(values)
         header = description(fields) if with_description else b""
         answer = self._commands.run(local)
         if fields is not None and any(field.format for field in fields):
--- a/tansycrank/postgres/server/simple_query.py
+++ b/tansycrank/postgres/server/simple_query.py
@@ -45,7 +45,7 @@
         if rejection is not None:
             raise rejection
         statements = context.service.prepare(rest)
-        if len(statements) > 1 and any(s.writes or s.volatile for s in statements):
+        if len(statements) > 1 and any(s.writes or s.volatile_function for s in statements):
             raise PgError(
                 FEATURE_NOT_SUPPORTED,
                 "a write beside other statements in one simple query",
--- a/tansycrank/postgres/server/transaction.py
+++ b/tansycrank/postgres/server/transaction.py
@@ -64,8 +64,8 @@
                 IN_FAILED_TRANSACTION,
                 "current transaction is aborted, commands ignored until end of transaction block",
             )
-        if self.is_open and (prepared.writes or prepared.volatile):
-            what = prepared.tag if prepared.writes else f"{prepared.volatile}()"
+        if self.is_open and (prepared.writes or prepared.volatile_function):
+            what = prepared.tag if prepared.writes else f"{prepared.volatile_function}()"
             raise PgError(
                 READ_ONLY,
                 f"cannot execute {what} in a transaction block of the router",
--- a/tansycrank/sql/plan.py
+++ b/tansycrank/sql/plan.py
@@ -148,14 +148,14 @@
     oids: tuple[int, ...] = ()
     local: LocalCommand | None = None
     writes: bool = False
-    volatile: str = ""
+    volatile_function: str = ""
     tables: tuple[str, ...] = ()
     returns_rows: bool = True
     explain: Prepared | None = None
     inner: Prepared | None = None  # the query of DECLARE or COPY
     options: tuple[tuple[str, object], ...] = ()  # of COPY
     bind: Callable[[Sequence[object]], BoundStatement] | None = None
-    compute: Callable[[Sequence[object]], LocalCommand] | None = (
+    compute_local: Callable[[Sequence[object]], LocalCommand] | None = (
         None  # a local answer that depends on parameters
     )
     describe_sql: Callable[[], ShardSql] | None = None
--- a/tansycrank/sql/planner.py
+++ b/tansycrank/sql/planner.py
@@ -139,7 +139,7 @@
                 FEATURE_NOT_SUPPORTED, f"{what} of something other than SELECT is not supported"
             )
         (inner,) = self.statements(text_of(query), oids)
-        if inner.local is not None or inner.volatile:
+        if inner.local is not None or inner.volatile_function:
             raise PgError(FEATURE_NOT_SUPPORTED, f"{what} of this query is not supported")
         return inner
 
@@ -212,7 +212,7 @@
                 (1028,),
                 empty,
                 fields=empty.fields,
-                compute=lambda values: local.type_rows(values[0] or ()),
+                compute_local=lambda values: local.type_rows(values[0] or ()),
             )
         answer = local.answer(stmt)
         if answer is not None:
@@ -231,7 +231,7 @@
             text,
             "SELECT",
             parameter_types(stmt, self.config.tables, oids),
-            volatile=_volatile(stmt),
+            volatile_function=_volatile(stmt),
             tables=tuple(t.name for _, t in tables),
         )
         levels = [s for s in walk(stmt) if isinstance(s, ast.SelectStmt) and s.fromClause]
@@ -261,8 +261,8 @@
                 return BoundStatement((ShardSql(shard, qualified(shard)),), None)
             if locked:
                 raise unsupported("FOR UPDATE or FOR SHARE")
-            if prepared.volatile:
-                raise unsupported(f"function {prepared.volatile}()")
+            if prepared.volatile_function:
+                raise unsupported(f"function {prepared.volatile_function}()")
             if not many:  # planned when first needed: one shard takes what several can't
                 shard_request, merge = plan_many(self.config, stmt)
                 template, mark = self._template(shard_request)
@@ -349,7 +349,7 @@
             tag,
             parameter_types(stmt, self.config.tables, oids),
             writes=True,
-            volatile=_volatile(stmt),
+            volatile_function=_volatile(stmt),
             tables=tuple(t.name for _, t in tables),
             returns_rows=bool(
                 getattr(stmt, "returningList", None) or getattr(stmt, "returningClause", None)
--- a/tansycrank/sql_router/session_settings.py
+++ b/tansycrank/sql_router/session_settings.py
@@ -66,7 +66,7 @@
 
 def query_form(section: ClassSection, prepared: Prepared, settings: Mapping[str, str]) -> QueryForm:
     """Whether a query may be repeated: a read, a write with a request key, or another write."""
-    if not prepared.writes and not prepared.volatile:
+    if not prepared.writes and not prepared.volatile_function:
         return QueryForm.IDEMPOTENT
     keyed = settings.get("tansycrank.request_key") and section.dedup_window_ms > 0
     return QueryForm.WITH_KEY if keyed else QueryForm.NOT_IDEMPOTENT
