--- a/tansycrank/postgres/server/context.py
+++ b/tansycrank/postgres/server/context.py
@@ -13,7 +13,7 @@
 from tansycrank.postgres.server.session_settings import SessionSettings
 from tansycrank.postgres.server.transaction import TransactionBlock
 from tansycrank.sql.plan import Prepared
-from tansycrank.sql.planner import split_comment
+from tansycrank.sql.planner import split_leading_comment
 from tansycrank.sql_router.service import UNKNOWN_CALLER, Request, Service
 
 
@@ -61,7 +61,7 @@
                 TOO_LARGE,
                 f"the statement has {len(sql)} characters; allowed {self.limits.max_statement}",
             )
-        return split_comment(sql)
+        return split_leading_comment(sql)
 
     def request(self, prepared: Prepared, comment: str) -> Request:
         """A request without parameters, in text format."""
--- a/tansycrank/sql/planner.py
+++ b/tansycrank/sql/planner.py
@@ -36,11 +36,11 @@
 from tansycrank.sql.tree import NotConstantError, constant, contains, function_name, walk
 
 CURSOR_SCROLL, CURSOR_HOLD = 0x0002, 0x0020  # parsenodes.h: CURSOR_OPT_SCROLL, CURSOR_OPT_HOLD
-CACHED = 2000  # statements by text and declared types
+MAX_CACHED_TEXTS = 2000  # statements by text and declared types
 MAX_COMMENT = 512  # bytes of a leading comment that are passed on to the nodes
 
 
-def split_comment(sql: str) -> tuple[str, str]:
+def split_leading_comment(sql: str) -> tuple[str, str]:
     """(leading comment, rest): clients mark queries by a first comment, which must not defeat the
     cache.
     """
@@ -54,14 +54,14 @@
 
 
 class Planner:
-    """Plans statements for one catalogue; the last `CACHED` texts are kept."""
+    """Plans statements for one catalogue; the last `MAX_CACHED_TEXTS` texts are kept."""
 
     def __init__(self, config: Config) -> None:
         self.config = config
         self._cache: OrderedDict[tuple[str, tuple[int, ...]], tuple[Prepared, ...]] = OrderedDict()
         self._turn = 0
 
-    def statements(self, sql: str, oids: tuple[int, ...] = ()) -> tuple[Prepared, ...]:
+    def plan_statements(self, sql: str, oids: tuple[int, ...] = ()) -> tuple[Prepared, ...]:
         """All statements of a text. Raises PgError (42601, 42P01, 0A000, ...)."""
         key = (sql, oids)
         if key in self._cache:
@@ -83,7 +83,7 @@
         result = tuple(planned)
         if len(sql) <= 16_384:
             self._cache[key] = result
-            if len(self._cache) > CACHED:
+            if len(self._cache) > MAX_CACHED_TEXTS:
                 self._cache.popitem(last=False)
         return result
 
@@ -138,7 +138,7 @@
             raise PgError(
                 FEATURE_NOT_SUPPORTED, f"{what} of something other than SELECT is not supported"
             )
-        (inner,) = self.statements(text_of(query), oids)
+        (inner,) = self.plan_statements(text_of(query), oids)
         if inner.local is not None or inner.volatile_function:
             raise PgError(FEATURE_NOT_SUPPORTED, f"{what} of this query is not supported")
         return inner
@@ -456,7 +456,7 @@
         if any(o.defname == "analyze" for o in stmt.options or ()):
             raise PgError(FEATURE_NOT_SUPPORTED, "EXPLAIN ANALYZE is not supported")
         text = text_of(stmt.query)
-        (inner,) = self.statements(text, oids)
+        (inner,) = self.plan_statements(text, oids)
         fields = (Field("QUERY PLAN", types.TEXT),)
         if inner.local is not None:
             rows = ((b"Answered by the router",),)
--- a/tansycrank/sql_router/service.py
+++ b/tansycrank/sql_router/service.py
@@ -91,7 +91,7 @@
 
     def prepare(self, sql: str, oids: tuple[int, ...] = ()) -> tuple[Prepared, ...]:
         """Understand a text of statements, or raise PgError."""
-        return self.planner.statements(sql, oids)
+        return self.planner.plan_statements(sql, oids)
 
     # --- who may enter, and what operators see ---------------------------------------------
 
--- a/tansycrank/testbed/node/batch.py
+++ b/tansycrank/testbed/node/batch.py
@@ -10,7 +10,7 @@
 from tansycrank.postgres import types
 from tansycrank.postgres.errors import SYNTAX_ERROR, PgError
 from tansycrank.sql.infer import parameter_types
-from tansycrank.sql.planner import split_comment
+from tansycrank.sql.planner import split_leading_comment
 from tansycrank.sql_router.node_connection import REQUEST_KEY
 from tansycrank.testbed.engine import Rows, to_engine
 from tansycrank.testbed.node.interfaces import JournaledSession
@@ -122,7 +122,7 @@
 
     def _execute(self, sql: str, oids: tuple[int, ...], bind: pg.Bind | None, key: str) -> Rows:
         values = [] if bind is None else _decoded(bind, oids)
-        verb = split_comment(sql)[1].split(None, 1)[0].upper()
+        verb = split_leading_comment(sql)[1].split(None, 1)[0].upper()
         if verb in WRITE_VERBS:
             return self._execute_write(sql, oids, values, key)
         parameters = [
--- a/tansycrank/testbed/node/session.py
+++ b/tansycrank/testbed/node/session.py
@@ -8,7 +8,7 @@
 
 from tansycrank.postgres import messages as pg
 from tansycrank.postgres.errors import PgError, cancelled
-from tansycrank.sql.planner import split_comment
+from tansycrank.sql.planner import split_leading_comment
 from tansycrank.testbed.node.batch import answer
 from tansycrank.testbed.node.node import Node
 from tansycrank.testbed.process import reactor
@@ -222,7 +222,7 @@
 
 def _work_weight(sql: str, is_executed: bool) -> float:
     """How many times the usual work a batch costs."""
-    comment = split_comment(sql)[0]
+    comment = split_leading_comment(sql)[0]
     if WEIGHT_COMMENT in comment:
         return float(comment.split(WEIGHT_COMMENT)[1].split()[0].rstrip("*/"))
     return 1.0 if is_executed else 0.0
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -4,7 +4,7 @@
 
 from tansycrank import config
 from tansycrank.postgres.errors import PgError
-from tansycrank.sql.planner import Planner, explain_lines, split_comment
+from tansycrank.sql.planner import Planner, explain_lines, split_leading_comment
 from tansycrank.sql.shards import shard_of
 
 TEXT = """
@@ -52,7 +52,7 @@
 
 
 def shard_requests(planner, sql, *values):
-    (prepared,) = planner.statements(sql)
+    (prepared,) = planner.plan_statements(sql)
     return prepared.bind(values)
 
 
@@ -105,7 +105,7 @@
 
 
 def test_the_second_statement_of_a_text_is_cut_right(planner):
-    _first, second = planner.statements(
+    _first, second = planner.plan_statements(
         "SELECT 'ữ' FROM zones; SELECT id FROM trips WHERE district = 'c'"
     )
     assert (
@@ -237,21 +237,23 @@
 
 
 def test_types_of_parameters_come_from_the_catalogue(planner):
-    (prepared,) = planner.statements(
+    (prepared,) = planner.plan_statements(
         "SELECT id FROM trips WHERE fare > $1 AND district = ANY($2) LIMIT $3"
     )
     assert prepared.oids == (1700, 1009, 20)
-    (insert,) = planner.statements("INSERT INTO trips (id, district, started) VALUES ($1, $2, $3)")
+    (insert,) = planner.plan_statements(
+        "INSERT INTO trips (id, district, started) VALUES ($1, $2, $3)"
+    )
     assert insert.oids == (20, 25, 1184)
 
 
 def test_declared_types_stand(planner):
-    (prepared,) = planner.statements("SELECT id FROM trips WHERE fare > $1", (21,))
+    (prepared,) = planner.plan_statements("SELECT id FROM trips WHERE fare > $1", (21,))
     assert prepared.oids == (21,)
 
 
 def test_explain_shows_parts_and_plan(planner):
-    (prepared,) = planner.statements(
+    (prepared,) = planner.plan_statements(
         "EXPLAIN SELECT note, count(*) FROM trips GROUP BY note LIMIT 3"
     )
     text = "\n".join(explain_lines(prepared.explain, (), "lookup (safe)"))
@@ -259,14 +261,14 @@
 
 
 def test_leading_comments_are_split_off_and_bounded():
-    assert split_comment("/*q1*/ SELECT 1") == ("/*q1*/", " SELECT 1")
-    assert split_comment("/*" + "x" * 600 + "*/ SELECT 1")[0] == ""
-    assert split_comment("/* a /* nested */ */ SELECT 1")[0] == ""
+    assert split_leading_comment("/*q1*/ SELECT 1") == ("/*q1*/", " SELECT 1")
+    assert split_leading_comment("/*" + "x" * 600 + "*/ SELECT 1")[0] == ""
+    assert split_leading_comment("/* a /* nested */ */ SELECT 1")[0] == ""
 
 
 def test_the_cache_is_bounded(planner):
     from tansycrank.sql import planner as module
 
-    for number in range(module.CACHED + 50):
-        planner.statements(f"SHOW a{number}")
-    assert len(planner._cache) == module.CACHED
+    for number in range(module.MAX_CACHED_TEXTS + 50):
+        planner.plan_statements(f"SHOW a{number}")
+    assert len(planner._cache) == module.MAX_CACHED_TEXTS
