--- a/tansycrank/sql/__init__.py
+++ b/tansycrank/sql/__init__.py
@@ -1,1 +1,1 @@
-"""From a statement to parts and a merge plan, or a refusal that names the construct. No I/O."""
+"""SQL planner: turns statements into shard statements and a merge plan, or rejects them. No I/O."""
--- a/tansycrank/sql/many.py
+++ b/tansycrank/sql/many.py
@@ -1,7 +1,6 @@
-"""A SELECT over several shards: the statement each part runs, and the plan that merges their rows
-exactly.
+"""Plans a SELECT over several shards: the statement for each shard and an exact merge plan.
 
-What has no exact merge is refused (0A000) by the name of the construct.
+A construct that has no exact merge is rejected by name (SQLSTATE 0A000).
 """
 
 from __future__ import annotations
@@ -15,7 +14,12 @@
 from tansycrank.config import Config
 from tansycrank.postgres import types
 from tansycrank.postgres.errors import PgError, unsupported
-from tansycrank.sql.names import AGGREGATES, IMMUTABLE, PARTIAL, VALUES
+from tansycrank.sql.names import (
+    AGGREGATES,
+    IMMUTABLE_FUNCTIONS,
+    PARTIAL_AGGREGATES,
+    VALUE_AGGREGATES,
+)
 from tansycrank.sql.plan import Aggregate, MergePlan, Output, Scalar, SortKey
 from tansycrank.sql.scope import Scope, scope_of
 from tansycrank.sql.tree import (
@@ -30,30 +34,30 @@
     walk,
 )
 
-NUMERIC_AGGREGATES = ("count", "sum", "avg", "bool_and", "bool_or", "every")
+UNCOLLATED_AGGREGATES = ("count", "sum", "avg", "bool_and", "bool_or", "every")
 
 
-def text_of(node: ast.Node) -> str:
-    """The SQL of a tree."""
+def to_sql(node: ast.Node) -> str:
+    """Returns the SQL text of a syntax tree."""
     return RawStream()(node)
 
 
-def plan_many(config: Config, stmt: ast.SelectStmt) -> tuple[ast.SelectStmt, MergePlan]:
-    """The statement for each shard (tables not yet qualified) and the merge plan."""
-    return _Many(config, stmt).plan()
+def plan_multi_shard(config: Config, stmt: ast.SelectStmt) -> tuple[ast.SelectStmt, MergePlan]:
+    """Returns the statement for each shard (tables not yet schema-qualified) and the merge plan."""
+    return _MultiShardPlanner(config, stmt).plan()
 
 
-class _Many:
+class _MultiShardPlanner:
     def __init__(self, config: Config, stmt: ast.SelectStmt) -> None:
         self.config, self.stmt = config, stmt
-        self._refuse_constructs()
+        self._reject_unsupported_constructs()
         self.scope: Scope = scope_of(config, stmt.fromClause or (), stmt.whereClause, strict=True)
         if not self.scope.colocated():
             raise unsupported("join of distributed tables not on their distribution columns")
         self.targets: list[ast.ResTarget] = list(stmt.targetList or ())
         self.star = any(contains(t.val, ast.A_Star) for t in self.targets)
 
-    def _refuse_constructs(self) -> None:
+    def _reject_unsupported_constructs(self) -> None:
         stmt, tables = self.stmt, self.config.tables
         if stmt.op != SetOperation.SETOP_NONE:
             raise unsupported(stmt.op.name.removeprefix("SETOP_"))
@@ -100,7 +104,7 @@
                 name = function_name(node)
                 if node.over is not None:
                     raise unsupported(f"window function {name}()")
-                if name not in IMMUTABLE | AGGREGATES:
+                if name not in IMMUTABLE_FUNCTIONS | AGGREGATES:
                     raise unsupported(
                         f"function {name}()", "its result may differ from node to node"
                     )
@@ -115,26 +119,27 @@
                     f"the moving literal {node.arg.val.sval!r}", "give the value as a parameter"
                 )
 
-    # --- which way ------------------------------------------------------------------
+    # --- choice of the merge ------------------------------------------------------------
 
     def plan(self) -> tuple[ast.SelectStmt, MergePlan]:
-        groups = [self._resolve(item, "GROUP BY") for item in self.stmt.groupClause or ()]
+        groups = [self._resolve_reference(item, "GROUP BY") for item in self.stmt.groupClause or ()]
         aggregated = any(
             is_aggregate(n)
             for n in walk((self.targets, self.stmt.havingClause, self.stmt.sortClause))
         )
         if not groups and not aggregated and self.stmt.havingClause is None:
-            return self._plain()
-        local = any(
+            return self._plan_rows()
+        grouped_by_shard_key = any(
             (alias := self.scope.key_of(g)) and alias not in self.scope.nullable for g in groups
         )
-        if groups and local:  # each group lies whole on one shard
-            return self._plain()
-        return self._grouped(groups)
+        if groups and grouped_by_shard_key:  # every group lies entirely on one shard
+            return self._plan_rows()
+        return self._plan_grouped(groups)
+
+    def _resolve_reference(self, node: ast.Node, where: str) -> ast.Node:
+        """Replaces an ordinal or an output name by its expression.
 
-    def _resolve(self, node: ast.Node, where: str) -> ast.Node:
-        """An ordinal or an output name becomes its expression (GROUP BY prefers columns, ORDER BY
-        names).
+        As in PostgreSQL, GROUP BY prefers input columns and ORDER BY prefers output names.
         """
         if isinstance(node, ast.A_Const) and not node.isnull and isinstance(node.val, ast.Integer):
             if self.star:
@@ -151,7 +156,7 @@
                     return named[0]
         return node
 
-    def _scalar(self, node: ast.Node | None, what: str) -> Scalar:
+    def _row_count(self, node: ast.Node | None, what: str) -> Scalar:
         if node is None:
             return Scalar()
         if isinstance(node, ast.TypeCast) and isinstance(node.arg, ast.ParamRef):
@@ -170,26 +175,26 @@
             raise PgError("2201W" if what == "LIMIT" else "2201X", f"{what} must not be negative")
         return Scalar(value)
 
-    # --- rows as they are -----------------------------------------------------------
+    # --- rows without aggregation at the router -----------------------------------------
 
-    def _plain(self) -> tuple[ast.SelectStmt, MergePlan]:
+    def _plan_rows(self) -> tuple[ast.SelectStmt, MergePlan]:
         shard_request, stmt = copy(self.stmt), self.stmt
         distinct = bool(stmt.distinctClause)
         limit, offset = (
-            self._scalar(stmt.limitCount, "LIMIT"),
-            self._scalar(stmt.limitOffset, "OFFSET"),
+            self._row_count(stmt.limitCount, "LIMIT"),
+            self._row_count(stmt.limitOffset, "OFFSET"),
         )
         hidden: list[ast.ResTarget] = []
-        keys, known, part_sort = [], True, []
+        keys, sort_types_known, shard_sort = [], True, []
         for item in stmt.sortClause or ():
             column, node = self._sort_column(item.node, hidden, distinct)
-            descending, first = _direction(item)
+            descending, first = _sort_direction(item)
             keys.append((column, descending, first))
-            oid = self._type(node)
-            known = known and bool(oid)
+            oid = self._type_of(node)
+            sort_types_known = sort_types_known and bool(oid)
             if oid in types.TEXTUAL and oid and not isinstance(node, ast.CollateClause):
                 node = ast.CollateClause(arg=node, collname=(ast.String(sval="C"),))
-            part_sort.append(
+            shard_sort.append(
                 ast.SortBy(
                     node=node,
                     sortby_dir=SortByDir.SORTBY_DESC if descending else SortByDir.SORTBY_ASC,
@@ -198,51 +203,52 @@
                     else SortByNulls.SORTBY_NULLS_LAST,
                 )
             )
-        count = len(hidden)
-        # the i-th hidden column was noted as -i; in a row of any width it stands i - count - 1 from
-        # the end
-        sort = tuple(SortKey(c if c >= 0 else -c - count - 1, d, f) for c, d, f in keys)
+        hidden_count = len(hidden)
+        # _sort_column returns -i for the i-th hidden column; counted from the end of a row of any
+        # width, its index is i - hidden_count - 1
+        sort = tuple(SortKey(c if c >= 0 else -c - hidden_count - 1, d, f) for c, d, f in keys)
         shard_request.targetList = tuple(self.targets) + tuple(hidden)
-        pushed = (limit.param or limit.value is not None) and known
-        presorted = bool(sort) and known and not distinct
+        push_limit = (limit.param or limit.value is not None) and sort_types_known
+        presorted = bool(sort) and sort_types_known and not distinct
         shard_request.limitCount = shard_request.limitOffset = shard_request.sortClause = None
         shard_request.limitOption = LimitOption.LIMIT_OPTION_DEFAULT
-        if distinct and any(isinstance(s.node, ast.CollateClause) for s in part_sort):
-            pushed = (
-                False  # danger: DISTINCT allows only its own columns as keys, without a collation
-            )
-        if presorted or pushed:
-            shard_request.sortClause = tuple(part_sort) or None
-        if pushed:
+        if distinct and any(isinstance(s.node, ast.CollateClause) for s in shard_sort):
+            # SELECT DISTINCT accepts only output columns as sort keys, and these without COLLATE
+            push_limit = False
+        if presorted or push_limit:
+            shard_request.sortClause = tuple(shard_sort) or None
+        if push_limit:
             shard_request.limitOption = LimitOption.LIMIT_OPTION_COUNT
-            shard_request.limitCount = _sum(stmt.limitCount, stmt.limitOffset, limit, offset)
+            shard_request.limitCount = _limit_plus_offset(
+                stmt.limitCount, stmt.limitOffset, limit, offset
+            )
         kind = "sorted" if sort else "concat"
         return shard_request, MergePlan(
             kind,
-            count,
+            hidden_count,
             sort,
             distinct,
             limit,
             offset,
-            pushed_limit=bool(pushed),
+            limit_pushed_down=bool(push_limit),
             presorted=presorted,
         )
 
     def _sort_column(
         self, node: ast.Node, hidden: list[ast.ResTarget], distinct: bool
     ) -> tuple[int, ast.Node]:
-        """The key's column in a shard's row: from the start, or the i-th hidden column (-i)."""
+        """Returns the sort column's index in a shard's row, or -i for the i-th hidden column."""
         if isinstance(node, ast.A_Const) and not node.isnull and isinstance(node.val, ast.Integer):
             if self.star:
                 raise unsupported("ORDER BY position beside *")
-            return node.val.ival - 1, self._resolve(node, "ORDER BY")
-        expression = self._resolve(node, "ORDER BY")
+            return node.val.ival - 1, self._resolve_reference(node, "ORDER BY")
+        expression = self._resolve_reference(node, "ORDER BY")
         if contains(expression, ast.SubLink):
             raise unsupported("a subquery in ORDER BY")
         if not self.star:
-            text = text_of(expression)
+            text = to_sql(expression)
             for index, target in enumerate(self.targets):
-                if text_of(target.val) == text:
+                if to_sql(target.val) == text:
                     return index, expression
         if distinct and not self.star:
             raise PgError(
@@ -253,17 +259,17 @@
         hidden.append(ast.ResTarget(name=f"tansycrank_sort_{len(hidden)}", val=expression))
         return -len(hidden), expression
 
-    def _type(self, node: ast.Node) -> int:
+    def _type_of(self, node: ast.Node) -> int:
         if isinstance(node, ast.TypeCast):
             return type_oid(node.typeName)
         if isinstance(node, ast.CollateClause):
             return types.TEXT
-        if isinstance(node, ast.FuncCall) and function_name(node) in NUMERIC_AGGREGATES:
+        if isinstance(node, ast.FuncCall) and function_name(node) in UNCOLLATED_AGGREGATES:
             return types.NUMERIC
         if isinstance(node, ast.FuncCall) and function_name(node) in ("min", "max") and node.args:
-            return self._type(node.args[0])
+            return self._type_of(node.args[0])
         if isinstance(node, ast.A_Expr) and operator(node) in "+-*/%" and node.lexpr is not None:
-            left, right = self._type(node.lexpr), self._type(node.rexpr)
+            left, right = self._type_of(node.lexpr), self._type_of(node.rexpr)
             return (
                 types.NUMERIC
                 if {left, right} <= types.INTEGERS | {types.NUMERIC, types.FLOAT8}
@@ -279,7 +285,7 @@
 
     # --- groups ---------------------------------------------------------------------
 
-    def _grouped(self, groups: list[ast.Node]) -> tuple[ast.SelectStmt, MergePlan]:
+    def _plan_grouped(self, groups: list[ast.Node]) -> tuple[ast.SelectStmt, MergePlan]:
         stmt = self.stmt
         if self.star:
             raise PgError(
@@ -287,18 +293,20 @@
             )
         if stmt.distinctClause:
             raise unsupported("SELECT DISTINCT with aggregates")
-        self.groups = [(text_of(g), g) for g in groups]
+        self.groups = [(to_sql(g), g) for g in groups]
         self.columns: list[ast.Node] = [g for _, g in self.groups]
-        self.partials: dict[str, int] = {}
+        self.column_indexes: dict[str, int] = {}
         self.aggregates: list[Aggregate] = []
-        self.known: dict[str, int] = {}
+        self.aggregate_indexes: dict[str, int] = {}
         calls = [
             n for n in walk((self.targets, stmt.havingClause, stmt.sortClause)) if is_aggregate(n)
         ]
-        self.raw = any(call.agg_distinct or function_name(call) in VALUES for call in calls)
-        outputs = tuple(Output(_label(t), self._expression(t.val)) for t in self.targets)
+        self.needs_values = any(
+            call.agg_distinct or function_name(call) in VALUE_AGGREGATES for call in calls
+        )
+        outputs = tuple(Output(_output_name(t), self._expression(t.val)) for t in self.targets)
         having = self._expression(stmt.havingClause) if stmt.havingClause is not None else None
-        sort, extra = [], []
+        sort, sort_outputs = [], []
         for item in stmt.sortClause or ():
             node = item.node
             if (
@@ -306,25 +314,25 @@
                 and not node.isnull
                 and isinstance(node.val, ast.Integer)
             ):
-                self._resolve(node, "ORDER BY")
+                self._resolve_reference(node, "ORDER BY")
                 column = node.val.ival - 1
             else:
-                expression = self._expression(self._resolve(node, "ORDER BY"))
+                expression = self._expression(self._resolve_reference(node, "ORDER BY"))
                 column = next((i for i, o in enumerate(outputs) if o.expression == expression), -1)
                 if column < 0:
-                    extra.append(Output("", expression))
-                    column = len(outputs) + len(extra) - 1
-            sort.append(SortKey(column, *_direction(item)))
+                    sort_outputs.append(Output("", expression))
+                    column = len(outputs) + len(sort_outputs) - 1
+            sort.append(SortKey(column, *_sort_direction(item)))
         shard_request = copy(stmt)
         shard_request.targetList = tuple(
             ast.ResTarget(name=f"c{i}", val=node) for i, node in enumerate(self.columns)
         )
         shard_request.groupClause = tuple(g for _, g in self.groups) or None
         first = False
-        if self.raw:
+        if self.needs_values:
             shard_request.groupClause = None
-            lone = len(self.columns) == len(self.groups) + 1
-            first = lone and all(
+            one_value_column = len(self.columns) == len(self.groups) + 1
+            first = one_value_column and all(
                 a.kind == "count" and a.distinct and a.filter < 0 for a in self.aggregates
             )
             shard_request.distinctClause = (None,) if first else None
@@ -334,61 +342,72 @@
         shard_request.limitOption = LimitOption.LIMIT_OPTION_DEFAULT
         plan = MergePlan(
             "grouped",
-            len(extra),
+            len(sort_outputs),
             tuple(sort),
             False,
-            self._scalar(stmt.limitCount, "LIMIT"),
-            self._scalar(stmt.limitOffset, "OFFSET"),
+            self._row_count(stmt.limitCount, "LIMIT"),
+            self._row_count(stmt.limitOffset, "OFFSET"),
             len(groups),
             tuple(self.aggregates),
-            outputs + tuple(extra),
+            outputs + tuple(sort_outputs),
             having,
             first,
         )
         return shard_request, plan
 
-    def _partial(self, call: ast.Node) -> int:
-        """The column of a part's row that holds this partial result."""
-        text = text_of(call)
-        if text not in self.partials:
-            self.partials[text] = len(self.columns)
+    def _shard_column(self, call: ast.Node) -> int:
+        """Returns the index of this expression in a shard's row, adding the column if needed."""
+        text = to_sql(call)
+        if text not in self.column_indexes:
+            self.column_indexes[text] = len(self.columns)
             self.columns.append(call)
-        return self.partials[text]
+        return self.column_indexes[text]
 
-    def _raw_aggregate(self, call: ast.FuncCall) -> tuple:
-        """An aggregate over values that the parts deliver as they are."""
-        name, text = function_name(call), text_of(call)
+    def _value_aggregate(self, call: ast.FuncCall) -> tuple:
+        """Plans an aggregate that the router computes from the input values of all shards."""
+        name, text = function_name(call), to_sql(call)
         if contains(call.args, ast.SubLink) or any(is_aggregate(n) for n in walk(call.args or ())):
             raise unsupported(f"a subquery or aggregate inside {name}()")
-        if name not in PARTIAL | VALUES:
+        if name not in PARTIAL_AGGREGATES | VALUE_AGGREGATES:
             raise unsupported(
                 f"aggregate {name}()", "group by the distribution column, or ask for one shard"
             )
-        order_by, fixed, args = list(call.agg_order or ()), None, list(call.args or ())
+        order_by, constant_argument, args = list(call.agg_order or ()), None, list(call.args or ())
         if call.agg_distinct and order_by:
             raise unsupported(f"{name}(DISTINCT ... ORDER BY ...)")
         if name in ("string_agg", "percentile_cont", "percentile_disc"):
             try:
-                fixed = constant(args[1 if name == "string_agg" else 0])
+                constant_argument = constant(args[1 if name == "string_agg" else 0])
             except (NotConstantError, IndexError):
                 raise unsupported(f"{name}() with a computed argument") from None
             args = args[:1] if name == "string_agg" else [order_by[0].node]
-        if text not in self.known:
-            order = tuple(SortKey(self._partial(item.node), *_direction(item)) for item in order_by)
-            columns = tuple(self._partial(arg) for arg in args)
-            chosen = -1 if call.agg_filter is None else self._partial(call.agg_filter)
+        if text not in self.aggregate_indexes:
+            order = tuple(
+                SortKey(self._shard_column(item.node), *_sort_direction(item)) for item in order_by
+            )
+            columns = tuple(self._shard_column(arg) for arg in args)
+            filter_column = -1 if call.agg_filter is None else self._shard_column(call.agg_filter)
             kind = "bool_and" if name == "every" else name
-            self.known[text] = len(self.aggregates)
+            self.aggregate_indexes[text] = len(self.aggregates)
             self.aggregates.append(
-                Aggregate(kind, columns, True, True, bool(call.agg_distinct), chosen, order, fixed)
+                Aggregate(
+                    kind,
+                    columns,
+                    True,
+                    True,
+                    bool(call.agg_distinct),
+                    filter_column,
+                    order,
+                    constant_argument,
+                )
             )
-        return ("agg", self.known[text])
+        return ("agg", self.aggregate_indexes[text])
 
     def _aggregate(self, call: ast.FuncCall) -> tuple:
         name = function_name(call)
-        if self.raw:
-            return self._raw_aggregate(call)
-        if name not in PARTIAL:
+        if self.needs_values:
+            return self._value_aggregate(call)
+        if name not in PARTIAL_AGGREGATES:
             raise unsupported(
                 f"aggregate {name}()", "group by the distribution column, or ask for one shard"
             )
@@ -400,36 +419,36 @@
             raise unsupported(f"{name}(... ORDER BY ...)")
         if contains(call.args, ast.SubLink) or any(is_aggregate(n) for n in walk(call.args or ())):
             raise unsupported(f"a subquery or aggregate inside {name}()")
-        text = text_of(call)
-        if text not in self.known:
+        text = to_sql(call)
+        if text not in self.aggregate_indexes:
             collated = True
             if name == "avg":
-                total, number = copy(call), copy(call)
-                total.funcname, number.funcname = (
+                sum_call, count_call = copy(call), copy(call)
+                sum_call.funcname, count_call.funcname = (
                     (ast.String(sval="sum"),),
                     (ast.String(sval="count"),),
                 )
-                columns = self._partial(total), self._partial(number)
+                columns = self._shard_column(sum_call), self._shard_column(count_call)
             elif name in ("min", "max"):
-                oid = self._type(call.args[0])
+                oid = self._type_of(call.args[0])
                 collated = bool(oid)
                 if oid in types.TEXTUAL and oid and not isinstance(call.args[0], ast.CollateClause):
                     call = copy(call)
                     call.args = (
                         ast.CollateClause(arg=call.args[0], collname=(ast.String(sval="C"),)),
                     )
-                columns = (self._partial(call),)
+                columns = (self._shard_column(call),)
             else:
-                columns = (self._partial(call),)
-            self.known[text] = len(self.aggregates)
+                columns = (self._shard_column(call),)
+            self.aggregate_indexes[text] = len(self.aggregates)
             self.aggregates.append(
                 Aggregate("bool_and" if name == "every" else name, columns, collated)
             )
-        return ("agg", self.known[text])
+        return ("agg", self.aggregate_indexes[text])
 
     def _expression(self, node: ast.Node) -> tuple:
-        """An expression over groups and aggregates that the router evaluates exactly."""
-        text = text_of(node)
+        """Translates an expression over groups and aggregates that the router evaluates exactly."""
+        text = to_sql(node)
         for index, (group, _) in enumerate(self.groups):
             if group == text:
                 return ("group", index)
@@ -463,8 +482,8 @@
             and node.lexpr is not None
             and operator(node) in ("=", "<>", "!=", "<", ">", "<=", ">=")
         ):
-            sign = "<>" if operator(node) == "!=" else operator(node)
-            return ("op", sign, self._expression(node.lexpr), self._expression(node.rexpr))
+            comparison = "<>" if operator(node) == "!=" else operator(node)
+            return ("op", comparison, self._expression(node.lexpr), self._expression(node.rexpr))
         if isinstance(node, ast.ColumnRef):
             raise PgError(
                 "42803",
@@ -474,7 +493,7 @@
         raise unsupported(f"the expression {text[:60]} over aggregates")
 
 
-def _direction(item: ast.SortBy) -> tuple[bool, bool]:
+def _sort_direction(item: ast.SortBy) -> tuple[bool, bool]:
     if item.sortby_dir == SortByDir.SORTBY_USING:
         raise unsupported("ORDER BY ... USING")
     if isinstance(item.node, ast.CollateClause) and item.node.collname[-1].sval not in (
@@ -488,21 +507,25 @@
     return descending, item.sortby_nulls == SortByNulls.SORTBY_NULLS_FIRST
 
 
-def _sum(count: ast.Node, offset: ast.Node | None, limit: Scalar, skip: Scalar) -> ast.Node:
-    if skip.value is None and not skip.param:
+def _limit_plus_offset(
+    count: ast.Node, offset: ast.Node | None, limit_value: Scalar, offset_value: Scalar
+) -> ast.Node:
+    if offset_value.value is None and not offset_value.param:
         return count
-    if limit.value is not None and skip.value is not None:
-        return ast.A_Const(isnull=False, val=ast.Float(fval=str(limit.value + skip.value)))
-    big = ast.TypeName(names=(ast.String(sval="int8"),), typemod=-1)
+    if limit_value.value is not None and offset_value.value is not None:
+        return ast.A_Const(
+            isnull=False, val=ast.Float(fval=str(limit_value.value + offset_value.value))
+        )
+    bigint = ast.TypeName(names=(ast.String(sval="int8"),), typemod=-1)
     return ast.A_Expr(
         kind=0,
         name=(ast.String(sval="+"),),
-        lexpr=ast.TypeCast(arg=count, typeName=big),
-        rexpr=ast.TypeCast(arg=offset, typeName=big),
+        lexpr=ast.TypeCast(arg=count, typeName=bigint),
+        rexpr=ast.TypeCast(arg=offset, typeName=bigint),
     )
 
 
-def _label(target: ast.ResTarget) -> str:
+def _output_name(target: ast.ResTarget) -> str:
     if target.name:
         return target.name
     node = target.val
--- a/tansycrank/sql/names.py
+++ b/tansycrank/sql/names.py
@@ -1,8 +1,8 @@
-"""What functions may do: the part of PostgreSQL's catalogue that the planner needs."""
+"""Function classification: the part of PostgreSQL's catalogue that the planner needs."""
 
 from __future__ import annotations
 
-PARTIAL = {
+PARTIAL_AGGREGATES = {
     "count",
     "sum",
     "min",
@@ -11,11 +11,16 @@
     "bool_and",
     "bool_or",
     "every",
-}  # mergeable from partial results
-DEVIATIONS = {"stddev", "stddev_samp", "stddev_pop", "variance", "var_samp", "var_pop"}
-# these need all values at the router
-VALUES = DEVIATIONS | {"array_agg", "string_agg", "percentile_cont", "percentile_disc"}
-AGGREGATES = PARTIAL | {
+}  # can be merged from partial results of the shards
+VARIANCE_AGGREGATES = {"stddev", "stddev_samp", "stddev_pop", "variance", "var_samp", "var_pop"}
+# need every input value at the router
+VALUE_AGGREGATES = VARIANCE_AGGREGATES | {
+    "array_agg",
+    "string_agg",
+    "percentile_cont",
+    "percentile_disc",
+}
+AGGREGATES = PARTIAL_AGGREGATES | {
     "array_agg",
     "string_agg",
     "json_agg",
@@ -41,7 +46,8 @@
     "xmlagg",
     "any_value",
 }
-IMMUTABLE = {  # same arguments, same result, no effect: may run at any node, any number of times
+# deterministic, no side effects: may run on any data node, any number of times
+IMMUTABLE_FUNCTIONS = {
     "abs",
     "ceil",
     "ceiling",
@@ -144,7 +150,7 @@
     "percent_rank",
     "cume_dist",
 }
-STABLE = {  # no effect, but another result at another time or node
+STABLE_FUNCTIONS = {  # no side effects, but the result may differ by time or data node
     "now",
     "current_timestamp",
     "statement_timestamp",
@@ -166,4 +172,4 @@
     "uuid_generate_v4",
     "error",
 }
-SAFE = AGGREGATES | IMMUTABLE | STABLE
+SIDE_EFFECT_FREE_FUNCTIONS = AGGREGATES | IMMUTABLE_FUNCTIONS | STABLE_FUNCTIONS
--- a/tansycrank/sql/plan.py
+++ b/tansycrank/sql/plan.py
@@ -1,4 +1,4 @@
-"""What the planner hands on: parts, how they merge, and what a statement does. Plain records."""
+"""Records that the planner produces: shard statements, merge plans and statement properties."""
 
 from __future__ import annotations
 
@@ -7,13 +7,14 @@
 
 from tansycrank.postgres.messages import Field
 
-# ("group", i) | ("agg", i) | ("const", value) | ("param", n) | ("op", sign, left, right) | ...
+# Expression tree evaluated by the router over the columns of a grouped result:
+# ("group", i) | ("agg", i) | ("const", value) | ("param", n) | ("op", operator, left, right) | ...
 Expression = tuple
 
 
 @dataclass(frozen=True, slots=True)
 class SortKey:
-    """A column to sort by: its index from the start; negative, from the end, where it is hidden."""
+    """One sort column. A negative index counts from the end of the row (hidden columns)."""
 
     column: int
     descending: bool = False
@@ -22,7 +23,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Scalar:
-    """LIMIT or OFFSET: a number, or the parameter that holds it (from 1)."""
+    """LIMIT or OFFSET: a constant, or the 1-based number of the parameter that holds it.
+
+    Neither is set (`value` None, `param` 0) when the clause is absent or NULL.
+    """
 
     value: int | None = None
     param: int = 0
@@ -30,21 +34,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Aggregate:
-    """One aggregate over all shards. `columns` holds its partial results in a shard's row."""
+    """One aggregate over all shards. `columns` are its input columns in a shard's rows."""
 
-    kind: str  # count, sum, min, max, avg, bool_and, bool_or
+    kind: str  # name of the aggregate function; "every" is stored as "bool_and"
     columns: tuple[int, ...]
-    collated: bool = True  # min and max: whether nodes compared text by collation "C"
-    raw: bool = False  # the columns hold values, not partial results
+    collated: bool = True  # min, max: whether data nodes compared text by collation "C"
+    raw: bool = False  # the columns hold input values instead of partial results
     distinct: bool = False
-    filter: int = -1  # the column that tells which rows count, -1 for all
-    order: tuple[SortKey, ...] = ()  # of the values
-    constant: object = None  # delimiter of string_agg, fraction of a percentile
+    filter: int = -1  # index of the FILTER condition column, -1 for none
+    order: tuple[SortKey, ...] = ()  # ORDER BY of the input values
+    constant: object = None  # string_agg delimiter or percentile fraction
 
 
 @dataclass(frozen=True, slots=True)
 class Output:
-    """One column of a grouped answer."""
+    """One output column of a grouped result."""
 
     name: str
     expression: Expression
@@ -52,11 +56,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MergePlan:
-    """How parts' rows become one answer.
+    """How the rows of the shards are merged into one result.
 
-    kind: "concat", "sorted" (concat where `sort` is empty) or "grouped". `hidden` columns at the
-    end of a part's row serve the sort alone. A grouped part's row holds the groups first, then
-    partial results.
+    `kind` is "concat", "sorted" (used only with sort keys) or "grouped". The last
+    `hidden_columns` columns of a row are used only for sorting and are not returned. In a grouped
+    plan a shard's row holds the `groups` grouping columns first, then the aggregate inputs.
     """
 
     kind: str = "concat"
@@ -69,12 +73,12 @@
     aggregates: tuple[Aggregate, ...] = ()
     outputs: tuple[Output, ...] = ()
     having: Expression | None = None
-    distinct_first: bool = False  # rows are made distinct over all parts before they are counted
-    pushed_limit: bool = False
-    presorted: bool = False  # nodes deliver their rows in the order of `sort`
+    distinct_first: bool = False  # rows are deduplicated across shards before they are counted
+    limit_pushed_down: bool = False
+    presorted: bool = False  # data nodes return their rows in the order of `sort`
 
     def explain(self) -> list[str]:
-        """Lines for EXPLAIN."""
+        """Returns the lines that EXPLAIN shows for this plan."""
         lines = [
             {"concat": "Append", "sorted": "Merge Sort", "grouped": "Merge Aggregate"}[self.kind]
         ]
@@ -96,17 +100,17 @@
             lines.append("  Distinct: all visible columns")
         for label, scalar in (("Limit", self.limit), ("Offset", self.offset)):
             if scalar.param or scalar.value is not None:
-                shown = f"${scalar.param}" if scalar.param else scalar.value
+                displayed = f"${scalar.param}" if scalar.param else scalar.value
                 lines.append(
-                    f"  {label}: {shown}"
-                    f"{' (pushed down)' if label == 'Limit' and self.pushed_limit else ''}"
+                    f"  {label}: {displayed}"
+                    f"{' (pushed down)' if label == 'Limit' and self.limit_pushed_down else ''}"
                 )
         return lines
 
 
 @dataclass(frozen=True, slots=True)
 class ShardSql:
-    """The statement of one shard."""
+    """The SQL text to run on one shard."""
 
     shard: int
     sql: str
@@ -114,7 +118,10 @@
 
 @dataclass(frozen=True, slots=True)
 class BoundStatement:
-    """A bound statement: a statement a shard, and how their rows merge (None: passed on)."""
+    """A statement with its parameter values applied: one SQL text per shard and the merge plan.
+
+    `merge` is None if a single shard answers and its rows are passed through unchanged.
+    """
 
     shard_requests: tuple[ShardSql, ...]
     merge: MergePlan | None
@@ -122,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalCommand:
-    """Answered by the router itself: rows of text values, or a session command."""
+    """A statement that the router executes itself: fixed rows or a session command."""
 
     # "rows", "set", "reset", "show", "begin", "commit", "rollback", "nothing", "deallocate", ...
     command: str
@@ -131,16 +138,16 @@
     rows: tuple[tuple[bytes | None, ...], ...] = ()
     name: str = ""
     value: str | None = None
-    count: int = 0  # rows of FETCH, -1 for all
+    count: int = 0  # row count of FETCH, -1 for ALL
 
 
 @dataclass(slots=True)
 class Prepared:
-    """A statement that was understood. `bind` gives its parts for the values of its parameters.
+    """A planned statement. `bind` returns its shard statements for given parameter values.
 
-    `oids` are the parameters' types as declared or inferred, 0 where only the store can tell.
-    `writes` tells whether it changes data, `volatile` names a function whose repetition may have an
-    effect.
+    `oids` are the declared or inferred parameter types, 0 where only a data node can determine
+    them. `writes` is true for statements that change data. `volatile_function` names a called
+    function that may have side effects, so that running it twice is not safe; empty for none.
     """
 
     sql: str
@@ -152,11 +159,13 @@
     tables: tuple[str, ...] = ()
     returns_rows: bool = True
     explain: Prepared | None = None
-    inner: Prepared | None = None  # the query of DECLARE or COPY
-    options: tuple[tuple[str, object], ...] = ()  # of COPY
+    inner: Prepared | None = None  # the query of DECLARE CURSOR or COPY
+    options: tuple[tuple[str, object], ...] = ()  # of COPY, (name, value)
     bind: Callable[[Sequence[object]], BoundStatement] | None = None
     compute_local: Callable[[Sequence[object]], LocalCommand] | None = (
-        None  # a local answer that depends on parameters
+        None  # local result that depends on parameter values
     )
     describe_sql: Callable[[], ShardSql] | None = None
-    fields: tuple[Field, ...] | None = field(default=None)  # once known: columns, for Describe
+    fields: tuple[Field, ...] | None = field(
+        default=None
+    )  # result columns for Describe, None until known
--- a/tansycrank/sql/planner.py
+++ b/tansycrank/sql/planner.py
@@ -28,8 +28,8 @@
 from tansycrank.postgres.messages import Field
 from tansycrank.sql import local
 from tansycrank.sql.infer import insert_columns, parameter_types
-from tansycrank.sql.many import plan_many, text_of
-from tansycrank.sql.names import SAFE
+from tansycrank.sql.many import plan_multi_shard, to_sql
+from tansycrank.sql.names import SIDE_EFFECT_FREE_FUNCTIONS
 from tansycrank.sql.plan import BoundStatement, LocalCommand, MergePlan, Prepared, ShardSql
 from tansycrank.sql.scope import ShardRule, scope_of
 from tansycrank.sql.shards import NoShardError, canonical, shard_of
@@ -138,7 +138,7 @@
             raise PgError(
                 FEATURE_NOT_SUPPORTED, f"{what} of something other than SELECT is not supported"
             )
-        (inner,) = self.plan_statements(text_of(query), oids)
+        (inner,) = self.plan_statements(to_sql(query), oids)
         if inner.local is not None or inner.volatile_function:
             raise PgError(FEATURE_NOT_SUPPORTED, f"{what} of this query is not supported")
         return inner
@@ -264,7 +264,7 @@
             if prepared.volatile_function:
                 raise unsupported(f"function {prepared.volatile_function}()")
             if not many:  # planned when first needed: one shard takes what several can't
-                shard_request, merge = plan_many(self.config, stmt)
+                shard_request, merge = plan_multi_shard(self.config, stmt)
                 template, mark = self._template(shard_request)
                 many.extend((template, mark, merge))
             template, mark, merge = many
@@ -320,14 +320,14 @@
         """The text of a tree with a mark in the place of the schema, one that the text has nowhere
         else.
         """
-        before, number = text_of(stmt), 0
+        before, number = to_sql(stmt), 0
         while (mark := f"tansycrank_shard_{number}") in before:
             number += 1
         changed = [(node, node.schemaname) for node, _ in self._tables(stmt)]
         for node, _ in changed:
             node.schemaname = mark
         try:
-            return text_of(stmt), mark
+            return to_sql(stmt), mark
         finally:
             for node, old in changed:
                 node.schemaname = old
@@ -455,7 +455,7 @@
     def _explain(self, stmt: ast.ExplainStmt, oids: tuple[int, ...]) -> Prepared:
         if any(o.defname == "analyze" for o in stmt.options or ()):
             raise PgError(FEATURE_NOT_SUPPORTED, "EXPLAIN ANALYZE is not supported")
-        text = text_of(stmt.query)
+        text = to_sql(stmt.query)
         (inner,) = self.plan_statements(text, oids)
         fields = (Field("QUERY PLAN", types.TEXT),)
         if inner.local is not None:
@@ -543,6 +543,6 @@
 
 def _volatile(stmt: ast.Node) -> str:
     for node in walk(stmt):
-        if isinstance(node, ast.FuncCall) and function_name(node) not in SAFE:
+        if isinstance(node, ast.FuncCall) and function_name(node) not in SIDE_EFFECT_FREE_FUNCTIONS:
             return function_name(node)
     return ""
