--- a/tansycrank/sql/local.py
+++ b/tansycrank/sql/local.py
@@ -1,4 +1,4 @@
-"""Statements that the router answers itself: what drivers ask when they connect."""
+"""Statements that the router answers itself, such as the queries drivers send on connecting."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from tansycrank.sql.tree import NotConstantError, column_name, constant, function_name, walk
 
 SERVER_VERSION = "15.0 (tansycrank)"
-FUNCTIONS = {
+CONSTANT_FUNCTIONS = {
     "version": (f"PostgreSQL {SERVER_VERSION}", types.TEXT),
     "current_schema": ("public", types.NAME),
     "current_database": ("tansycrank", types.NAME),
     "pg_advisory_unlock_all": ("", 2278),
     "pg_is_in_recovery": (False, types.BOOL),
 }
-TYPE_COLUMNS = {
+TYPE_LOOKUP_COLUMNS = {
     "name": types.NAME,
     "oid": types.OID,
     "array_oid": types.OID,
@@ -31,7 +31,7 @@
     "typarray": types.OID,
     "typdelim": 18,
 }
-TYPE_INFO = (
+TYPE_INTROSPECTION_COLUMNS = (
     ("oid", types.OID),
     ("ns", types.NAME),
     ("name", types.NAME),
@@ -49,16 +49,15 @@
 )
 
 
-def answer(stmt: ast.SelectStmt) -> LocalCommand | None:
-    """The rows of a SELECT without tables made of constants and known functions; None for all
-    others.
+def answer_locally(stmt: ast.SelectStmt) -> LocalCommand | None:
+    """Returns the result of a SELECT without tables over constants and known functions, or None.
 
-    A look-up in pg_type (drivers search for extension types by name) gets no rows: no such type is
-    here.
+    A pg_type look-up by name gets an empty result: drivers search for extension types this way,
+    and the router has none.
     """
-    if _type_lookup(stmt):
+    if _is_type_lookup(stmt):
         names = [t.name or (column_name(t.val) or ("", "?column?"))[1] for t in stmt.targetList]
-        fields = tuple(Field(name, TYPE_COLUMNS.get(name, types.TEXT)) for name in names)
+        fields = tuple(Field(name, TYPE_LOOKUP_COLUMNS.get(name, types.TEXT)) for name in names)
         return LocalCommand("rows", "SELECT 0", fields, ())
     if (
         stmt.fromClause
@@ -76,7 +75,7 @@
         return None
     fields, row = [], []
     for target in stmt.targetList:
-        found = _value(target.val)
+        found = _constant_result(target.val)
         if found is None:
             return None
         name, oid, value = found
@@ -85,15 +84,18 @@
     return LocalCommand("rows", "SELECT 1", tuple(fields), (tuple(row),))
 
 
-def is_type_query(stmt: ast.SelectStmt) -> bool:
-    """Whether this is asyncpg's look-up of types by OID (a recursive WITH over pg_type)."""
+def is_type_introspection_query(stmt: ast.SelectStmt) -> bool:
+    """Returns whether this is asyncpg's type introspection by OID (recursive WITH over pg_type)."""
     ctes = stmt.withClause.ctes if stmt.withClause else ()
     return [c.ctename for c in ctes] == ["typeinfo_tree"]
 
 
-def type_rows(oids: Sequence[int]) -> LocalCommand:
-    """What that look-up finds: arrays with their elements after them in depth, plain types."""
-    fields = tuple(Field(name, oid) for name, oid in TYPE_INFO)
+def type_introspection_rows(oids: Sequence[int]) -> LocalCommand:
+    """Returns the rows of that query: the types, and before them the element types of arrays.
+
+    Element types have depth 1 and come first; all others have depth 0.
+    """
+    fields = tuple(Field(name, oid) for name, oid in TYPE_INTROSPECTION_COLUMNS)
     found: dict[tuple[int, int], None] = {}
     for oid in oids:
         if oid in types.ARRAYS:
@@ -125,13 +127,13 @@
     return LocalCommand("rows", f"SELECT {len(rows)}", fields, tuple(rows))
 
 
-def _value(node: ast.Node) -> tuple[str, int, object] | None:
+def _constant_result(node: ast.Node) -> tuple[str, int, object] | None:
     if isinstance(node, ast.FuncCall):
         name = function_name(node)
         if name in ("current_setting", "set_config"):
             raise PgError("42704", f"{name}() is not supported", hint="use SHOW and SET")
-        if name in FUNCTIONS and not node.args:
-            value, oid = FUNCTIONS[name]
+        if name in CONSTANT_FUNCTIONS and not node.args:
+            value, oid = CONSTANT_FUNCTIONS[name]
             return name, oid, value
         return None
     if isinstance(node, ast.SQLValueFunction):
@@ -155,7 +157,7 @@
     return "?column?", types.TEXT, value
 
 
-def _type_lookup(stmt: ast.SelectStmt) -> bool:
+def _is_type_lookup(stmt: ast.SelectStmt) -> bool:
     sources = [n for n in walk(stmt) if isinstance(n, ast.RangeVar)]
     if [s.relname for s in sources] != ["pg_type"]:
         return False
--- a/tansycrank/sql/many.py
+++ b/tansycrank/sql/many.py
@@ -21,7 +21,7 @@
     VALUE_AGGREGATES,
 )
 from tansycrank.sql.plan import Aggregate, MergePlan, Output, Scalar, SortKey
-from tansycrank.sql.scope import Scope, scope_of
+from tansycrank.sql.scope import Scope, build_scope
 from tansycrank.sql.tree import (
     NotConstantError,
     column_name,
@@ -51,7 +51,9 @@
     def __init__(self, config: Config, stmt: ast.SelectStmt) -> None:
         self.config, self.stmt = config, stmt
         self._reject_unsupported_constructs()
-        self.scope: Scope = scope_of(config, stmt.fromClause or (), stmt.whereClause, strict=True)
+        self.scope: Scope = build_scope(
+            config, stmt.fromClause or (), stmt.whereClause, strict=True
+        )
         if not self.scope.colocated():
             raise unsupported("join of distributed tables not on their distribution columns")
         self.targets: list[ast.ResTarget] = list(stmt.targetList or ())
@@ -130,7 +132,8 @@
         if not groups and not aggregated and self.stmt.havingClause is None:
             return self._plan_rows()
         grouped_by_shard_key = any(
-            (alias := self.scope.key_of(g)) and alias not in self.scope.nullable for g in groups
+            (alias := self.scope.distribution_alias(g)) and alias not in self.scope.nullable
+            for g in groups
         )
         if groups and grouped_by_shard_key:  # every group lies entirely on one shard
             return self._plan_rows()
--- a/tansycrank/sql/planner.py
+++ b/tansycrank/sql/planner.py
@@ -1,9 +1,8 @@
-"""From the text of statements to `Prepared`: what each does, its shards, its parts, its merge plan.
-No I/O.
+"""Plans SQL text into `Prepared` statements: shards, shard statements and merge plan. No I/O.
 
-A statement for one shard is passed on in its own words, with the shard's schema put before its
-tables. One for several shards is planned by `many`. What can't be answered exactly is refused,
-naming the construct.
+A statement for one shard keeps its text; only the shard's schema is put in front of its tables. A
+statement for several shards is planned by the module `many`. A statement that cannot be answered
+exactly is rejected with an error that names the construct.
 """
 
 from __future__ import annotations
@@ -31,38 +30,39 @@
 from tansycrank.sql.many import plan_multi_shard, to_sql
 from tansycrank.sql.names import SIDE_EFFECT_FREE_FUNCTIONS
 from tansycrank.sql.plan import BoundStatement, LocalCommand, MergePlan, Prepared, ShardSql
-from tansycrank.sql.scope import ShardRule, scope_of
-from tansycrank.sql.shards import NoShardError, canonical, shard_of
+from tansycrank.sql.scope import ShardPruner, build_scope
+from tansycrank.sql.shards import NoShardError, canonical_value, shard_of
 from tansycrank.sql.tree import NotConstantError, constant, contains, function_name, walk
 
 CURSOR_SCROLL, CURSOR_HOLD = 0x0002, 0x0020  # parsenodes.h: CURSOR_OPT_SCROLL, CURSOR_OPT_HOLD
-MAX_CACHED_TEXTS = 2000  # statements by text and declared types
-MAX_COMMENT = 512  # bytes of a leading comment that are passed on to the nodes
+MAX_CACHED_TEXTS = 2000  # cache entries, keyed by SQL text and declared parameter types
+MAX_COMMENT_LENGTH = 512  # longest leading comment, in characters, that is split off and forwarded
 
 
 def split_leading_comment(sql: str) -> tuple[str, str]:
-    """(leading comment, rest): clients mark queries by a first comment, which must not defeat the
-    cache.
+    """Splits SQL text into (leading comment, rest).
+
+    Clients tag queries with a leading comment; without it equal statements share a cache entry.
     """
     text = sql.lstrip()
     if not text.startswith("/*"):
         return "", sql
     end = text.find("*/", 2)
-    if end < 0 or "/*" in text[2:end] or end > MAX_COMMENT:
+    if end < 0 or "/*" in text[2:end] or end > MAX_COMMENT_LENGTH:
         return "", sql
     return text[: end + 2], text[end + 2 :]
 
 
 class Planner:
-    """Plans statements for one catalogue; the last `MAX_CACHED_TEXTS` texts are kept."""
+    """Plans statements for one configuration and caches plans by text (LRU, `MAX_CACHED_TEXTS`)."""
 
     def __init__(self, config: Config) -> None:
         self.config = config
         self._cache: OrderedDict[tuple[str, tuple[int, ...]], tuple[Prepared, ...]] = OrderedDict()
-        self._turn = 0
+        self._last_shard = 0
 
     def plan_statements(self, sql: str, oids: tuple[int, ...] = ()) -> tuple[Prepared, ...]:
-        """All statements of a text. Raises PgError (42601, 42P01, 0A000, ...)."""
+        """Plans all statements of a text. Raises PgError (42601, 42P01, 0A000, ...)."""
         key = (sql, oids)
         if key in self._cache:
             self._cache.move_to_end(key)
@@ -79,7 +79,7 @@
         for raw in found:
             start = raw.stmt_location
             text = sql[start : start + raw.stmt_len] if raw.stmt_len else sql[start:]
-            planned.append(self._one(raw.stmt, text, start, oids))
+            planned.append(self._plan_statement(raw.stmt, text, start, oids))
         result = tuple(planned)
         if len(sql) <= 16_384:
             self._cache[key] = result
@@ -88,30 +88,32 @@
         return result
 
     def any_shard(self) -> int:
-        """A shard for what any shard can answer, by turns."""
-        self._turn = (self._turn + 1) % self.config.store.shards
-        return self._turn
+        """Returns the next shard, round robin, for a statement that any shard can answer."""
+        self._last_shard = (self._last_shard + 1) % self.config.store.shards
+        return self._last_shard
 
     # --- one statement ----------------------------------------------------------------
 
-    def _one(self, stmt: ast.Node, text: str, start: int, oids: tuple[int, ...]) -> Prepared:
+    def _plan_statement(
+        self, stmt: ast.Node, text: str, start: int, oids: tuple[int, ...]
+    ) -> Prepared:
         match stmt:
             case ast.SelectStmt():
-                return self._select(stmt, text, start, oids)
+                return self._plan_select(stmt, text, start, oids)
             case ast.InsertStmt() | ast.UpdateStmt() | ast.DeleteStmt():
-                return self._write(stmt, text, start, oids)
+                return self._plan_write(stmt, text, start, oids)
             case ast.ExplainStmt():
-                return self._explain(stmt, oids)
+                return self._plan_explain(stmt, oids)
             case ast.VariableSetStmt():
-                return _session(_set(stmt), text)
+                return _session_command(_set_command(stmt), text)
             case ast.VariableShowStmt():
-                return _session(LocalCommand("show", "SHOW", name=stmt.name), text, True)
+                return _session_command(LocalCommand("show", "SHOW", name=stmt.name), text, True)
             case ast.TransactionStmt():
-                return _session(_transaction(stmt), text)
+                return _session_command(_transaction_command(stmt), text)
             case ast.DiscardStmt():
-                return _session(LocalCommand("reset", "DISCARD ALL"), text)
+                return _session_command(LocalCommand("reset", "DISCARD ALL"), text)
             case ast.DeallocateStmt():
-                return _session(
+                return _session_command(
                     LocalCommand(
                         "deallocate",
                         "DEALLOCATE ALL" if stmt.isall else "DEALLOCATE",
@@ -121,19 +123,21 @@
                 )
             case ast.ClosePortalStmt():
                 tag = "CLOSE CURSOR" if stmt.portalname else "CLOSE CURSOR ALL"
-                return _session(LocalCommand("close", tag, name=stmt.portalname or ""), text)
+                return _session_command(
+                    LocalCommand("close", tag, name=stmt.portalname or ""), text
+                )
             case ast.DeclareCursorStmt():
-                return self._declare(stmt, oids)
+                return self._plan_declare_cursor(stmt, oids)
             case ast.FetchStmt():
-                return _session(_fetch(stmt), text, True)
+                return _session_command(_fetch_command(stmt), text, True)
             case ast.CopyStmt():
-                return self._copy(stmt, oids)
+                return self._plan_copy(stmt, oids)
             case ast.UnlistenStmt():
-                return _session(LocalCommand("nothing", "UNLISTEN"), text)
+                return _session_command(LocalCommand("nothing", "UNLISTEN"), text)
         name = type(stmt).__name__.removesuffix("Stmt")
         raise PgError(FEATURE_NOT_SUPPORTED, f"statement not supported: {name}")
 
-    def _inner(self, query: ast.Node, what: str, oids: tuple[int, ...]) -> Prepared:
+    def _plan_inner_query(self, query: ast.Node, what: str, oids: tuple[int, ...]) -> Prepared:
         if not isinstance(query, ast.SelectStmt):
             raise PgError(
                 FEATURE_NOT_SUPPORTED, f"{what} of something other than SELECT is not supported"
@@ -143,16 +147,16 @@
             raise PgError(FEATURE_NOT_SUPPORTED, f"{what} of this query is not supported")
         return inner
 
-    def _declare(self, stmt: ast.DeclareCursorStmt, oids: tuple[int, ...]) -> Prepared:
+    def _plan_declare_cursor(self, stmt: ast.DeclareCursorStmt, oids: tuple[int, ...]) -> Prepared:
         if stmt.options & CURSOR_SCROLL or stmt.options & CURSOR_HOLD:
             raise PgError(FEATURE_NOT_SUPPORTED, "cursors WITH HOLD or SCROLL are not supported")
-        inner = self._inner(stmt.query, "DECLARE", oids)
+        inner = self._plan_inner_query(stmt.query, "DECLARE", oids)
         command = LocalCommand("declare", "DECLARE CURSOR", name=stmt.portalname)
         return Prepared(
             inner.sql, command.tag, inner.oids, command, returns_rows=False, inner=inner
         )
 
-    def _copy(self, stmt: ast.CopyStmt, oids: tuple[int, ...]) -> Prepared:
+    def _plan_copy(self, stmt: ast.CopyStmt, oids: tuple[int, ...]) -> Prepared:
         if stmt.is_from or stmt.filename or stmt.is_program:
             raise PgError(FEATURE_NOT_SUPPORTED, "COPY other than TO STDOUT is not supported")
         query = stmt.query
@@ -167,7 +171,7 @@
                 getattr(option.arg, "boolval", getattr(option.arg, "ival", "true")),
             )
             options.append((option.defname, value))
-        inner = self._inner(query, "COPY", oids)
+        inner = self._plan_inner_query(query, "COPY", oids)
         return Prepared(
             inner.sql,
             "COPY",
@@ -178,7 +182,7 @@
             options=tuple(options),
         )
 
-    def _tables(self, stmt: ast.Node) -> list[tuple[ast.RangeVar, Table]]:
+    def _referenced_tables(self, stmt: ast.Node) -> list[tuple[ast.RangeVar, Table]]:
         names = {cte.ctename for cte in walk(stmt) if isinstance(cte, ast.CommonTableExpr)}
         found = []
         for node in walk(stmt):
@@ -192,29 +196,31 @@
                     )
                 continue
             if node.schemaname not in (None, "public") or node.relname not in self.config.tables:
-                shown = f"{node.schemaname}.{node.relname}" if node.schemaname else node.relname
+                relation_name = (
+                    f"{node.schemaname}.{node.relname}" if node.schemaname else node.relname
+                )
                 raise PgError(
                     UNDEFINED_TABLE,
-                    f"relation {shown!r} does not exist",
+                    f"relation {relation_name!r} does not exist",
                     hint="tables are named in the settings file of the router",
                 )
             found.append((node, self.config.tables[node.relname]))
         return found
 
-    def _select(
+    def _plan_select(
         self, stmt: ast.SelectStmt, text: str, start: int, oids: tuple[int, ...]
     ) -> Prepared:
-        if local.is_type_query(stmt):
-            empty = local.type_rows(())
+        if local.is_type_introspection_query(stmt):
+            empty = local.type_introspection_rows(())
             return Prepared(
                 text,
                 "SELECT",
                 (1028,),
                 empty,
                 fields=empty.fields,
-                compute_local=lambda values: local.type_rows(values[0] or ()),
+                compute_local=lambda values: local.type_introspection_rows(values[0] or ()),
             )
-        answer = local.answer(stmt)
+        answer = local.answer_locally(stmt)
         if answer is not None:
             return Prepared(
                 text, "SELECT", oids, answer, returns_rows=True, fields=answer.fields or None
@@ -226,53 +232,56 @@
                 raise PgError(FEATURE_NOT_SUPPORTED, "SELECT INTO is not supported")
             if isinstance(node, ast.RangeTableSample):
                 raise PgError(FEATURE_NOT_SUPPORTED, "TABLESAMPLE is not supported")
-        tables = self._tables(stmt)
+        tables = self._referenced_tables(stmt)
         prepared = Prepared(
             text,
             "SELECT",
             parameter_types(stmt, self.config.tables, oids),
-            volatile_function=_volatile(stmt),
+            volatile_function=_find_volatile_function(stmt),
             tables=tuple(t.name for _, t in tables),
         )
         levels = [s for s in walk(stmt) if isinstance(s, ast.SelectStmt) and s.fromClause]
         scopes = [
-            scope_of(self.config, level.fromClause, level.whereClause, strict=False)
+            build_scope(self.config, level.fromClause, level.whereClause, strict=False)
             for level in levels
         ]
-        seen = sum(len(scope.distributed) for scope in scopes)
-        if seen != sum(bool(table.distribution) for _, table in tables):
-            # danger: a table whose place in FROM is not understood would be asked of one shard
-            # alone
+        recognized = sum(len(scope.distributed) for scope in scopes)
+        if recognized != sum(bool(table.distribution) for _, table in tables):
+            # A distributed table that build_scope did not recognize would be read from one shard
+            # only, and the rows of the other shards would be lost.
             raise unsupported("a distributed table in this place of FROM")
-        rules = [ShardRule(self.config, scope) for scope in scopes if scope.distributed]
-        locked = contains(stmt, ast.LockingClause)
-        qualified = self._qualifier(text, start, stmt, tables)
-        many: list = []
+        pruners = [ShardPruner(self.config, scope) for scope in scopes if scope.distributed]
+        locks_rows = contains(stmt, ast.LockingClause)
+        qualified = self._schema_qualifier(text, start, stmt, tables)
+        multi_shard_plan: list = []
 
         def bind(values: Sequence[object]) -> BoundStatement:
-            if not rules:
+            if not pruners:
                 return BoundStatement(
                     (ShardSql(shard := self.any_shard(), qualified(shard)),), None
                 )
-            needed = [shards for rule in rules for shards in rule.shards(values)]
-            together = set.union(*needed)
-            if len(together) <= 1:
-                shard = together.pop() if together else self.any_shard()
+            shards_by_table = [shards for pruner in pruners for shards in pruner.shards(values)]
+            required_shards = set.union(*shards_by_table)
+            if len(required_shards) <= 1:
+                shard = required_shards.pop() if required_shards else self.any_shard()
                 return BoundStatement((ShardSql(shard, qualified(shard)),), None)
-            if locked:
+            if locks_rows:
                 raise unsupported("FOR UPDATE or FOR SHARE")
             if prepared.volatile_function:
                 raise unsupported(f"function {prepared.volatile_function}()")
-            if not many:  # planned when first needed: one shard takes what several can't
+            # planned lazily: some statements are supported on one shard but not on several
+            if not multi_shard_plan:
                 shard_request, merge = plan_multi_shard(self.config, stmt)
-                template, mark = self._template(shard_request)
-                many.extend((template, mark, merge))
-            template, mark, merge = many
+                template, placeholder = self._template(shard_request)
+                multi_shard_plan.extend((template, placeholder, merge))
+            template, placeholder, merge = multi_shard_plan
             shards = (
-                sorted(set.union(*rules[0].shards(values))) if len(rules) == 1 else sorted(together)
+                sorted(set.union(*pruners[0].shards(values)))
+                if len(pruners) == 1
+                else sorted(required_shards)
             )
             shard_requests = tuple(
-                ShardSql(s, template.replace(mark, self.schema(s))) for s in shards
+                ShardSql(s, template.replace(placeholder, self.schema(s))) for s in shards
             )
             return BoundStatement(shard_requests, merge)
 
@@ -281,28 +290,30 @@
         return prepared
 
     def schema(self, shard: int) -> str:
-        """The schema of a shard at its nodes."""
+        """Returns the schema name of a shard on its data nodes."""
         return self.config.store.schema.format(shard=shard)
 
-    def _qualifier(
+    def _schema_qualifier(
         self, text: str, start: int, stmt: ast.Node, tables: list[tuple[ast.RangeVar, Table]]
     ):
-        """A function from shard to the statement in its own words, its tables in the shard's
-        schema.
+        """Returns a function from shard to the statement text with schema-qualified tables.
+
+        The text is kept as the client wrote it. If a table is not found at its position in the
+        text, the statement is generated from the syntax tree instead.
         """
-        cuts = []
+        edits = []
         for node, table in tables:
             at, old = node.location - start, node.schemaname or ""
             found = text[at : at + len(old or table.name) + 2].lower()
             quoted = found.startswith('"')
-            word = old or table.name
-            if at < 0 or not found.lstrip('"').startswith(word.lower()):
-                template, mark = self._template(stmt)
-                return lambda shard: template.replace(mark, self.schema(shard))
-            cuts.append((at, at + len(old) + 2 * quoted if old else at, "" if old else "."))
-        cuts.sort()
+            identifier = old or table.name
+            if at < 0 or not found.lstrip('"').startswith(identifier.lower()):
+                template, placeholder = self._template(stmt)
+                return lambda shard: template.replace(placeholder, self.schema(shard))
+            edits.append((at, at + len(old) + 2 * quoted if old else at, "" if old else "."))
+        edits.sort()
         pieces, last = [], 0
-        for begin, end, dot in cuts:
+        for begin, end, dot in edits:
             pieces.append(text[last:begin])
             pieces.append(dot)
             last = end
@@ -317,28 +328,29 @@
         return qualify
 
     def _template(self, stmt: ast.Node) -> tuple[str, str]:
-        """The text of a tree with a mark in the place of the schema, one that the text has nowhere
-        else.
+        """Returns the SQL of a tree with a placeholder as schema name, and that placeholder.
+
+        The placeholder occurs nowhere else in the SQL.
         """
-        before, number = to_sql(stmt), 0
-        while (mark := f"tansycrank_shard_{number}") in before:
+        original_sql, number = to_sql(stmt), 0
+        while (placeholder := f"tansycrank_shard_{number}") in original_sql:
             number += 1
-        changed = [(node, node.schemaname) for node, _ in self._tables(stmt)]
-        for node, _ in changed:
-            node.schemaname = mark
+        saved_schemas = [(node, node.schemaname) for node, _ in self._referenced_tables(stmt)]
+        for node, _ in saved_schemas:
+            node.schemaname = placeholder
         try:
-            return to_sql(stmt), mark
+            return to_sql(stmt), placeholder
         finally:
-            for node, old in changed:
+            for node, old in saved_schemas:
                 node.schemaname = old
 
     # --- writes -----------------------------------------------------------------------
 
-    def _write(self, stmt: ast.Node, text: str, start: int, oids: tuple[int, ...]) -> Prepared:
+    def _plan_write(self, stmt: ast.Node, text: str, start: int, oids: tuple[int, ...]) -> Prepared:
         tag = {ast.InsertStmt: "INSERT", ast.UpdateStmt: "UPDATE", ast.DeleteStmt: "DELETE"}[
             type(stmt)
         ]
-        tables = self._tables(stmt)
+        tables = self._referenced_tables(stmt)
         target = self.config.tables[stmt.relation.relname]
         if not target.distribution:
             raise unsupported(f"{tag} on reference table {target.name}")
@@ -349,7 +361,7 @@
             tag,
             parameter_types(stmt, self.config.tables, oids),
             writes=True,
-            volatile_function=_volatile(stmt),
+            volatile_function=_find_volatile_function(stmt),
             tables=tuple(t.name for _, t in tables),
             returns_rows=bool(
                 getattr(stmt, "returningList", None) or getattr(stmt, "returningClause", None)
@@ -360,7 +372,7 @@
             if tag == "INSERT"
             else self._where_shards(stmt, target, tag)
         )
-        qualified = self._qualifier(text, start, stmt, tables)
+        qualified = self._schema_qualifier(text, start, stmt, tables)
 
         def bind(values: Sequence[object]) -> BoundStatement:
             shards = shards_of(values)
@@ -382,8 +394,8 @@
             raise unsupported("INSERT other than VALUES")
         if contains(select, ast.SubLink):
             raise unsupported("INSERT with a subquery")
-        update = stmt.onConflictClause.targetList if stmt.onConflictClause else None
-        if any(t.name == table.column for t in update or ()):
+        conflict_targets = stmt.onConflictClause.targetList if stmt.onConflictClause else None
+        if any(t.name == table.column for t in conflict_targets or ()):
             raise unsupported(f"changing the distribution column {table.column}")
         names, distribution = (
             insert_columns(stmt, table),
@@ -395,7 +407,7 @@
                 f"INSERT into {table.name} gives no value "
                 f"for its distribution column {table.column}",
             )
-        index, wanted = names.index(table.column), []
+        index, row_values = names.index(table.column), []
         for row in select.valuesLists:
             if index >= len(row):
                 raise PgError(SYNTAX_ERROR, "INSERT has more target columns than expressions")
@@ -406,7 +418,7 @@
                 else node
             )
             try:
-                wanted.append(
+                row_values.append(
                     ("param", node.number) if isinstance(node, ast.ParamRef) else constant(node)
                 )
             except NotConstantError:
@@ -416,13 +428,13 @@
 
         def shards(values: Sequence[object]) -> set[int]:
             found = set()
-            for item in wanted:
+            for item in row_values:
                 value = values[item[1] - 1] if isinstance(item, tuple) else item
                 try:
-                    place = canonical(distribution, value)
-                    if place is None:
+                    key_value = canonical_value(distribution, value)
+                    if key_value is None:
                         raise ValueError
-                    found.add(shard_of(distribution, place, self.config.store.shards))
+                    found.add(shard_of(distribution, key_value, self.config.store.shards))
                 except NoShardError:
                     raise PgError(
                         NO_SHARD, f"no shard takes {table.column} = {value!r} of {table.name}"
@@ -437,22 +449,24 @@
         return shards
 
     def _where_shards(self, stmt: ast.UpdateStmt | ast.DeleteStmt, table: Table, tag: str):
-        others = stmt.fromClause if isinstance(stmt, ast.UpdateStmt) else stmt.usingClause
+        other_items = stmt.fromClause if isinstance(stmt, ast.UpdateStmt) else stmt.usingClause
         if isinstance(stmt, ast.UpdateStmt) and any(
             t.name == table.column for t in stmt.targetList
         ):
             raise unsupported(f"changing the distribution column {table.column}")
         if contains((stmt.whereClause, getattr(stmt, "targetList", None)), ast.SubLink):
             raise unsupported(f"{tag} with a subquery")
-        rule = ShardRule(
+        pruner = ShardPruner(
             self.config,
-            scope_of(self.config, (stmt.relation, *(others or ())), stmt.whereClause, strict=True),
+            build_scope(
+                self.config, (stmt.relation, *(other_items or ())), stmt.whereClause, strict=True
+            ),
         )
-        return lambda values: set.union(*rule.shards(values))
+        return lambda values: set.union(*pruner.shards(values))
 
     # --- explain ----------------------------------------------------------------------
 
-    def _explain(self, stmt: ast.ExplainStmt, oids: tuple[int, ...]) -> Prepared:
+    def _plan_explain(self, stmt: ast.ExplainStmt, oids: tuple[int, ...]) -> Prepared:
         if any(o.defname == "analyze" for o in stmt.options or ()):
             raise PgError(FEATURE_NOT_SUPPORTED, "EXPLAIN ANALYZE is not supported")
         text = to_sql(stmt.query)
@@ -472,21 +486,21 @@
     label: str,
     operators: Callable[[MergePlan | None], list[str]] = lambda plan: [],
 ) -> list[str]:
-    """What EXPLAIN shows: merge plan, operators, class, and the statement of each shard."""
-    shard_requests = prepared.bind(values)
-    lines = shard_requests.merge.explain() if shard_requests.merge else ["One Part"]
-    lines += [f"  {line}" for line in operators(shard_requests.merge)]
+    """Returns the EXPLAIN output: merge plan, operators, service class, SQL of each shard."""
+    bound = prepared.bind(values)
+    lines = bound.merge.explain() if bound.merge else ["One Part"]
+    lines += [f"  {line}" for line in operators(bound.merge)]
     lines.append(f"  Class: {label}")
-    for shard_request in shard_requests.shard_requests:
+    for shard_request in bound.shard_requests:
         lines.append(f"  ->  Shard {shard_request.shard}: {shard_request.sql.strip()}")
     return lines
 
 
-def _session(command: LocalCommand, text: str, rows: bool = False) -> Prepared:
+def _session_command(command: LocalCommand, text: str, rows: bool = False) -> Prepared:
     return Prepared(text, command.tag, (), command, returns_rows=rows)
 
 
-def _set(stmt: ast.VariableSetStmt) -> LocalCommand:
+def _set_command(stmt: ast.VariableSetStmt) -> LocalCommand:
     kind = stmt.kind
     if kind == VariableSetKind.VAR_RESET_ALL:
         return LocalCommand("reset", "RESET")
@@ -498,21 +512,21 @@
         if stmt.name == "TRANSACTION SNAPSHOT":
             raise PgError(FEATURE_NOT_SUPPORTED, "SET TRANSACTION SNAPSHOT is not supported")
         return LocalCommand("nothing", "SET")
-    words = []
+    setting_values = []
     for arg in stmt.args or ():
         try:
             value = constant(arg.arg if isinstance(arg, ast.TypeCast) else arg)
         except NotConstantError:
             raise PgError(SYNTAX_ERROR, f"SET {stmt.name}: a constant is needed") from None
-        words.append(
+        setting_values.append(
             {True: "on", False: "off"}.get(value, str(value))
             if isinstance(value, bool)
             else str(value)
         )
-    return LocalCommand("set", "SET", name=stmt.name, value=", ".join(words))
+    return LocalCommand("set", "SET", name=stmt.name, value=", ".join(setting_values))
 
 
-def _fetch(stmt: ast.FetchStmt) -> LocalCommand:
+def _fetch_command(stmt: ast.FetchStmt) -> LocalCommand:
     if stmt.ismove:
         raise PgError(FEATURE_NOT_SUPPORTED, "MOVE is not supported")
     if stmt.direction != FetchDirection.FETCH_FORWARD or stmt.howMany < 0:
@@ -521,27 +535,27 @@
     return LocalCommand("fetch", "FETCH", name=stmt.portalname, count=count)
 
 
-def _transaction(stmt: ast.TransactionStmt) -> LocalCommand:
-    kinds = TransactionStmtKind
+def _transaction_command(stmt: ast.TransactionStmt) -> LocalCommand:
+    statement_kinds = TransactionStmtKind
     match stmt.kind:
-        case kinds.TRANS_STMT_BEGIN | kinds.TRANS_STMT_START:
-            tag = "BEGIN" if stmt.kind == kinds.TRANS_STMT_BEGIN else "START TRANSACTION"
+        case statement_kinds.TRANS_STMT_BEGIN | statement_kinds.TRANS_STMT_START:
+            tag = "BEGIN" if stmt.kind == statement_kinds.TRANS_STMT_BEGIN else "START TRANSACTION"
             return LocalCommand("begin", tag)
-        case kinds.TRANS_STMT_COMMIT:
+        case statement_kinds.TRANS_STMT_COMMIT:
             return LocalCommand("commit", "COMMIT")
-        case kinds.TRANS_STMT_ROLLBACK:
+        case statement_kinds.TRANS_STMT_ROLLBACK:
             return LocalCommand("rollback", "ROLLBACK")
-        case kinds.TRANS_STMT_SAVEPOINT:
+        case statement_kinds.TRANS_STMT_SAVEPOINT:
             return LocalCommand("savepoint", "SAVEPOINT", name=stmt.savepoint_name)
-        case kinds.TRANS_STMT_RELEASE:
+        case statement_kinds.TRANS_STMT_RELEASE:
             return LocalCommand("release", "RELEASE", name=stmt.savepoint_name)
-        case kinds.TRANS_STMT_ROLLBACK_TO:
+        case statement_kinds.TRANS_STMT_ROLLBACK_TO:
             return LocalCommand("rollback_to", "ROLLBACK", name=stmt.savepoint_name)
     name = stmt.kind.name.removeprefix("TRANS_STMT_").replace("_", " ")
     raise PgError(FEATURE_NOT_SUPPORTED, f"{name} is not supported")
 
 
-def _volatile(stmt: ast.Node) -> str:
+def _find_volatile_function(stmt: ast.Node) -> str:
     for node in walk(stmt):
         if isinstance(node, ast.FuncCall) and function_name(node) not in SIDE_EFFECT_FREE_FUNCTIONS:
             return function_name(node)
--- a/tansycrank/sql/shards.py
+++ b/tansycrank/sql/shards.py
@@ -1,4 +1,4 @@
-"""Which shard a value of a distribution column belongs to. No I/O."""
+"""Maps values of a distribution column to shards. No I/O."""
 
 from __future__ import annotations
 
@@ -11,12 +11,14 @@
 
 
 class NoShardError(ValueError):
-    """No shard holds rows of this value."""
+    """No shard is configured for this value (list distribution)."""
 
 
-def canonical(distribution: Distribution, value: object) -> int | str | bytes | None:
-    """The value in the distribution's type; None if no row can equal it; ValueError if that is
-    unclear.
+def canonical_value(distribution: Distribution, value: object) -> int | str | bytes | None:
+    """Converts a value to the type of the distribution column.
+
+    Returns None if no row can have this value (a fraction for an integer column). Raises
+    ValueError, ArithmeticError or PgError if the value cannot be interpreted.
     """
     if distribution.type_oid in types.INTEGERS:
         if isinstance(value, bool):
@@ -36,10 +38,11 @@
 
 
 def shard_of(distribution: Distribution, value: int | str | bytes, shards: int) -> int:
-    """The shard of a canonical value. Raises NoPlace for a value that no list names.
+    """Returns the shard of a value that `canonical_value` returned.
 
-    Hashing: XXH3 (64 bits) of the UTF-8 text, the 16 bytes of a uuid, or 8 bytes big-endian, modulo
-    `shards`.
+    Raises NoShardError if a list distribution does not name the value.
+    Hash distribution: XXH3 (64 bits) of the UTF-8 text, of the 16 bytes of a uuid or of an integer
+    as 8 bytes big-endian, modulo `shards`.
     """
     if distribution.method == "list":
         text = (
@@ -49,7 +52,7 @@
             raise NoShardError(text)
         return distribution.shard_by_value[text]
     if isinstance(value, int):
-        raw = (value & (2**64 - 1)).to_bytes(8, "big")
+        encoded = (value & (2**64 - 1)).to_bytes(8, "big")
     else:
-        raw = value.encode() if isinstance(value, str) else value
-    return xxhash.xxh3_64_intdigest(raw) % shards
+        encoded = value.encode() if isinstance(value, str) else value
+    return xxhash.xxh3_64_intdigest(encoded) % shards
--- a/tansycrank/sql/tree.py
+++ b/tansycrank/sql/tree.py
@@ -1,4 +1,4 @@
-"""Helpers over the syntax tree of `pglast`: walking, names, constants."""
+"""Helpers for `pglast` syntax trees: traversal, names and constants."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
 
 
 def walk(node: object) -> Iterator[ast.Node]:
-    """All nodes below and with this one, in the order of the text."""
+    """Yields this node and all nodes below it, in source order."""
     stack = [node]
     while stack:
-        one = stack.pop()
-        if isinstance(one, tuple | list):
-            stack.extend(reversed(one))
-        elif isinstance(one, ast.Node):
-            yield one
-            stack.extend(getattr(one, slot) for slot in reversed(one.__slots__))
+        current = stack.pop()
+        if isinstance(current, tuple | list):
+            stack.extend(reversed(current))
+        elif isinstance(current, ast.Node):
+            yield current
+            stack.extend(getattr(current, slot) for slot in reversed(current.__slots__))
 
 
 def contains(node: object, *kinds: type) -> bool:
-    """Whether a node of these kinds is in the tree."""
-    return any(isinstance(one, kinds) for one in walk(node))
+    """Returns whether the tree contains a node of one of these types."""
+    return any(isinstance(descendant, kinds) for descendant in walk(node))
 
 
 def function_name(call: ast.FuncCall) -> str:
-    """The name of a function, without `pg_catalog`."""
-    names = [shard_request.sval for shard_request in call.funcname]
+    """Returns the name of the called function, without the schema `pg_catalog`."""
+    names = [part.sval for part in call.funcname]
     return names[-1] if len(names) == 1 or names[:-1] == ["pg_catalog"] else ".".join(names)
 
 
 def is_aggregate(node: object) -> bool:
-    """Whether it calls an aggregate over the whole group."""
+    """Returns whether the node is an aggregate call, not a window function call."""
     from tansycrank.sql.names import AGGREGATES
 
     return (
@@ -44,21 +44,21 @@
 
 
 def operator(expr: ast.A_Expr) -> str:
-    """The sign of an operator expression."""
+    """Returns the operator symbol of an expression."""
     return expr.name[-1].sval
 
 
-def is_op(node: object, sign: str) -> bool:
-    """Whether it is this plain operator."""
+def is_op(node: object, symbol: str) -> bool:
+    """Returns whether the node applies this plain operator (not ANY, IN, LIKE, ...)."""
     return (
         isinstance(node, ast.A_Expr)
         and node.kind == A_Expr_Kind.AEXPR_OP
-        and operator(node) == sign
+        and operator(node) == symbol
     )
 
 
 def conjuncts(node: object) -> list:
-    """The terms of a top-level AND."""
+    """Returns the operands of a top-level AND, flattened."""
     if node is None:
         return []
     if isinstance(node, ast.BoolExpr) and node.boolop == 0:
@@ -67,7 +67,7 @@
 
 
 def column_name(node: object) -> tuple[str, str] | None:
-    """(alias or "", column) of a column reference, None for stars and longer names."""
+    """Returns (alias or "", column) of a column reference; None for `*` and longer names."""
     if not isinstance(node, ast.ColumnRef) or not all(
         isinstance(f, ast.String) for f in node.fields
     ):
@@ -77,7 +77,7 @@
 
 
 def type_oid(name: ast.TypeName | None) -> int:
-    """The OID of a type name; 0 where it is not known here."""
+    """Returns the OID of a type name, 0 if unknown."""
     if name is None or not name.names:
         return 0
     oid = types.NAMES.get(name.names[-1].sval, 0)
@@ -85,12 +85,14 @@
 
 
 class NotConstantError(ValueError):
-    """The expression is no constant that can be read here."""
+    """The expression is not a constant that the router can evaluate."""
 
 
 def constant(node: object) -> object:
-    """The value of a literal: int, Decimal, str, bool or None; casts of literals to plain types
-    too.
+    """Returns the value of a literal: int, Decimal, str, bool or None.
+
+    A cast of a literal to text, an integer type or uuid is evaluated too. Raises NotConstantError
+    for any other expression.
     """
     if (
         isinstance(node, ast.TypeCast)
