--- a/tansycrank/sql/plan.py
+++ b/tansycrank/sql/plan.py
@@ -160,12 +160,10 @@
     returns_rows: bool = True
     explain: Prepared | None = None
     inner: Prepared | None = None  # the query of DECLARE CURSOR or COPY
-    options: tuple[tuple[str, object], ...] = ()  # of COPY, (name, value)
+    options: tuple[tuple[str, object], ...] = ()  # (name, value) pairs of COPY
     bind: Callable[[Sequence[object]], BoundStatement] | None = None
-    compute_local: Callable[[Sequence[object]], LocalCommand] | None = (
-        None  # local result that depends on parameter values
-    )
+    # computes a local result that depends on parameter values
+    compute_local: Callable[[Sequence[object]], LocalCommand] | None = None
     describe_sql: Callable[[], ShardSql] | None = None
-    fields: tuple[Field, ...] | None = field(
-        default=None
-    )  # result columns for Describe, None until known
+    # result columns for Describe, None until known
+    fields: tuple[Field, ...] | None = field(default=None)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,7 +1,7 @@
 """Settings: an error names file, section, key, value and what is allowed."""
 
 import pytest
-from test_planner import TEXT
+from test_planner import CONFIG_TEXT
 
 from tansycrank import config
 from tansycrank.routing import Idempotency
@@ -44,9 +44,9 @@
     ],
 )
 def test_an_error_names_what_is_wrong_and_what_is_allowed(old, new, words):
-    assert old in TEXT
+    assert old in CONFIG_TEXT
     with pytest.raises(config.ConfigError) as problem:
-        config.parse(TEXT.replace(old, new, 1), "router.ini")
+        config.parse(CONFIG_TEXT.replace(old, new, 1), "router.ini")
     for word in ("router.ini", *words):
         assert word in str(problem.value)
 
@@ -59,7 +59,7 @@
 
 def test_the_module_gets_three_classes_for_each_of_ours():
     found = config.parse(
-        TEXT + "\n[class report]\naim_ms = 5\ngive_up_ms = 9\ndedup_window_ms = 7\n"
+        CONFIG_TEXT + "\n[class report]\naim_ms = 5\ngive_up_ms = 9\ndedup_window_ms = 7\n"
     )
     settings = config.routing_settings(found)
     assert [c.idempotency for c in settings.classes] == [
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""The planner: shards found, parts written, merge plans, refusals by name."""
+"""SQL planner: shard pruning, shard statements, merge plans and rejected constructs."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 from tansycrank.sql.planner import Planner, explain_lines, split_leading_comment
 from tansycrank.sql.shards import shard_of
 
-TEXT = """
+CONFIG_TEXT = """
 [store]
 shards = 4
 cells = 4
@@ -43,7 +43,7 @@
 kind = reference
 columns = id int4, name text
 """
-CONFIG = config.parse(TEXT)
+CONFIG = config.parse(CONFIG_TEXT)
 
 
 @pytest.fixture
@@ -51,17 +51,17 @@
     return Planner(CONFIG)
 
 
-def shard_requests(planner, sql, *values):
+def bind(planner, sql, *values):
     (prepared,) = planner.plan_statements(sql)
     return prepared.bind(values)
 
 
-def shards(planner, sql, *values):
-    return [p.shard for p in shard_requests(planner, sql, *values).shard_requests]
+def shards_of(planner, sql, *values):
+    return [p.shard for p in bind(planner, sql, *values).shard_requests]
 
 
 @pytest.mark.parametrize(
-    "where, values, wanted",
+    "where, values, expected",
     [
         ("district = 'a'", (), [0]),
         ("'c' = t.district AND id > 3", (), [1]),
@@ -79,32 +79,34 @@
         ("district IS NULL", (), [0, 1, 2, 3]),
     ],
 )
-def test_shards_of_a_filter(planner, where, values, wanted):
-    assert shards(planner, f"SELECT id FROM trips t WHERE {where}", *values) == wanted
+def test_shard_pruning_by_where_clause(planner, where, values, expected):
+    assert shards_of(planner, f"SELECT id FROM trips t WHERE {where}", *values) == expected
 
 
-def test_an_impossible_filter_asks_one_shard(planner):
-    assert len(shards(planner, "SELECT id FROM trips WHERE district = 'a' AND district = 'c'")) == 1
-    assert len(shards(planner, "SELECT id FROM trips WHERE district = NULL")) == 1
-    assert len(shards(planner, "SELECT count(*) FROM trips WHERE district = 'unknown'")) == 1
+def test_unsatisfiable_filter_queries_one_shard(planner):
+    assert (
+        len(shards_of(planner, "SELECT id FROM trips WHERE district = 'a' AND district = 'c'")) == 1
+    )
+    assert len(shards_of(planner, "SELECT id FROM trips WHERE district = NULL")) == 1
+    assert len(shards_of(planner, "SELECT count(*) FROM trips WHERE district = 'unknown'")) == 1
 
 
-def test_hash_shards_by_literal_parameter_and_decimal(planner):
-    wanted = [shard_of(CONFIG.distributions["driver"], 77, 4)]
+def test_hash_shard_is_equal_for_equal_literals_of_different_types(planner):
+    expected = [shard_of(CONFIG.distributions["driver"], 77, 4)]
     for value in ("77", "77.0", "'77'", "'77'::int8"):
-        assert shards(planner, f"SELECT name FROM drivers WHERE id = {value}") == wanted
-    assert len(shards(planner, "SELECT name FROM drivers WHERE id = 77.5")) == 1
+        assert shards_of(planner, f"SELECT name FROM drivers WHERE id = {value}") == expected
+    assert len(shards_of(planner, "SELECT name FROM drivers WHERE id = 77.5")) == 1
 
 
-def test_one_shard_is_passed_on_in_its_own_words(planner):
+def test_single_shard_statement_keeps_its_text(planner):
     sql = "SELECT  /* ố */ 'Hồ' AS x, t.* , sum(fare) OVER () FROM public.trips t, zones WHERE t.district='a'"
-    (shard_request,) = shard_requests(planner, sql).shard_requests
+    (shard_request,) = bind(planner, sql).shard_requests
     assert shard_request.sql == sql.replace("public.trips", "s0000.trips").replace(
         ", zones", ", s0000.zones"
     )
 
 
-def test_the_second_statement_of_a_text_is_cut_right(planner):
+def test_second_statement_after_non_ascii_text_is_sliced_correctly(planner):
     _first, second = planner.plan_statements(
         "SELECT 'ữ' FROM zones; SELECT id FROM trips WHERE district = 'c'"
     )
@@ -114,54 +116,53 @@
     )
 
 
-def test_a_literal_like_the_schema_mark_is_left_alone(planner):
-    found = shard_requests(planner, "SELECT id, 'tansycrank_shard_0.x' FROM trips ORDER BY 1")
-    assert all("'tansycrank_shard_0.x'" in p.sql for p in found.shard_requests)
+def test_literal_equal_to_the_schema_placeholder_is_not_replaced(planner):
+    bound = bind(planner, "SELECT id, 'tansycrank_shard_0.x' FROM trips ORDER BY 1")
+    assert all("'tansycrank_shard_0.x'" in p.sql for p in bound.shard_requests)
 
 
-def test_limit_and_offset_go_down_together(planner):
-    found = shard_requests(planner, "SELECT id FROM trips ORDER BY fare DESC, id LIMIT 5 OFFSET 10")
-    assert "LIMIT 15" in found.shard_requests[0].sql and "OFFSET" not in found.shard_requests[0].sql
-    assert found.merge.hidden_columns == 1 and [k.column for k in found.merge.sort] == [-1, 0]
+def test_limit_pushed_to_shards_includes_the_offset(planner):
+    bound = bind(planner, "SELECT id FROM trips ORDER BY fare DESC, id LIMIT 5 OFFSET 10")
+    assert "LIMIT 15" in bound.shard_requests[0].sql and "OFFSET" not in bound.shard_requests[0].sql
+    assert bound.merge.hidden_columns == 1 and [k.column for k in bound.merge.sort] == [-1, 0]
 
 
-def test_text_keys_are_sorted_by_collation_c_at_the_nodes(planner):
-    found = shard_requests(planner, "SELECT id, note FROM trips ORDER BY note LIMIT 5")
-    assert 'ORDER BY note COLLATE "C" ASC NULLS LAST' in found.shard_requests[0].sql
-    computed = shard_requests(planner, "SELECT id FROM trips ORDER BY note || 'x' LIMIT 5")
-    assert "LIMIT" not in computed.shard_requests[0].sql  # the type of the key is not known here
+def test_text_sort_keys_use_collation_c_on_data_nodes(planner):
+    bound = bind(planner, "SELECT id, note FROM trips ORDER BY note LIMIT 5")
+    assert 'ORDER BY note COLLATE "C" ASC NULLS LAST' in bound.shard_requests[0].sql
+    computed = bind(planner, "SELECT id FROM trips ORDER BY note || 'x' LIMIT 5")
+    # the type of the sort key is unknown to the planner
+    assert "LIMIT" not in computed.shard_requests[0].sql
 
 
-def test_avg_is_a_sum_and_a_count(planner):
-    found = shard_requests(
-        planner, "SELECT note, avg(fare) FROM trips GROUP BY note HAVING avg(fare) > 3"
-    )
+def test_avg_is_merged_from_sum_and_count(planner):
+    bound = bind(planner, "SELECT note, avg(fare) FROM trips GROUP BY note HAVING avg(fare) > 3")
     assert (
-        "sum(fare)" in found.shard_requests[0].sql and "count(fare)" in found.shard_requests[0].sql
+        "sum(fare)" in bound.shard_requests[0].sql and "count(fare)" in bound.shard_requests[0].sql
     )
-    assert "HAVING" not in found.shard_requests[0].sql and len(found.merge.aggregates) == 1
+    assert "HAVING" not in bound.shard_requests[0].sql and len(bound.merge.aggregates) == 1
 
 
-def test_a_lone_distinct_count_is_made_distinct_at_the_nodes_first(planner):
-    found = shard_requests(planner, "SELECT note, count(DISTINCT cab_id) FROM trips GROUP BY note")
-    assert found.merge.distinct_first
-    assert found.shard_requests[0].sql.startswith("SELECT DISTINCT note AS c0, cab_id AS c1")
-    mixed = shard_requests(planner, "SELECT count(DISTINCT cab_id), sum(fare) FROM trips")
+def test_single_count_distinct_is_deduplicated_on_data_nodes_first(planner):
+    bound = bind(planner, "SELECT note, count(DISTINCT cab_id) FROM trips GROUP BY note")
+    assert bound.merge.distinct_first
+    assert bound.shard_requests[0].sql.startswith("SELECT DISTINCT note AS c0, cab_id AS c1")
+    mixed = bind(planner, "SELECT count(DISTINCT cab_id), sum(fare) FROM trips")
     assert not mixed.merge.distinct_first and "sum" not in mixed.shard_requests[0].sql
 
 
-def test_groups_that_lie_whole_on_a_shard_go_down_whole(planner):
-    found = shard_requests(
+def test_grouping_by_distribution_column_runs_entirely_on_shards(planner):
+    bound = bind(
         planner,
         "SELECT district, count(DISTINCT cab_id), string_agg(note, ',') FROM trips "
         "GROUP BY district HAVING count(*) > 3 ORDER BY 2",
     )
-    assert found.merge.kind == "sorted" and "HAVING" in found.shard_requests[0].sql
+    assert bound.merge.kind == "sorted" and "HAVING" in bound.shard_requests[0].sql
 
 
-def test_a_group_by_a_column_that_an_outer_join_may_empty_is_not_whole_on_a_shard(planner):
+def test_grouping_by_distribution_column_nullable_by_outer_join_is_not_local_to_a_shard(planner):
     with pytest.raises(PgError):
-        shard_requests(
+        bind(
             planner,
             "SELECT c.district, corr(t.id, t.fare) FROM trips t LEFT JOIN cabs c "
             "ON c.district = t.district AND c.id = t.cab_id GROUP BY c.district",
@@ -210,10 +211,10 @@
         ("SELECT now(), id INTO x FROM trips", "SELECT INTO"),
     ],
 )
-def test_refusals_name_the_construct(planner, sql, construct):
-    with pytest.raises(PgError) as refusal:
-        shard_requests(planner, sql)
-    assert refusal.value.state == "0A000" and construct.lower() in str(refusal.value).lower()
+def test_unsupported_construct_is_named_in_the_error(planner, sql, construct):
+    with pytest.raises(PgError) as raised:
+        bind(planner, sql)
+    assert raised.value.state == "0A000" and construct.lower() in str(raised.value).lower()
 
 
 @pytest.mark.parametrize(
@@ -230,13 +231,13 @@
         ("SELECT note, id, count(*) FROM trips GROUP BY note", "42803"),
     ],
 )
-def test_errors_of_the_client(planner, sql, state):
-    with pytest.raises(PgError) as problem:
-        shard_requests(planner, sql)
-    assert problem.value.state == state
+def test_invalid_statements_get_postgres_error_codes(planner, sql, state):
+    with pytest.raises(PgError) as raised:
+        bind(planner, sql)
+    assert raised.value.state == state
 
 
-def test_types_of_parameters_come_from_the_catalogue(planner):
+def test_parameter_types_are_inferred_from_table_columns(planner):
     (prepared,) = planner.plan_statements(
         "SELECT id FROM trips WHERE fare > $1 AND district = ANY($2) LIMIT $3"
     )
@@ -247,12 +248,12 @@
     assert insert.oids == (20, 25, 1184)
 
 
-def test_declared_types_stand(planner):
+def test_declared_parameter_types_are_kept(planner):
     (prepared,) = planner.plan_statements("SELECT id FROM trips WHERE fare > $1", (21,))
     assert prepared.oids == (21,)
 
 
-def test_explain_shows_parts_and_plan(planner):
+def test_explain_shows_shard_statements_and_merge_plan(planner):
     (prepared,) = planner.plan_statements(
         "EXPLAIN SELECT note, count(*) FROM trips GROUP BY note LIMIT 3"
     )
@@ -260,15 +261,15 @@
     assert "Merge Aggregate" in text and text.count("->  Shard") == 4 and "Limit: 3" in text
 
 
-def test_leading_comments_are_split_off_and_bounded():
+def test_leading_comment_is_split_off_up_to_the_length_limit():
     assert split_leading_comment("/*q1*/ SELECT 1") == ("/*q1*/", " SELECT 1")
     assert split_leading_comment("/*" + "x" * 600 + "*/ SELECT 1")[0] == ""
     assert split_leading_comment("/* a /* nested */ */ SELECT 1")[0] == ""
 
 
-def test_the_cache_is_bounded(planner):
-    from tansycrank.sql import planner as module
+def test_plan_cache_size_is_limited(planner):
+    from tansycrank.sql import planner as planner_module
 
-    for number in range(module.MAX_CACHED_TEXTS + 50):
+    for number in range(planner_module.MAX_CACHED_TEXTS + 50):
         planner.plan_statements(f"SHOW a{number}")
-    assert len(planner._cache) == module.MAX_CACHED_TEXTS
+    assert len(planner._cache) == planner_module.MAX_CACHED_TEXTS
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -2,7 +2,7 @@
 
 import pytest
 from harness import Front, error_of
-from test_planner import TEXT
+from test_planner import CONFIG_TEXT
 
 from tansycrank.postgres import messages as pg
 from tansycrank.postgres.errors import QUERY_REJECTED, PgError
@@ -32,13 +32,13 @@
 
 @pytest.fixture
 def front():
-    made = Front(TEXT)
+    made = Front(CONFIG_TEXT)
     made.log_in()
     return made
 
 
 def test_encryption_is_declined_and_the_startup_follows():
-    front = Front(TEXT)
+    front = Front(CONFIG_TEXT)
     front.session.dataReceived(pg.INT.pack(8) + pg.INT.pack(pg.SSL_CODE))
     assert front.transport.value() == b"N"
     front.transport.clear()
@@ -58,27 +58,27 @@
     ],
 )
 def test_bad_startups_end_with_a_clear_error(packet, state):
-    front = Front(TEXT)
+    front = Front(CONFIG_TEXT)
     front.session.dataReceived(packet)
     problem = error_of(front.heard())
     assert problem.state == state and problem.is_fatal and front.transport.disconnecting
 
 
 def test_options_of_the_startup_are_settings():
-    front = Front(TEXT)
+    front = Front(CONFIG_TEXT)
     front.log_in(options="-c statement_timeout=5s -ctansycrank.class=lookup")
     assert front.session.settings["statement_timeout"] == "5000"
     assert front.session.settings["tansycrank.class"] == "lookup"
 
 
 def test_a_client_that_never_logs_in_is_let_go():
-    front = Front(TEXT, login_timeout_ms=500)
+    front = Front(CONFIG_TEXT, login_timeout_ms=500)
     front.clock.advance(0.6)
     assert front.transport.disconnecting
 
 
 def test_the_number_of_sessions_is_bounded():
-    front = Front(TEXT, max_sessions=2)
+    front = Front(CONFIG_TEXT, max_sessions=2)
     front.log_in()
     for wanted in ("Z", "E"):
         session, transport = front.connect()
@@ -206,7 +206,7 @@
 
 
 def test_the_line_of_messages_is_bounded_by_the_clients_own_socket():
-    front = Front(TEXT, max_pending=2000)
+    front = Front(CONFIG_TEXT, max_pending=2000)
     front.log_in()
     front.core.at_once = False
     for _ in range(60):
@@ -257,14 +257,14 @@
     ],
 )
 def test_limits_and_errors_are_clear_and_the_session_goes_on(listen, frames, state):
-    front = Front(TEXT, **listen)
+    front = Front(CONFIG_TEXT, **listen)
     front.log_in()
     assert error_of(front.send(*frames, pg.SYNC_FRAME)).state == state
     assert front.kinds(pg.query("SELECT 1")) == "TDCZ"
 
 
 def test_a_message_over_the_limit_ends_the_session_before_it_is_stored():
-    front = Front(TEXT, max_message=2048)
+    front = Front(CONFIG_TEXT, max_message=2048)
     front.log_in()
     problem = error_of(front.send(b"Q" + pg.INT.pack(1 << 30) + b"x" * 100))
     assert problem.state == "08P01" and problem.is_fatal and front.transport.disconnecting
--- a/tests/test_session_fuzz.py
+++ b/tests/test_session_fuzz.py
@@ -3,7 +3,7 @@
 from harness import Front, error_of
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_planner import TEXT
+from test_planner import CONFIG_TEXT
 from test_session import INSERT, ONE, bind, close, execute, named_parse
 
 from tansycrank.postgres import messages as pg
@@ -86,7 +86,7 @@
     st.booleans(),
 )
 def test_no_message_leaves_a_session_stuck_or_kills_the_daemon(frames, cut, at_once):
-    front = Front(TEXT)
+    front = Front(CONFIG_TEXT)
     front.log_in()
     front.core.at_once = at_once
     data = b"".join(frames)
@@ -109,7 +109,7 @@
     )
 )
 def test_no_startup_does(data):
-    front = Front(TEXT)
+    front = Front(CONFIG_TEXT)
     front.session.dataReceived(data)
     if not front.transport.disconnecting:
         front.clock.advance(11)
@@ -119,7 +119,7 @@
 @settings(max_examples=500, deadline=None)
 @given(st.lists(st.sampled_from(GOOD), max_size=14), st.integers(1, 60))
 def test_the_cutting_of_the_stream_changes_no_answer(frames, cut):
-    whole, pieces = Front(TEXT), Front(TEXT)
+    whole, pieces = Front(CONFIG_TEXT), Front(CONFIG_TEXT)
     whole.log_in(), pieces.log_in()
     data = b"".join(frames)
     answer = whole.send(data)
