--- a/tansycrank/sql/infer.py
+++ b/tansycrank/sql/infer.py
@@ -33,19 +33,19 @@
     Declared types are kept and the others inferred; 0 means that a data node must determine it.
     """
     used = [node.number for node in walk(stmt) if isinstance(node, ast.ParamRef)]
-    found = dict.fromkeys(range(1, max([*used, len(declared)], default=0) + 1), 0)
-    found.update({i + 1: oid for i, oid in enumerate(declared) if oid not in (0, types.UNKNOWN)})
+    inferred = dict.fromkeys(range(1, max([*used, len(declared)], default=0) + 1), 0)
+    inferred.update({i + 1: oid for i, oid in enumerate(declared) if oid not in (0, types.UNKNOWN)})
     columns = _column_types(stmt, tables)
 
     def record_type(node: object, oid: int) -> None:
-        if isinstance(node, ast.ParamRef) and oid and not found[node.number]:
-            found[node.number] = oid
+        if isinstance(node, ast.ParamRef) and oid and not inferred[node.number]:
+            inferred[node.number] = oid
 
     def type_of(node: object) -> int:
         if isinstance(node, ast.TypeCast):
             return type_oid(node.typeName)
         if isinstance(node, ast.ParamRef):
-            return found[node.number]
+            return inferred[node.number]
         if isinstance(node, ast.A_Const) and not node.isnull and isinstance(node.val, ast.Integer):
             return types.INT4
         name = column_name(node)
@@ -75,7 +75,7 @@
             column_types = tables[node.relation.relname].columns
             for target in node.targetList:
                 record_type(target.val, column_types.get(target.name, 0))
-    return tuple(found[i] for i in sorted(found))
+    return tuple(inferred[i] for i in sorted(inferred))
 
 
 def insert_columns(stmt: ast.InsertStmt, table: Table) -> list[str]:
--- a/tansycrank/sql/many.py
+++ b/tansycrank/sql/many.py
@@ -263,6 +263,7 @@
         return -len(hidden), expression
 
     def _type_of(self, node: ast.Node) -> int:
+        """Returns a type OID that tells whether the expression is text, 0 if unknown."""
         if isinstance(node, ast.TypeCast):
             return type_oid(node.typeName)
         if isinstance(node, ast.CollateClause):
@@ -331,14 +332,14 @@
             ast.ResTarget(name=f"c{i}", val=node) for i, node in enumerate(self.columns)
         )
         shard_request.groupClause = tuple(g for _, g in self.groups) or None
-        first = False
+        distinct_first = False
         if self.needs_values:
             shard_request.groupClause = None
             one_value_column = len(self.columns) == len(self.groups) + 1
-            first = one_value_column and all(
+            distinct_first = one_value_column and all(
                 a.kind == "count" and a.distinct and a.filter < 0 for a in self.aggregates
             )
-            shard_request.distinctClause = (None,) if first else None
+            shard_request.distinctClause = (None,) if distinct_first else None
         shard_request.havingClause = shard_request.sortClause = shard_request.limitCount = (
             shard_request.limitOffset
         ) = None
@@ -354,7 +355,7 @@
             tuple(self.aggregates),
             outputs + tuple(sort_outputs),
             having,
-            first,
+            distinct_first,
         )
         return shard_request, plan
 
--- a/tansycrank/sql/planner.py
+++ b/tansycrank/sql/planner.py
@@ -301,21 +301,27 @@
         The text is kept as the client wrote it. If a table is not found at its position in the
         text, the statement is generated from the syntax tree instead.
         """
-        edits = []
+        edits = []  # (start, end, separator): where the schema name is inserted or replaced
         for node, table in tables:
-            at, old = node.location - start, node.schemaname or ""
-            found = text[at : at + len(old or table.name) + 2].lower()
-            quoted = found.startswith('"')
-            identifier = old or table.name
-            if at < 0 or not found.lstrip('"').startswith(identifier.lower()):
+            at, old_schema = node.location - start, node.schemaname or ""
+            source = text[at : at + len(old_schema or table.name) + 2].lower()
+            quoted = source.startswith('"')
+            identifier = old_schema or table.name
+            if at < 0 or not source.lstrip('"').startswith(identifier.lower()):
                 template, placeholder = self._template(stmt)
                 return lambda shard: template.replace(placeholder, self.schema(shard))
-            edits.append((at, at + len(old) + 2 * quoted if old else at, "" if old else "."))
+            edits.append(
+                (
+                    at,
+                    at + len(old_schema) + 2 * quoted if old_schema else at,
+                    "" if old_schema else ".",
+                )
+            )
         edits.sort()
         pieces, last = [], 0
-        for begin, end, dot in edits:
+        for begin, end, separator in edits:
             pieces.append(text[last:begin])
-            pieces.append(dot)
+            pieces.append(separator)
             last = end
         rest = text[last:]
 
@@ -341,8 +347,8 @@
         try:
             return to_sql(stmt), placeholder
         finally:
-            for node, old in saved_schemas:
-                node.schemaname = old
+            for node, old_schema in saved_schemas:
+                node.schemaname = old_schema
 
     # --- writes -----------------------------------------------------------------------
 
@@ -394,8 +400,8 @@
             raise unsupported("INSERT other than VALUES")
         if contains(select, ast.SubLink):
             raise unsupported("INSERT with a subquery")
-        conflict_targets = stmt.onConflictClause.targetList if stmt.onConflictClause else None
-        if any(t.name == table.column for t in conflict_targets or ()):
+        conflict_assignments = stmt.onConflictClause.targetList if stmt.onConflictClause else None
+        if any(t.name == table.column for t in conflict_assignments or ()):
             raise unsupported(f"changing the distribution column {table.column}")
         names, distribution = (
             insert_columns(stmt, table),
--- a/tansycrank/sql/scope.py
+++ b/tansycrank/sql/scope.py
@@ -118,6 +118,7 @@
 
 
 def _add_from_item(config: Config, scope: Scope, item: ast.Node, strict: bool) -> set[str]:
+    """Adds a FROM item to the scope and returns the aliases of the tables in it."""
     if isinstance(item, ast.RangeVar):
         if item.relname in config.tables:
             return _add_table(config, scope, item)
@@ -195,6 +196,10 @@
 def _add_equality(
     scope: Scope, term: ast.Node, left: set[str] | None = None, right: set[str] | None = None
 ) -> bool:
+    """Records `term` if it equates the distribution columns of two tables.
+
+    Returns whether it does, and for a join whether it links the left side with the right side.
+    """
     if not is_op(term, "="):
         return False
     pair = scope.distribution_alias(term.lexpr), scope.distribution_alias(term.rexpr)
