--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,7 +1,7 @@
 """The settings file: errors name the file, section, key, value and what is allowed."""
 
 import pytest
-from test_planner import TEXT
+from test_planner import CONFIG_TEXT
 
 from tansycrank import config
 from tansycrank.routing import Idempotency
@@ -44,9 +44,9 @@
     ],
 )
 def test_an_error_names_the_invalid_value_and_the_allowed_ones(old, new, message_parts):
-    assert old in TEXT
+    assert old in CONFIG_TEXT
     with pytest.raises(config.ConfigError) as error:
-        config.parse(TEXT.replace(old, new, 1), "router.ini")
+        config.parse(CONFIG_TEXT.replace(old, new, 1), "router.ini")
     for word in ("router.ini", *message_parts):
         assert word in str(error.value)
 
@@ -59,7 +59,7 @@
 
 def test_each_class_becomes_three_query_classes_of_the_routing_policy():
     loaded = config.parse(
-        TEXT + "\n[class report]\naim_ms = 5\ngive_up_ms = 9\ndedup_window_ms = 7\n"
+        CONFIG_TEXT + "\n[class report]\naim_ms = 5\ngive_up_ms = 9\ndedup_window_ms = 7\n"
     )
     settings = config.routing_settings(loaded)
     assert [c.idempotency for c in settings.classes] == [
