--- a/tansycrank/daemon.py
+++ b/tansycrank/daemon.py
@@ -101,7 +101,7 @@
 
     def start(self) -> int:
         """Remove spill files of a crash, listen, and watch discovery; returns the port."""
-        gone = self.space.clean()
+        gone = self.space.remove_leftover_files()
         if gone and self.log:
             self.log.warning("leftover_spill_files_removed", removed=gone)
         self.port = self.reactor.listenTCP(
--- a/tansycrank/merge/blocks.py
+++ b/tansycrank/merge/blocks.py
@@ -1,7 +1,7 @@
 """Rows of parts as blocks of whole DataRow frames: in memory, on disk, or held back at the node.
 
 `ShardRowStream` is the line between a link, which adds blocks as they come, and a merge, which
-takes them. What is held where is the governor's to say; `Memory` carries it out for one query,
+takes them. What is held where is the governor's to say; `QueryMemory` carries it out for one query,
 `MemoryReservations` for all.
 """
 
@@ -32,7 +32,7 @@
 class ShardRowStream:
     """Rows of one attempt of a part. `state`: open, whole, failed, or closed."""
 
-    def __init__(self, memory: Memory, shard: int = 0) -> None:
+    def __init__(self, memory: QueryMemory, shard: int = 0) -> None:
         self.memory, self.shard = memory, shard
         self.fields: tuple[Field, ...] | None = None
         self.tag, self.state = "", "open"
@@ -41,7 +41,8 @@
         self.blocks: deque[bytes] = deque()
         self.run: Run | None = None
         self.committed = False  # its rows may leave before it is whole
-        self.hold: Callable[[bool], None] = lambda stop: None  # the link: stop or go on reading
+        # set by the connection: stops (True) or resumes (False) reading from the data node
+        self.pause_reading: Callable[[bool], None] = lambda stop: None
         self.on_data: Callable[[], None] = lambda: None
         self.on_close: Callable[[], None] = lambda: None
         self._held_back = False
@@ -57,13 +58,13 @@
         self.rows += rows
         self.size += len(block)
         self.held += len(block)
-        self.memory.grew(self, len(block))
+        self.memory.record_buffered(self, len(block))
         self.on_data()
 
     def finish(self, error: PgError | None = None) -> None:
         """No more rows come: the part is whole, or it failed."""
         if self.state == "open":
-            self.state, self.error = ("failed", error) if error is not None else ("whole", None)
+            self.state, self.error = ("failed", error) if error is not None else ("complete", None)
             self.on_data()
 
     # --- the merge's side ---------------------------------------------------------------
@@ -76,7 +77,7 @@
     @property
     def done(self) -> bool:
         """Whether all rows have been taken."""
-        return self.state == "whole" and self.empty
+        return self.state == "complete" and self.empty
 
     def take(self) -> bytes | None:
         """The next block, None while none is there. Raises the error of a part that failed."""
@@ -97,14 +98,14 @@
         """Let the node wait, through TCP, or go on."""
         if stop != self._held_back and self.state == "open":
             self._held_back = stop
-            self.hold(stop)
+            self.pause_reading(stop)
 
     def spill(self) -> None:
         """All rows held go to disk, behind what is there already."""
         if not self.blocks:
             return
         if self.run is None:
-            self.run = self.memory.memory_reservations.space.run()
+            self.run = self.memory.memory_reservations.space.create_run()
         pieces, size = [], 0
         while self.blocks:
             block = self.blocks.popleft()
@@ -133,7 +134,7 @@
             self.on_close()
 
 
-class Memory:
+class QueryMemory:
     """What one query holds, under its share. `mode`: small, stream, spill or wait."""
 
     def __init__(self, memory_reservations: MemoryReservations, number: int, streams: bool) -> None:
@@ -142,13 +143,13 @@
         self.mode, self.limit, self.held, self.peak, self.spilled = "small", gov.SMALL, 0, 0, 0
         self.tables = 0  # bytes of hash tables and runs being sorted
         self.refusal: PgError | None = None
-        self.on_began: Callable[[ShardRowStream], None] = lambda stream: None
-        self.on_refused: Callable[[PgError], None] = lambda problem: None
+        self.on_streaming: Callable[[ShardRowStream], None] = lambda stream: None
+        self.on_rejected: Callable[[PgError], None] = lambda problem: None
         self.closed = False
         self._reported = 0
         memory_reservations.play(gov.Opened(number, streams))
 
-    def grew(self, stream: ShardRowStream, size: int) -> None:
+    def record_buffered(self, stream: ShardRowStream, size: int) -> None:
         """Bytes have come in; see what that means."""
         self.held += size
         self.peak = max(self.peak, self.held + self.tables)
@@ -170,9 +171,9 @@
                 self.mode == "stream"
                 and one.held
                 and not one.committed
-                and one.state in ("open", "whole")
+                and one.state in ("open", "complete")
             ):
-                self.on_began(one)
+                self.on_streaming(one)
             if self.mode in ("stream", "wait") and self.over(one):
                 one.set_paused(True)
             elif self.mode != "wait" and not self.over(one):
@@ -237,16 +238,16 @@
     ) -> None:
         self.governor, self.space, self.now = gov.Governor(process, query), space, now
         self.total = self.peak = 0
-        self.queries: dict[int, Memory] = {}
+        self.queries: dict[int, QueryMemory] = {}
         self._numbers = 0
 
-    def open(self, streams: bool) -> Memory:
+    def open(self, streams: bool) -> QueryMemory:
         """A query begins."""
         self._numbers += 1
-        memory = self.queries[self._numbers] = Memory(self, self._numbers, streams)
+        memory = self.queries[self._numbers] = QueryMemory(self, self._numbers, streams)
         return memory
 
-    def forget(self, memory: Memory) -> None:
+    def forget(self, memory: QueryMemory) -> None:
         """A query has ended."""
         if self.queries.pop(memory.number, None) is not None:
             self.play(gov.Closed(memory.number))
@@ -278,4 +279,4 @@
                         "come back after the time in the detail field; "
                         "the bound is [merge] process_bytes",
                     )
-                    memory.on_refused(memory.refusal)
+                    memory.on_rejected(memory.refusal)
--- a/tansycrank/merge/operators.py
+++ b/tansycrank/merge/operators.py
@@ -15,7 +15,7 @@
 
 import xxhash
 
-from tansycrank.merge.blocks import PIECE, Memory, ShardRowStream, frames_of
+from tansycrank.merge.blocks import PIECE, QueryMemory, ShardRowStream, frames_of
 from tansycrank.merge.spill import Run
 from tansycrank.postgres import types
 from tansycrank.postgres.errors import PgError
@@ -264,7 +264,7 @@
     source.close()
 
 
-def external_sort(pulled: Pulled, key, memory: Memory) -> Pulled:
+def external_sort(pulled: Pulled, key, memory: QueryMemory) -> Pulled:
     """Sort any number of rows: short sorted lists, merged to runs on disk, merged again. Stable."""
     runs: list[Run] = []
     lists: list[list[tuple]] = []
@@ -309,9 +309,9 @@
             run.close()
 
 
-def _spilled(runs: list[Run], pulled: Pulled, memory: Memory) -> Pulled:
+def _spilled(runs: list[Run], pulled: Pulled, memory: QueryMemory) -> Pulled:
     """Write sorted rows to a new run, a block a turn."""
-    run = memory.memory_reservations.space.run()
+    run = memory.memory_reservations.space.create_run()
     runs.append(run)
     for block in pulled:
         if block is not None and block[0]:
@@ -320,7 +320,7 @@
         yield GO_ON
 
 
-def top(pulled: Pulled, key, count: int, memory: Memory) -> Pulled:
+def top(pulled: Pulled, key, count: int, memory: QueryMemory) -> Pulled:
     """The first `count` rows in order, holding at most twice as many."""
     held: list[tuple] = []
     size, worst, full = 0, None, False
@@ -350,7 +350,7 @@
 class Partitions:
     """Rows put aside by the hash of their key, on disk."""
 
-    def __init__(self, memory: Memory, salt: int) -> None:
+    def __init__(self, memory: QueryMemory, salt: int) -> None:
         self.memory, self.salt = memory, salt
         self.runs: list[Run | None] = [None] * PARTITIONS
         self.pending: list[list[bytes]] = [[] for _ in range(PARTITIONS)]
@@ -366,7 +366,7 @@
 
     def _flush(self, index: int) -> None:
         if self.runs[index] is None:
-            self.runs[index] = self.memory.memory_reservations.space.run()
+            self.runs[index] = self.memory.memory_reservations.space.create_run()
         data = b"".join(self.pending[index])
         self.runs[index].append(data)
         self.memory.spilled += len(data)
@@ -386,7 +386,7 @@
                 run.close()
 
 
-def hashed(pulled: Pulled, table, memory: Memory, depth: int = 0) -> Pulled:
+def hashed(pulled: Pulled, table, memory: QueryMemory, depth: int = 0) -> Pulled:
     """Hybrid hashing: groups that fit are kept, rows of other keys go to partitions, each done
     after.
 
--- a/tansycrank/merge/pipeline.py
+++ b/tansycrank/merge/pipeline.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from tansycrank.merge import operators as op
-from tansycrank.merge.blocks import Memory, ShardRowStream
+from tansycrank.merge.blocks import QueryMemory, ShardRowStream
 from tansycrank.merge.rows import GroupTable, scalar
 from tansycrank.postgres.errors import PgError
 from tansycrank.postgres.messages import Field
@@ -21,7 +21,7 @@
     oids: Sequence[int],
     results: tuple[int, ...],
     told: tuple[Field, ...] | None,
-    memory: Memory,
+    memory: QueryMemory,
 ) -> tuple[tuple[Field, ...], op.Pulled]:
     """The columns of the answer and its rows. All parts have told their columns."""
     fields = shard_results[0].fields or ()
--- a/tansycrank/merge/spill.py
+++ b/tansycrank/merge/spill.py
@@ -35,7 +35,7 @@
         )
         self._ready = False
 
-    def clean(self) -> int:
+    def remove_leftover_files(self) -> int:
         """Make the directory, remove what a crash left; returns how many files went."""
         gone = 0
         self._directory.mkdir(parents=True, exist_ok=True, mode=0o700)
@@ -47,11 +47,11 @@
         self._ready = True
         return gone
 
-    def run(self) -> Run:
+    def create_run(self) -> Run:
         """A new run. Raises PgError 58030 where the directory can't be used."""
         try:
             if not self._ready:
-                self.clean()
+                self.remove_leftover_files()
             handle, name = tempfile.mkstemp(prefix=f"{PREFIX}{os.getpid()}-", dir=self._directory)
             Path(name).unlink()
         except OSError as problem:
--- a/tansycrank/merge/work.py
+++ b/tansycrank/merge/work.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-from tansycrank.merge.blocks import Memory, ShardRowStream, frames_of
+from tansycrank.merge.blocks import QueryMemory, ShardRowStream, frames_of
 from tansycrank.merge.operators import Pulled
 from tansycrank.postgres.errors import INTERNAL, PgError
 from tansycrank.postgres.messages import Field
@@ -24,8 +24,8 @@
         fields: tuple[Field, ...],
         source: Pulled,
         shard_results: Sequence[ShardRowStream],
-        memory: Memory,
-        worker: Worker,
+        memory: QueryMemory,
+        worker: MergeScheduler,
     ) -> None:
         self.fields, self.shard_results, self.memory, self.worker = (
             fields,
@@ -118,7 +118,7 @@
         self.wake()
         return block, rows
 
-    def stop(self, problem: PgError) -> None:
+    def abort(self, problem: PgError) -> None:
         """End it with an error: what is ready is not sent any more."""
         if self.closed or self.ended:
             return
@@ -157,7 +157,7 @@
         """Do a piece; tells whether there is more to do now."""
 
 
-class Worker:
+class MergeScheduler:
     """Runs all large work by turns. `soon(f)` calls f in the next reactor turn, `clock()` tells
     seconds.
 
--- a/tansycrank/postgres/server/row_writer.py
+++ b/tansycrank/postgres/server/row_writer.py
@@ -81,7 +81,7 @@
     def cancel(self) -> None:
         """End a streamed transfer with 57014; rows already merged are sent to the end."""
         if self._transfer is not None and self._transfer.result.stream is not None:
-            self._transfer.result.stream.stop(cancelled())
+            self._transfer.result.stream.abort(cancelled())
 
     def discard(self) -> Result | None:
         """Drop the transfer of a lost connection; returns its result, to be released."""
--- a/tansycrank/sql_router/coordinator.py
+++ b/tansycrank/sql_router/coordinator.py
@@ -19,7 +19,7 @@
     Query,
     Violation,
 )
-from tansycrank.merge.blocks import Memory, MemoryReservations, ShardRowStream
+from tansycrank.merge.blocks import MemoryReservations, QueryMemory, ShardRowStream
 from tansycrank.policy_event_loop import PolicyEventLoop
 from tansycrank.postgres.errors import (
     ANSWER_BROKEN_OFF,
@@ -60,7 +60,7 @@
     number: int
     query_class: int
     shard_requests: list[ShardRequest]
-    memory: Memory
+    memory: QueryMemory
     done: Callable[[list[ShardRequest] | PgError], None]
     began: float
     lifecycle_request: Query
@@ -173,8 +173,8 @@
             now,
             lifecycle_request,
         )
-        query.memory.on_refused = lambda problem: self._no_memory(query, problem)
-        query.memory.on_began = lambda stream: self._began(query, stream)
+        query.memory.on_rejected = lambda problem: self._no_memory(query, problem)
+        query.memory.on_streaming = lambda stream: self._began(query, stream)
         for request in requests:
             self._ids += 1
             shard_request = ShardRequest(self._ids, request)
--- a/tansycrank/sql_router/node_connection.py
+++ b/tansycrank/sql_router/node_connection.py
@@ -213,7 +213,7 @@
         assert self.state is ConnectionState.IDLE
         self.state, self._unsent = ConnectionState.BUSY, attempt
         self._done, self._ended = done, AttemptResult(Outcome.SUCCEEDED)
-        self._stream, stream.hold = stream, self._hold
+        self._stream, stream.pause_reading = stream, self._hold
         self.transport.write(request.wire())
 
     def may_write(self) -> bool:
--- a/tansycrank/sql_router/service.py
+++ b/tansycrank/sql_router/service.py
@@ -18,7 +18,7 @@
 from tansycrank.merge import pipeline
 from tansycrank.merge.blocks import frames_of
 from tansycrank.merge.rows import Result, ShardRows, merge, shard_formats
-from tansycrank.merge.work import RowStream, Worker
+from tansycrank.merge.work import MergeScheduler, RowStream
 from tansycrank.postgres import types
 from tansycrank.postgres.errors import INTERNAL, PgError
 from tansycrank.postgres.messages import Field, data_row
@@ -72,7 +72,7 @@
     def __init__(self, config: Config, coordinator: Coordinator, log=None) -> None:
         self.config, self.coordinator, self.log = config, coordinator, log
         self.planner = Planner(config)
-        self.worker = Worker(
+        self.worker = MergeScheduler(
             lambda f: coordinator.reactor.callLater(0, f),
             coordinator.reactor.seconds,
             lambda: bool(coordinator.queries),
@@ -265,7 +265,7 @@
         shard_requests = [shard_request.answer for shard_request in answer]
         prepared = request.prepared
         try:
-            at_once = all(p.state == "whole" and p.run is None for p in shard_requests)
+            at_once = all(p.state == "complete" and p.run is None for p in shard_requests)
             if at_once and sum(p.size for p in shard_requests) <= MERGE_AT_ONCE_BYTES:
                 frames = [
                     [f for block in p.blocks for f in frames_of(block)] for p in shard_requests
--- a/tests/test_edge_forms.py
+++ b/tests/test_edge_forms.py
@@ -224,7 +224,7 @@
 
 
 def test_spilled_blocks_keep_their_form(tmp_path):
-    run = SpillSpace(str(tmp_path), 1 << 20).run()
+    run = SpillSpace(str(tmp_path), 1 << 20).create_run()
     run.append(b"rows")
     assert run.size == 16 + 13  # raw length, stored length, XXH3 of the raw bytes; zstandard data
     assert run.read() == b"rows"
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -11,7 +11,7 @@
 from tansycrank.merge.blocks import MemoryReservations, ShardRowStream, frames_of
 from tansycrank.merge.pipeline import build
 from tansycrank.merge.spill import SpillSpace
-from tansycrank.merge.work import RowStream, Worker
+from tansycrank.merge.work import MergeScheduler, RowStream
 from tansycrank.postgres import types
 from tansycrank.postgres.errors import PgError
 from tansycrank.postgres.messages import Field, RowFrames, data_row, frame, read_row
@@ -184,7 +184,7 @@
         stream.on_close = lambda stream=stream: closed.append(stream)
         stream.add(b"".join(row(n, "x") for n in range(50)), 50)
     calls = []
-    worker = Worker(calls.append, lambda: 0.0)
+    worker = MergeScheduler(calls.append, lambda: 0.0)
     plan = MergePlan(limit=Scalar(10))
     fields, source = build(plan, streams, (), (), (), None, memory)
     rows = RowStream(fields, source, streams, memory, worker)
@@ -202,7 +202,7 @@
     stream.add(row(1, "x"), 1)
     calls = []
     rows = RowStream(
-        FIELDS, op.concat([stream]), [stream], memory, Worker(calls.append, lambda: 0.0)
+        FIELDS, op.concat([stream]), [stream], memory, MergeScheduler(calls.append, lambda: 0.0)
     )
     calls.pop()()
     assert len(rows.take()) == 1 and not rows.ended
@@ -216,7 +216,7 @@
     memory = memory_reservations.open(True)
     stream, calls = shard_result(memory, [(n, "x") for n in range(100)]), []
     rows = RowStream(
-        FIELDS, op.concat([stream]), [stream], memory, Worker(calls.append, lambda: 0.0)
+        FIELDS, op.concat([stream]), [stream], memory, MergeScheduler(calls.append, lambda: 0.0)
     )
     got = []
     while not rows.ended:
@@ -236,8 +236,8 @@
 def test_a_large_streaming_query_holds_its_nodes_back_and_lets_them_go_on(memory_reservations):
     memory, held = memory_reservations.open(True), []
     stream = ShardRowStream(memory)
-    stream.hold = held.append
-    memory.on_began = lambda s: setattr(s, "committed", True)
+    stream.pause_reading = held.append
+    memory.on_streaming = lambda s: setattr(s, "committed", True)
     while not held:
         stream.add(big(100_000), 1)
         assert memory.held < 8 * MIB
@@ -278,7 +278,7 @@
 
 def test_runs_leave_nothing_behind_and_are_checked(tmp_path):
     space = SpillSpace(str(tmp_path), MIB)
-    run = space.run()
+    run = space.create_run()
     run.append(b"first block" * 100)
     assert not list(tmp_path.iterdir())  # unlinked at once: a kill leaves nothing
     os.pwrite(run._handle, b"\xff", run.size - 3)
@@ -297,14 +297,14 @@
     )
     dead.write_text("x")
     alive.write_text("x")
-    assert SpillSpace(str(tmp_path), MIB).clean() == 1
+    assert SpillSpace(str(tmp_path), MIB).remove_leftover_files() == 1
     assert not dead.exists() and alive.exists()
 
 
 def test_a_directory_that_cant_be_used_is_named():
     space = SpillSpace("/proc/nowhere", MIB)
     with pytest.raises((PgError, OSError)):
-        space.run()
+        space.create_run()
 
 
 @given(st.lists(st.binary(max_size=300), max_size=30), st.integers(1, 200))
--- a/tests/test_sql_node_connection.py
+++ b/tests/test_sql_node_connection.py
@@ -269,7 +269,7 @@
     def full(size):
         raise PgError("53100", "full")
 
-    node.streams[0].memory.grew = lambda stream, size: full(size)
+    node.streams[0].memory.record_buffered = lambda stream, size: full(size)
     link.dataReceived(ANSWER)
     assert node.outcomes == [Outcome.SUCCEEDED] and node.ended[0].error.state == "53100"
     assert link.transport.aborted
@@ -331,6 +331,6 @@
 
 def test_a_link_held_back_by_its_last_block_reads_on_for_the_next_part():
     node, link = ready()
-    node.streams[0].memory.grew = lambda stream, size: node.streams[0].set_paused(True)
+    node.streams[0].memory.record_buffered = lambda stream, size: node.streams[0].set_paused(True)
     link.dataReceived(ANSWER + pg.ready("I"))
     assert node.outcomes == [Outcome.SUCCEEDED] and link.transport.producerState == "producing"
