--- a/tansycrank/merge/__init__.py
+++ b/tansycrank/merge/__init__.py
@@ -1,1 +1,1 @@
-"""From parts' rows to one answer."""
+"""Merging the rows of shard requests into one result."""
--- a/tansycrank/merge/blocks.py
+++ b/tansycrank/merge/blocks.py
@@ -1,8 +1,9 @@
-"""Rows of parts as blocks of whole DataRow frames: in memory, on disk, or held back at the node.
+"""Buffers for the rows of shard requests, as blocks of complete DataRow frames.
 
-`ShardRowStream` is the line between a link, which adds blocks as they come, and a merge, which
-takes them. What is held where is the governor's to say; `QueryMemory` carries it out for one query,
-`MemoryReservations` for all.
+A `ShardRowStream` buffers rows between a node connection, which adds blocks as they arrive, and a
+merge, which takes them. The governor decides whether rows are kept in memory, spilled to disk or
+left at the data node by backpressure; `QueryMemory` applies its decisions for one query,
+`MemoryReservations` for all queries.
 """
 
 from __future__ import annotations
@@ -15,22 +16,23 @@
 from tansycrank.postgres.errors import OUT_OF_MEMORY, PgError
 from tansycrank.postgres.messages import INT, Field
 
-PIECE = 256 * 1024  # bytes of a block on disk
-REPORT = 64 * 1024  # bytes between two reports of a query to the governor
+SPILL_BLOCK_BYTES = 256 * 1024  # target size of a block on disk
+# growth after which a query reports its memory to the governor again
+REPORT_INTERVAL_BYTES = 64 * 1024
 
 
 def frames_of(block: bytes) -> list[bytes]:
-    """The DataRow frames of a block."""
-    frames, at, size, unpack = [], 0, len(block), INT.unpack_from
-    while at < size:
-        end = at + 1 + unpack(block, at + 1)[0]
-        frames.append(block[at:end])
-        at = end
+    """Split a block into its DataRow frames."""
+    frames, position, size, unpack = [], 0, len(block), INT.unpack_from
+    while position < size:
+        end = position + 1 + unpack(block, position + 1)[0]
+        frames.append(block[position:end])
+        position = end
     return frames
 
 
 class ShardRowStream:
-    """Rows of one attempt of a part. `state`: open, whole, failed, or closed."""
+    """Rows of one attempt of a shard request. `state`: open, complete, failed, or closed."""
 
     def __init__(self, memory: QueryMemory, shard: int = 0) -> None:
         self.memory, self.shard = memory, shard
@@ -40,18 +42,18 @@
         self.rows = self.size = self.held = 0
         self.blocks: deque[bytes] = deque()
         self.run: Run | None = None
-        self.committed = False  # its rows may leave before it is whole
+        self.committed = False  # its rows may be sent to the client before it is complete
         # set by the connection: stops (True) or resumes (False) reading from the data node
-        self.pause_reading: Callable[[bool], None] = lambda stop: None
+        self.pause_reading: Callable[[bool], None] = lambda pause: None
         self.on_data: Callable[[], None] = lambda: None
         self.on_close: Callable[[], None] = lambda: None
-        self._held_back = False
+        self._paused = False
         memory.streams.append(self)
 
-    # --- the link's side ----------------------------------------------------------------
+    # --- for the node connection ----------------------------------------------------------------
 
     def add(self, block: bytes, rows: int) -> None:
-        """Rows have come. Raises PgError where they can't be held."""
+        """Add a block with `rows` rows. Raises PgError where they can't be buffered."""
         if self.state != "open":
             return
         self.blocks.append(block)
@@ -62,16 +64,16 @@
         self.on_data()
 
     def finish(self, error: PgError | None = None) -> None:
-        """No more rows come: the part is whole, or it failed."""
+        """Mark the end of the rows: complete, or failed with `error`."""
         if self.state == "open":
             self.state, self.error = ("failed", error) if error is not None else ("complete", None)
             self.on_data()
 
-    # --- the merge's side ---------------------------------------------------------------
+    # --- for the merge ---------------------------------------------------------------
 
     @property
     def empty(self) -> bool:
-        """Whether nothing can be taken now."""
+        """Whether no block is available now."""
         return not self.blocks and (self.run is None or not self.run.left)
 
     @property
@@ -80,7 +82,7 @@
         return self.state == "complete" and self.empty
 
     def take(self) -> bytes | None:
-        """The next block, None while none is there. Raises the error of a part that failed."""
+        """The next block, None if none is available. Raises the error of a failed shard request."""
         if self.state == "failed":
             raise self.error
         if self.run is not None and self.run.left:
@@ -89,149 +91,160 @@
             return None
         block = self.blocks.popleft()
         self.held -= len(block)
-        self.memory.shrank(len(block))
-        if self._held_back and not self.memory.over(self):
+        self.memory.release_buffered(len(block))
+        if self._paused and not self.memory.over_limit(self):
             self.set_paused(False)
         return block
 
-    def set_paused(self, stop: bool) -> None:
-        """Let the node wait, through TCP, or go on."""
-        if stop != self._held_back and self.state == "open":
-            self._held_back = stop
-            self.pause_reading(stop)
+    def set_paused(self, pause: bool) -> None:
+        """Pause or resume reading from the data node; TCP flow control makes the node wait."""
+        if pause != self._paused and self.state == "open":
+            self._paused = pause
+            self.pause_reading(pause)
 
     def spill(self) -> None:
-        """All rows held go to disk, behind what is there already."""
+        """Write all buffered rows to disk, after those that are there already."""
         if not self.blocks:
             return
         if self.run is None:
             self.run = self.memory.memory_reservations.space.create_run()
-        pieces, size = [], 0
+        spill_blocks, size = [], 0
         while self.blocks:
             block = self.blocks.popleft()
             self.held -= len(block)
-            self.memory.shrank(len(block))
-            pieces.append(block)
+            self.memory.release_buffered(len(block))
+            spill_blocks.append(block)
             size += len(block)
-            if size >= PIECE or not self.blocks:
-                self.run.append(b"".join(pieces))
+            if size >= SPILL_BLOCK_BYTES or not self.blocks:
+                self.run.append(b"".join(spill_blocks))
                 self.memory.spilled += size
-                pieces, size = [], 0
+                spill_blocks, size = [], 0
 
     def close(self) -> None:
-        """Nobody wants its rows any more."""
+        """Discard all rows; cancels the attempt if it is still running."""
         if self.state == "closed":
             return
-        was, self.state = self.state, "closed"
-        self.memory.shrank(self.held)
+        previous_state, self.state = self.state, "closed"
+        self.memory.release_buffered(self.held)
         self.blocks.clear()
         self.held = 0
         if self.run is not None:
             self.run.close()
         if self in self.memory.streams:
             self.memory.streams.remove(self)
-        if was == "open":
+        if previous_state == "open":
             self.on_close()
 
 
 class QueryMemory:
-    """What one query holds, under its share. `mode`: small, stream, spill or wait."""
+    """Memory of one query, kept within its limit. `mode`: small, stream, spill or wait."""
 
     def __init__(self, memory_reservations: MemoryReservations, number: int, streams: bool) -> None:
         self.memory_reservations, self.number = memory_reservations, number
         self.streams: list[ShardRowStream] = []
-        self.mode, self.limit, self.held, self.peak, self.spilled = "small", gov.SMALL, 0, 0, 0
-        self.tables = 0  # bytes of hash tables and runs being sorted
-        self.refusal: PgError | None = None
+        self.mode, self.limit, self.held, self.peak, self.spilled = (
+            "small",
+            gov.SMALL_QUERY_BYTES,
+            0,
+            0,
+            0,
+        )
+        self.operator_bytes = 0  # hash tables, runs being sorted, and output not yet sent
+        self.rejection: PgError | None = None
         self.on_streaming: Callable[[ShardRowStream], None] = lambda stream: None
         self.on_rejected: Callable[[PgError], None] = lambda problem: None
         self.closed = False
         self._reported = 0
-        memory_reservations.play(gov.Opened(number, streams))
+        memory_reservations.handle_event(gov.QueryStarted(number, streams))
 
     def record_buffered(self, stream: ShardRowStream, size: int) -> None:
-        """Bytes have come in; see what that means."""
+        """Count `size` bytes of new rows; report to the governor and apply the mode."""
         self.held += size
-        self.peak = max(self.peak, self.held + self.tables)
+        self.peak = max(self.peak, self.held + self.operator_bytes)
         self.memory_reservations.total += size
         self.memory_reservations.peak = max(
             self.memory_reservations.peak, self.memory_reservations.total
         )
-        if self.held + self.tables - self._reported >= REPORT:
-            self._reported = self.held + self.tables
-            self.memory_reservations.play(gov.Holds(self.number, self._reported))
+        if self.held + self.operator_bytes - self._reported >= REPORT_INTERVAL_BYTES:
+            self._reported = self.held + self.operator_bytes
+            self.memory_reservations.handle_event(gov.MemoryUsed(self.number, self._reported))
         if self.memory_reservations.total > self.memory_reservations.governor.process:
-            self.memory_reservations.play(gov.Full(self.number))
-        self.settle(stream)
+            self.memory_reservations.handle_event(gov.LimitExceeded(self.number))
+        self.apply_mode(stream)
 
-    def settle(self, stream: ShardRowStream | None = None) -> None:
-        """Carry the mode out: commit, hold back, or spill."""
-        for one in [stream] if stream is not None else list(self.streams):
+    def apply_mode(self, stream: ShardRowStream | None = None) -> None:
+        """Apply the mode: start streaming, pause or resume nodes, or spill the largest buffers."""
+        for each in [stream] if stream is not None else list(self.streams):
             if (
                 self.mode == "stream"
-                and one.held
-                and not one.committed
-                and one.state in ("open", "complete")
+                and each.held
+                and not each.committed
+                and each.state in ("open", "complete")
             ):
-                self.on_streaming(one)
-            if self.mode in ("stream", "wait") and self.over(one):
-                one.set_paused(True)
-            elif self.mode != "wait" and not self.over(one):
-                one.set_paused(False)
+                self.on_streaming(each)
+            if self.mode in ("stream", "wait") and self.over_limit(each):
+                each.set_paused(True)
+            elif self.mode != "wait" and not self.over_limit(each):
+                each.set_paused(False)
         if self.mode == "spill":
-            while self.held > self.working:
+            while self.held > self.buffer_limit:
                 largest = max(self.streams, key=lambda s: s.held, default=None)
                 if largest is None or not largest.held:
                     break
                 largest.spill()
 
     @property
-    def working(self) -> int:
-        """Bytes of rows it may hold; the rest of its share is for what the merge builds."""
-        return int(self.limit * gov.WORKING)
+    def buffer_limit(self) -> int:
+        """Bytes of rows it may buffer; the rest of its limit is for the operators."""
+        return int(self.limit * gov.BUFFERED_ROWS_FRACTION)
 
-    def over(self, stream: ShardRowStream) -> bool:
-        """Whether a part is ahead of what it may hold."""
+    def over_limit(self, stream: ShardRowStream) -> bool:
+        """Whether a stream buffers more than it may, so that its node must wait."""
         if self.mode == "wait":
             return True
-        return self.mode == "stream" and stream.held > self.working // max(len(self.streams), 1)
+        return self.mode == "stream" and stream.held > self.buffer_limit // max(
+            len(self.streams), 1
+        )
 
-    def shrank(self, size: int) -> None:
-        """Bytes have gone."""
+    def release_buffered(self, size: int) -> None:
+        """Count `size` bytes of rows taken, spilled or discarded."""
         self.held -= size
         self.memory_reservations.total -= size
-        self._reported = min(self._reported, self.held + self.tables)
+        self._reported = min(self._reported, self.held + self.operator_bytes)
 
-    def table(self, size: int) -> None:
-        """Bytes that the merge builds (negative: gives back)."""
-        self.tables += size
+    def record_operator_bytes(self, size: int) -> None:
+        """Count `size` bytes allocated by operators (negative: released)."""
+        self.operator_bytes += size
         self.memory_reservations.total += size
-        if not self.closed and self.held + self.tables - self._reported >= REPORT:
-            self._reported = self.held + self.tables
-            self.memory_reservations.play(gov.Holds(self.number, self._reported))
-        self.peak = max(self.peak, self.held + self.tables)
+        if (
+            not self.closed
+            and self.held + self.operator_bytes - self._reported >= REPORT_INTERVAL_BYTES
+        ):
+            self._reported = self.held + self.operator_bytes
+            self.memory_reservations.handle_event(gov.MemoryUsed(self.number, self._reported))
+        self.peak = max(self.peak, self.held + self.operator_bytes)
         self.memory_reservations.peak = max(
             self.memory_reservations.peak, self.memory_reservations.total
         )
 
     @property
-    def room(self) -> int:
-        """Bytes the merge may build before it spills."""
-        return max(int(self.limit * (1 - gov.WORKING)), gov.SMALL)
+    def operator_limit(self) -> int:
+        """Bytes that operators may allocate before they spill."""
+        return max(int(self.limit * (1 - gov.BUFFERED_ROWS_FRACTION)), gov.SMALL_QUERY_BYTES)
 
     def close(self) -> None:
-        """The query has ended."""
+        """Release everything when the query has ended."""
         if self.closed:
             return
         self.closed = True
         for stream in list(self.streams):
             stream.close()
-        self.table(-self.tables)
-        self.memory_reservations.forget(self)
+        self.record_operator_bytes(-self.operator_bytes)
+        self.memory_reservations.remove(self)
 
 
 class MemoryReservations:
-    """All queries' memory: hears the governor and carries out what it says."""
+    """Memory of all queries: passes events to the governor and applies its actions."""
 
     def __init__(
         self, process: int, query: int, space: SpillSpace, now: Callable[[], float]
@@ -239,44 +252,46 @@
         self.governor, self.space, self.now = gov.Governor(process, query), space, now
         self.total = self.peak = 0
         self.queries: dict[int, QueryMemory] = {}
-        self._numbers = 0
+        self._last_query_number = 0
 
     def open(self, streams: bool) -> QueryMemory:
-        """A query begins."""
-        self._numbers += 1
-        memory = self.queries[self._numbers] = QueryMemory(self, self._numbers, streams)
+        """Register a new query. `streams`: its rows may be sent before its shards are complete."""
+        self._last_query_number += 1
+        memory = self.queries[self._last_query_number] = QueryMemory(
+            self, self._last_query_number, streams
+        )
         return memory
 
-    def forget(self, memory: QueryMemory) -> None:
-        """A query has ended."""
+    def remove(self, memory: QueryMemory) -> None:
+        """Unregister a query that has ended."""
         if self.queries.pop(memory.number, None) is not None:
-            self.play(gov.Closed(memory.number))
+            self.handle_event(gov.QueryEnded(memory.number))
 
-    def play(self, event: object) -> None:
-        """One event, and what follows."""
+    def handle_event(self, event: object) -> None:
+        """Pass one event to the governor and apply the resulting actions."""
         for action in self.governor.step(self.now(), [event]):
             memory = self.queries.get(action.query)
-            if memory is None or memory.refusal is not None:
+            if memory is None or memory.rejection is not None:
                 continue
             match action:
-                case gov.Share(_, limit):
+                case gov.SetLimit(_, limit):
                     memory.limit = limit
                     if memory.mode != "small":
-                        memory.settle()
+                        memory.apply_mode()
                 case gov.Stream():
                     memory.mode = "stream"
-                    memory.settle()
+                    memory.apply_mode()
                 case gov.Spill():
                     memory.mode = "spill"
-                case gov.Wait():
+                case gov.PauseReads():
                     memory.mode = "wait"
-                    memory.settle()
-                case gov.Refuse(_, after):
-                    memory.refusal = PgError(
+                    memory.apply_mode()
+                case gov.Reject(_, retry_after_ms):
+                    memory.rejection = PgError(
                         OUT_OF_MEMORY,
                         "no memory for the rows of this query now",
-                        f"retry_after_ms={after:.0f}",
+                        f"retry_after_ms={retry_after_ms:.0f}",
                         "come back after the time in the detail field; "
                         "the bound is [merge] process_bytes",
                     )
-                    memory.on_rejected(memory.refusal)
+                    memory.on_rejected(memory.rejection)
--- a/tansycrank/merge/collected.py
+++ b/tansycrank/merge/collected.py
@@ -1,8 +1,8 @@
-"""Aggregates that need all values of a group: DISTINCT ones, arrays, joined texts, percentiles.
-Exact.
+"""Exact aggregates over all values of a group: DISTINCT, array_agg, string_agg, percentiles.
 
-A state is a list of (order keys, wire value), or a dict by key for DISTINCT; what it holds counts
-as memory.
+A state is a list of (sort keys, wire value), or for DISTINCT a dict from key to wire value; its
+size counts towards the memory of the query. Aggregates with a constant-size state over raw rows
+(count, deviations and the like) are here as well.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Sequence
 
 from tansycrank.merge import folds
-from tansycrank.merge.values import EXACT, divide, percentile, spread_of, sum_type, total_of
+from tansycrank.merge.values import EXACT, divide, numeric_deviation, percentile, sum_of, sum_type
 from tansycrank.postgres import types
 from tansycrank.postgres.errors import unsupported
 from tansycrank.postgres.messages import Field
@@ -18,30 +18,30 @@
 
 DEVIATIONS = ("stddev", "stddev_samp", "stddev_pop", "variance", "var_samp", "var_pop")
 FLOATS = (types.FLOAT4, types.FLOAT8)
-LISTED = ("array_agg", "string_agg", "percentile_cont", "percentile_disc")
+COLLECTING = ("array_agg", "string_agg", "percentile_cont", "percentile_disc")
 
 
-def retains(spec: Aggregate) -> bool:
-    """Whether its state grows with each row."""
-    return spec.raw and (spec.distinct or spec.kind in LISTED)
+def grows_per_row(spec: Aggregate) -> bool:
+    """Whether the state of the aggregate grows with each row."""
+    return spec.raw and (spec.distinct or spec.kind in COLLECTING)
 
 
 def fold(spec: Aggregate, fields: Sequence[Field]) -> Callable:
-    """(state, row) -> state; None is the empty state."""
+    """The function (state, row) -> state of an aggregate; None is the empty state."""
     column = spec.columns[0] if spec.columns else -1
-    take = _take(spec, fields, column)
+    apply = _unfiltered_fold(spec, fields, column)
     if spec.filter < 0:
-        return take
-    chosen = types.decoder(types.BOOL, fields[spec.filter].format)
+        return apply
+    decode_bool = types.decoder(types.BOOL, fields[spec.filter].format)
 
     def filtered(state, row):
         raw = row[spec.filter]
-        return take(state, row) if raw is not None and chosen(raw) else state
+        return apply(state, row) if raw is not None and decode_bool(raw) else state
 
     return filtered
 
 
-def _take(spec: Aggregate, fields: Sequence[Field], column: int) -> Callable:
+def _unfiltered_fold(spec: Aggregate, fields: Sequence[Field], column: int) -> Callable:
     if spec.kind == "count" and not spec.distinct:
         return lambda state, row: (state or 0) + (column < 0 or row[column] is not None)
     field = fields[column]
@@ -58,43 +58,45 @@
             return state
 
         return distinct
-    if spec.kind in LISTED:
+    if spec.kind in COLLECTING:
         keys = [
             (k, types.order_key(fields[k.column].oid, fields[k.column].format)) for k in spec.order
         ]
 
-        def listed(state, row):
+        def collect(state, row):
             raw = row[column]
             if raw is None and spec.kind != "array_agg":
                 return state
             state = [] if state is None else state
-            marks = [None if row[k.column] is None else order(row[k.column]) for k, order in keys]
-            state.append((marks, raw))
+            sort_keys = [
+                None if row[k.column] is None else order(row[k.column]) for k, order in keys
+            ]
+            state.append((sort_keys, raw))
             return state
 
-        return listed
+        return collect
     if spec.kind in ("min", "max"):
-        return folds.extreme(spec.kind, column, field.oid, field.format)
+        return folds.min_max(spec.kind, column, field.oid, field.format)
     if spec.kind in DEVIATIONS:
-        step = _youn_cramer if field.oid in FLOATS else _squares
+        step = _youn_cramer if field.oid in FLOATS else _add_squares
 
-        def spread(state, row):
+        def deviation(state, row):
             return state if row[column] is None else step(state, decode(row[column]))
 
-        return spread
+        return deviation
     if spec.kind == "avg":
         return folds.mean(column, field.oid, field.format)
-    return folds.running(spec.kind, column, field.oid, field.format)
+    return folds.running_value(spec.kind, column, field.oid, field.format)
 
 
-def _squares(state, value):
+def _add_squares(state, value):
     number = types.Decimal(value)
     count, total, squares = state or (0, types.Decimal(0), types.Decimal(0))
     return count + 1, EXACT.add(total, number), EXACT.add(squares, EXACT.multiply(number, number))
 
 
 def _youn_cramer(state, value):
-    """One more float, as float8_accum of PostgreSQL takes it."""
+    """Add one float by the Youngs-Cramer algorithm, as float8_accum of PostgreSQL does."""
     count, total, squares = state or (0, 0.0, 0.0)
     count, total = count + 1, total + value
     if count > 1:
@@ -105,7 +107,7 @@
 def _deviation(kind: str, oid: int, state) -> tuple[int, object]:
     sum_type(oid)
     if oid not in FLOATS:
-        return types.NUMERIC, None if state is None else spread_of(kind, *state)
+        return types.NUMERIC, None if state is None else numeric_deviation(kind, *state)
     sample = not kind.endswith("_pop")
     if state is None or state[0] <= sample:
         return types.FLOAT8, None
@@ -114,16 +116,16 @@
 
 
 def final(spec: Aggregate, fields: Sequence[Field], state) -> tuple[int, object]:
-    """(type, value) of a finished aggregate."""
+    """(type OID, value) of an aggregate from its final state."""
     if spec.kind == "count":
         return types.INT8, len(state or ()) if spec.distinct else state or 0
     field = fields[spec.columns[0]]
     oid, decode = field.oid, types.decoder(field.oid, field.format)
-    if spec.kind in LISTED:
-        return _listed(spec, fields, state)
+    if spec.kind in COLLECTING:
+        return _final_collected(spec, fields, state)
     if spec.kind in DEVIATIONS:
         if spec.distinct:
-            step, values, state = _youn_cramer if oid in FLOATS else _squares, state or {}, None
+            step, values, state = _youn_cramer if oid in FLOATS else _add_squares, state or {}, None
             for raw in values.values():
                 state = step(state, decode(raw))
         return _deviation(spec.kind, oid, state)
@@ -138,20 +140,20 @@
         return oid, state
     values = [decode(raw) for raw in state.values()] if spec.distinct and state else None
     if spec.kind == "sum":
-        return sum_type(oid), total_of(oid, values) if spec.distinct and values else (
-            None if spec.distinct or state is None else total_of(oid, [state])
+        return sum_type(oid), sum_of(oid, values) if spec.distinct and values else (
+            None if spec.distinct or state is None else sum_of(oid, [state])
         )
-    total, number = (total_of(oid, values), len(values)) if values else state or (None, 0)
+    total, number = (sum_of(oid, values), len(values)) if values else state or (None, 0)
     sum_type(oid)
     if oid in (types.FLOAT4, types.FLOAT8):
         return types.FLOAT8, None if total is None else total / number
     return types.NUMERIC, None if total is None else divide(types.Decimal(total), number)
 
 
-def _listed(spec: Aggregate, fields: Sequence[Field], state) -> tuple[int, object]:
+def _final_collected(spec: Aggregate, fields: Sequence[Field], state) -> tuple[int, object]:
     field = fields[spec.columns[0]]
     decode = types.decoder(field.oid, field.format)
-    if spec.distinct:  # PostgreSQL sorts to find what is distinct
+    if spec.distinct:  # in sorted order, as PostgreSQL removes duplicates by sorting
         order = sorted(k for k in state or () if k is not None)
         raws = [state[k] for k in order] + ([None] if state and None in state else [])
     else:
--- a/tansycrank/merge/folds.py
+++ b/tansycrank/merge/folds.py
@@ -1,7 +1,6 @@
-"""How one more row changes the running state of an aggregate: `(state, row) -> state`, None the
-empty state.
+"""Fold functions of aggregates: `(state, row) -> state`, where None is the empty state.
 
-Partial results of parts and plain values are folded alike.
+The same functions combine partial results of shards and single values.
 """
 
 from __future__ import annotations
@@ -12,12 +11,12 @@
 from tansycrank.postgres import types
 
 Fold = Callable[[object, Sequence[bytes | None]], object]
-TRUTH = {"bool_and": lambda a, b: a and b, "bool_or": lambda a, b: a or b}
+BOOL_COMBINERS = {"bool_and": lambda a, b: a and b, "bool_or": lambda a, b: a or b}
 
 
-def extreme(kind: str, column: int, oid: int, code: int) -> Fold:
-    """min or max; the state is (key, wire value)."""
-    order, least = types.order_key(oid, code), kind == "min"
+def min_max(kind: str, column: int, oid: int, format_code: int) -> Fold:
+    """Fold of min or max; the state is (sort key, wire value)."""
+    order, least = types.order_key(oid, format_code), kind == "min"
 
     def fold(state, row):
         raw = row[column]
@@ -31,25 +30,26 @@
     return fold
 
 
-def mean(column: int, oid: int, code: int, number: int = -1) -> Fold:
-    """avg; the state is (sum, count). `number`: the column of a partial count, -1 for single
-    values.
+def mean(column: int, oid: int, format_code: int, count_column: int = -1) -> Fold:
+    """Fold of avg; the state is (sum, count).
+
+    `count_column` is the column of a partial count, -1 for single values.
     """
-    decode = types.decoder(oid, code)
+    decode = types.decoder(oid, format_code)
 
     def fold(state, row):
         if row[column] is None:
             return state
-        value, count = decode(row[column]), int(row[number]) if number >= 0 else 1
+        value, count = decode(row[column]), int(row[count_column]) if count_column >= 0 else 1
         return (value, count) if state is None else (add(state[0], value), state[1] + count)
 
     return fold
 
 
-def running(kind: str, column: int, oid: int, code: int) -> Fold:
-    """sum, counts to be added, bool_and, bool_or; the state is the value."""
-    decode = types.decoder(oid, code)
-    combine = TRUTH.get(kind) or (int.__add__ if oid in types.INTEGERS else add)
+def running_value(kind: str, column: int, oid: int, format_code: int) -> Fold:
+    """Fold of sum, partial counts, bool_and and bool_or; the state is the value so far."""
+    decode = types.decoder(oid, format_code)
+    combine = BOOL_COMBINERS.get(kind) or (int.__add__ if oid in types.INTEGERS else add)
 
     def fold(state, row):
         raw = row[column]
--- a/tansycrank/merge/governor.py
+++ b/tansycrank/merge/governor.py
@@ -1,10 +1,10 @@
-"""Decisions about memory: who may hold how many bytes of rows, who spills, waits, is refused, or is
-ended.
+"""Memory policy: limits each query's memory and decides which queries spill, wait or are rejected.
 
-No I/O and no clock: `step(now, events) -> actions`. A query is small until it wants more than
-`SMALL`; small ones ask nobody, and a reserve is kept for them, so that they never notice the large.
-The rest of the bound is shared equally by the large; who comes when no share of `LEAST` is left
-waits in line; past the line, refused.
+Does no I/O and reads no clock: `step(now, events) -> actions`, with times in ms. A query is small
+until it needs more than `SMALL_QUERY_BYTES`; small queries need no admission, and a reserve is kept
+for them so that large queries don't slow them down. The rest of the process limit is divided
+equally among the large queries. A query that becomes large while no share of at least
+`MIN_SHARE_BYTES` is available is queued, or rejected if the queue is full.
 """
 
 from __future__ import annotations
@@ -14,46 +14,45 @@
 from dataclasses import dataclass, field
 
 MIB = 1024 * 1024
-SMALL = MIB // 2  # bytes a query may hold before it counts as large
-RESERVE = 0.25  # of the bound, kept for small queries
-LEAST = 4 * MIB  # the least share with which a merge still goes on at a useful pace
-WORKING = (
-    0.5  # of a share may be rows held back; the rest is for tables, runs and what is on its way out
-)
-LINE = 64  # large queries that may wait
-KEPT_TIMES = 16  # durations of past large queries, for the time to come back
-GUESS = 2_000.0  # ms a large query takes, before one has been seen
+SMALL_QUERY_BYTES = MIB // 2  # memory above which a query counts as large
+SMALL_QUERY_RESERVE = 0.25  # fraction of the process limit kept for small queries
+MIN_SHARE_BYTES = 4 * MIB  # with a smaller share a merge makes no useful progress
+# part of a query's limit for buffered rows; the rest is for hash tables, sorting and unsent output
+BUFFERED_ROWS_FRACTION = 0.5
+MAX_WAITING_QUERIES = 64  # capacity of the queue of large queries
+DURATION_SAMPLES = 16  # past large queries whose durations give the Retry-After estimate
+DEFAULT_DURATION_MS = 2_000.0  # assumed duration until a large query has ended
 
 
 # events
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
-    """A query begins; `streams` tells whether its rows could leave before its parts are whole."""
+class QueryStarted:
+    """A query starts. `streams`: its rows may be sent before its shard requests are complete."""
 
     query: int
     streams: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Holds:
-    """A query holds so many bytes now and wants to go on."""
+class MemoryUsed:
+    """A query uses `held` bytes now and needs more."""
 
     query: int
     held: int
 
 
 @dataclass(frozen=True, slots=True)
-class Full:
-    """All together hold more than the bound; this query has just grown."""
+class LimitExceeded:
+    """All queries together exceed the process limit; `query` is the one that has just grown."""
 
     query: int
 
 
 @dataclass(frozen=True, slots=True)
-class Closed:
-    """A query has ended; nothing of it is held."""
+class QueryEnded:
+    """A query has ended and released its memory."""
 
     query: int
 
@@ -62,8 +61,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Share:
-    """The query may hold so many bytes from now on."""
+class SetLimit:
+    """The query may use at most `limit` bytes from now on."""
 
     query: int
     limit: int
@@ -71,31 +70,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Stream:
-    """It holds back its nodes instead of holding rows: its rows leave while they come."""
+    """The query sends rows as they arrive; backpressure on its nodes bounds its memory."""
 
     query: int
 
 
 @dataclass(frozen=True, slots=True)
 class Spill:
-    """What is over its share goes to disk."""
+    """The query spills rows beyond its limit to disk."""
 
     query: int
 
 
 @dataclass(frozen=True, slots=True)
-class Wait:
-    """Its nodes are not read until it hears more."""
+class PauseReads:
+    """The query stops reading from its nodes until another action for it arrives."""
 
     query: int
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
-    """It ends; `after` ms later there should be room."""
+class Reject:
+    """The query ends with an error; memory should be available after `retry_after_ms`."""
 
     query: int
-    after: float
+    retry_after_ms: float
 
 
 @dataclass(slots=True)
@@ -104,99 +103,103 @@
     held: int = 0
     large: bool = False
     waiting: bool = False
-    since: float = 0.0
+    admitted_at: float = 0.0
 
 
 @dataclass
 class Governor:
-    """What is held by whom. `process` and `query` are the bounds of the settings, in bytes."""
+    """State of the memory policy. `process` and `query` are the configured limits in bytes."""
 
     process: int
     query: int
     queries: dict[int, _Query] = field(default_factory=dict)
-    large: OrderedDict[int, None] = field(
-        default_factory=OrderedDict
-    )  # in the order of their start
-    line: deque[int] = field(default_factory=deque)
-    times: deque[float] = field(default_factory=lambda: deque(maxlen=KEPT_TIMES))
+    # in the order of their admission
+    large: OrderedDict[int, None] = field(default_factory=OrderedDict)
+    waiting_queries: deque[int] = field(default_factory=deque)
+    durations: deque[float] = field(default_factory=lambda: deque(maxlen=DURATION_SAMPLES))
 
     def step(self, now: float, events: Iterable[object]) -> list[object]:
-        """Hear what happened, say who may do what."""
+        """Apply events and return the resulting actions."""
         actions: list[object] = []
         for event in events:
             match event:
-                case Opened(query, streams):
+                case QueryStarted(query, streams):
                     self.queries[query] = _Query(streams)
-                case Holds(query, held):
+                case MemoryUsed(query, held):
                     if query in self.queries:
-                        self._holds(now, query, held, actions)
-                case Full(query):
-                    # the last to come goes first: who began early is nearer to its end
+                        self._memory_used(now, query, held, actions)
+                case LimitExceeded(query):
+                    # the last admitted query is ended first: older ones are closer to completion
                     victim = next(reversed(self.large), query)
-                    actions.append(Refuse(victim, self.come_back()))
-                case Closed(query):
-                    self._closed(now, query, actions)
+                    actions.append(Reject(victim, self.estimate_retry_after()))
+                case QueryEnded(query):
+                    self._query_ended(now, query, actions)
         return actions
 
     @property
     def share(self) -> int:
-        """Bytes each large query may hold."""
-        pool = self._pool()
+        """Bytes each large query may use."""
+        pool = self._large_query_pool()
         return min(self.query, pool // max(len(self.large), 1))
 
-    def _pool(self, but: int | None = None) -> int:
-        small = sum(q.held for number, q in self.queries.items() if not q.large and number != but)
-        return max(self.process - max(int(self.process * RESERVE), small), 0)
+    def _large_query_pool(self, excluded: int | None = None) -> int:
+        small = sum(
+            q.held for number, q in self.queries.items() if not q.large and number != excluded
+        )
+        return max(self.process - max(int(self.process * SMALL_QUERY_RESERVE), small), 0)
+
+    def _has_share_for(self, number: int) -> bool:
+        """Whether one more large query would get its minimum share.
 
-    def _room_for(self, number: int) -> bool:
-        """Whether one more large query finds its least share; the first always may (it waits for
-        nobody).
+        The first large query always may run, as there is no other one that it could wait for.
         """
-        return not self.large or self._pool(number) // (len(self.large) + 1) >= min(
-            LEAST, self.query
+        return not self.large or self._large_query_pool(number) // (len(self.large) + 1) >= min(
+            MIN_SHARE_BYTES, self.query
         )
 
-    def _holds(self, now: float, number: int, held: int, actions: list) -> None:
-        one = self.queries[number]
-        one.held = held
-        if one.large or one.waiting:
+    def _memory_used(self, now: float, number: int, held: int, actions: list) -> None:
+        query_state = self.queries[number]
+        query_state.held = held
+        if query_state.large or query_state.waiting:
             return
-        if held <= SMALL:
-            actions.append(Share(number, SMALL))
-        elif not self.line and self._room_for(number):
+        if held <= SMALL_QUERY_BYTES:
+            actions.append(SetLimit(number, SMALL_QUERY_BYTES))
+        elif not self.waiting_queries and self._has_share_for(number):
             self._admit(now, number, actions)
-        elif len(self.line) < LINE:
-            one.waiting = True
-            self.line.append(number)
-            actions.append(Wait(number))
+        elif len(self.waiting_queries) < MAX_WAITING_QUERIES:
+            query_state.waiting = True
+            self.waiting_queries.append(number)
+            actions.append(PauseReads(number))
         else:
-            actions.append(Refuse(number, self.come_back()))
+            actions.append(Reject(number, self.estimate_retry_after()))
 
     def _admit(self, now: float, number: int, actions: list) -> None:
-        one = self.queries[number]
-        one.large, one.waiting, one.since = True, False, now
+        query_state = self.queries[number]
+        query_state.large, query_state.waiting, query_state.admitted_at = True, False, now
         self.large[number] = None
-        actions += [Share(other, self.share) for other in self.large]  # all others shrink with it
-        actions.append(Stream(number) if one.streams else Spill(number))
+        actions += [SetLimit(other, self.share) for other in self.large]  # every share shrinks
+        actions.append(Stream(number) if query_state.streams else Spill(number))
 
-    def _closed(self, now: float, number: int, actions: list) -> None:
-        one = self.queries.pop(number, None)
-        if one is None:
+    def _query_ended(self, now: float, number: int, actions: list) -> None:
+        query_state = self.queries.pop(number, None)
+        if query_state is None:
             return
-        if one.waiting:
-            self.line.remove(number)
-        if one.large:
+        if query_state.waiting:
+            self.waiting_queries.remove(number)
+        if query_state.large:
             del self.large[number]
-            self.times.append(now - one.since)
-        before = len(self.large)
-        while self.line and self._room_for(self.line[0]):
-            self._admit(now, self.line.popleft(), actions)
-        if one.large and len(self.large) == before:
-            actions += [Share(other, self.share) for other in self.large]
-
-    def come_back(self) -> float:
-        """When a refused query should find room: the line and one more, at the pace of the last
-        ones.
+            self.durations.append(now - query_state.admitted_at)
+        large_before = len(self.large)
+        while self.waiting_queries and self._has_share_for(self.waiting_queries[0]):
+            self._admit(now, self.waiting_queries.popleft(), actions)
+        if query_state.large and len(self.large) == large_before:
+            actions += [SetLimit(other, self.share) for other in self.large]
+
+    def estimate_retry_after(self) -> float:
+        """Time in ms until a rejected query should find memory.
+
+        That is the time to run the queued queries and this one, from the mean duration of the last
+        large queries.
         """
-        mean = sum(self.times) / len(self.times) if self.times else GUESS
-        return mean * (len(self.line) + 1) / max(len(self.large), 1)
+        mean = sum(self.durations) / len(self.durations) if self.durations else DEFAULT_DURATION_MS
+        return mean * (len(self.waiting_queries) + 1) / max(len(self.large), 1)
--- a/tansycrank/merge/operators.py
+++ b/tansycrank/merge/operators.py
@@ -1,8 +1,9 @@
-"""Operators over streams of rows: pulled, each within a bound, none waiting inside.
+"""Pull-based merge operators over row streams, with bounded memory and without blocking.
 
-An operator is a generator. It yields blocks `(bytes of DataRow frames, rows)`, `GO_ON` where it has
-worked for a while and has more to do, or None where it can't go on until more input has come.
-Memory beyond its room goes to runs on disk. Ties: by part, then by arrival.
+An operator is a generator. It yields blocks `(bytes of DataRow frames, number of rows or -1)`,
+`CONTINUE` to let other tasks run although it has more to do, or None if it needs more input. Data
+beyond its memory limit is spilled to runs on disk. Rows with equal keys are ordered by shard, then
+by arrival.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 import xxhash
 
-from tansycrank.merge.blocks import PIECE, QueryMemory, ShardRowStream, frames_of
+from tansycrank.merge.blocks import SPILL_BLOCK_BYTES, QueryMemory, ShardRowStream, frames_of
 from tansycrank.merge.spill import Run
 from tansycrank.postgres import types
 from tansycrank.postgres.errors import PgError
@@ -23,87 +24,89 @@
 from tansycrank.sql.plan import SortKey
 
 Block = tuple[bytes, int]
-Pulled = Iterator[Block | None]
-GO_ON: Block = (b"", 0)
-OUT = 64 * 1024  # bytes of a block on its way out
-STRETCH = 128  # rows worked on before others get their turn
-SORTED_AT_ONCE = 4096  # rows sorted in one go
-PARTITIONS = 32  # files of a hash table that outgrew its room
-DEPTH = 3  # times a partition may be divided again
-FAN_IN = 64  # runs merged at once
-ROW_COST = 160  # bytes a row in Python takes beside its frame, its key included
+BlockIterator = Iterator[Block | None]
+CONTINUE: Block = (b"", 0)
+OUTPUT_BLOCK_BYTES = 64 * 1024  # target size of an output block
+ROWS_PER_STEP = 128  # rows processed before an operator yields
+SORT_BATCH_ROWS = 4096  # rows per in-memory sort
+PARTITIONS = 32  # spill files of a hash table that exceeds its limit
+MAX_PARTITION_DEPTH = 3  # how often a partition may be partitioned again
+MERGE_FAN_IN = 64  # runs merged at once
+ROW_OVERHEAD_BYTES = 160  # Python objects per row beside its frame, with its key
 
 
-class Reverse:
-    """The other way round."""
+class ReverseOrder:
+    """Wraps a sort key so that it compares in descending order."""
 
     __slots__ = ("value",)
 
     def __init__(self, value: object) -> None:
         self.value = value
 
-    def __lt__(self, other: Reverse) -> bool:
+    def __lt__(self, other: ReverseOrder) -> bool:
         return other.value < self.value
 
     def __eq__(self, other: object) -> bool:
-        return isinstance(other, Reverse) and self.value == other.value
+        return isinstance(other, ReverseOrder) and self.value == other.value
 
 
-def cell(frame: bytes, column: int) -> bytes | None:
-    """One value of a row, without the others."""
-    at, unpack = 7, INT.unpack_from
+def column_value(frame: bytes, column: int) -> bytes | None:
+    """One value of a row frame, without decoding the others."""
+    offset, unpack = 7, INT.unpack_from
     for _ in range(column):
-        size = unpack(frame, at)[0]
-        at += 4 + size if size > 0 else 4
-    size = unpack(frame, at)[0]
-    return None if size < 0 else frame[at + 4 : at + 4 + size]
+        size = unpack(frame, offset)[0]
+        offset += 4 + size if size > 0 else 4
+    size = unpack(frame, offset)[0]
+    return None if size < 0 else frame[offset + 4 : offset + 4 + size]
 
 
-def key_maker(keys: Sequence[SortKey], fields: Sequence[Field]) -> Callable[[bytes], object]:
-    """A function from a frame to what it sorts by, ascending, as PostgreSQL orders it."""
-    shard_results = [_shard_key(key, fields) for key in keys]
-    if len(shard_results) == 1:
-        return shard_results[0]
-    return lambda frame: tuple([shard_result(frame) for shard_result in shard_results])
+def sort_key_function(
+    keys: Sequence[SortKey], fields: Sequence[Field]
+) -> Callable[[bytes], object]:
+    """A function from a row frame to a key that sorts ascending in PostgreSQL's order."""
+    key_functions = [_column_sort_key(key, fields) for key in keys]
+    if len(key_functions) == 1:
+        return key_functions[0]
+    return lambda frame: tuple([key_function(frame) for key_function in key_functions])
 
 
-def _shard_key(key: SortKey, fields: Sequence[Field]) -> Callable[[bytes], object]:
+def _column_sort_key(key: SortKey, fields: Sequence[Field]) -> Callable[[bytes], object]:
     column = key.column if key.column >= 0 else len(fields) + key.column
     oid, code = fields[column].oid, fields[column].format
     order, descending = types.order_key(oid, code), key.descending
-    if oid in types.INTEGERS:  # plain numbers, NULL beyond all of them
+    if oid in types.INTEGERS:  # compared as plain numbers, with NULL as an infinity
         null = float("-inf") if key.nulls_first else float("inf")
         sign = -1 if descending else 1
 
         def number(frame: bytes) -> float | int:
-            raw = cell(frame, column)
+            raw = column_value(frame, column)
             return null if raw is None else sign * order(raw)
 
         return number
     rank = 0 if key.nulls_first else 2
 
     def other(frame: bytes) -> tuple:
-        raw = cell(frame, column)
+        raw = column_value(frame, column)
         if raw is None:
             return (rank,)
-        return (1, Reverse(order(raw))) if descending else (1, order(raw))
+        return (1, ReverseOrder(order(raw))) if descending else (1, order(raw))
 
     return other
 
 
-def cutter(hidden: int, width: int) -> Callable[[bytes], bytes] | None:
-    """A function that takes the hidden columns off a row's end; None where there are none."""
+def hidden_column_remover(hidden: int, width: int) -> Callable[[bytes], bytes] | None:
+    """A function that removes the trailing hidden columns of a row; None if there are none."""
     if not hidden:
         return None
     keep = width - hidden
     count = SHORT.pack(keep)
 
     def cut(frame: bytes) -> bytes:
-        at, unpack = 7, INT.unpack_from
+        offset, unpack = 7, INT.unpack_from
         for _ in range(keep):
-            size = unpack(frame, at)[0]
-            at += 4 + size if size > 0 else 4
-        return HEAD.pack(b"D", at - 1) + count + frame[7:at]
+            size = unpack(frame, offset)[0]
+            offset += 4 + size if size > 0 else 4
+        return HEAD.pack(b"D", offset - 1) + count + frame[7:offset]
 
     return cut
 
@@ -111,33 +114,33 @@
 # --- sources ------------------------------------------------------------------------
 
 
-class Source:
-    """Sorted rows of one part, run or list: a block at a time, its keys decoded together."""
+class SortedSource:
+    """Sorted rows of one shard, run or list, read and decoded one block at a time."""
 
-    __slots__ = ("at", "frames", "key", "keys", "last", "name", "over", "read")
+    __slots__ = ("exhausted", "frames", "key", "keys", "last", "name", "position", "read")
 
     def __init__(
-        self, read: Callable[[], bytes | None], over: Callable[[], bool], key, name: str
+        self, read: Callable[[], bytes | None], exhausted: Callable[[], bool], key, name: str
     ) -> None:
-        self.read, self.over, self.key, self.name = read, over, key, name
+        self.read, self.exhausted, self.key, self.name = read, exhausted, key, name
         self.frames: list[bytes] = []
         self.keys: list = []
-        self.at, self.last = 0, None
+        self.position, self.last = 0, None
 
     def fill(self) -> bool | None:
-        """Whether a row is at hand: False at the end, None while none has come. Checks order."""
-        if self.at < len(self.keys):
+        """Whether a row is available: False at the end, None if input is needed. Checks order."""
+        if self.position < len(self.keys):
             return True
         while True:
             block = self.read()
             if block is None:
-                return False if self.over() else None
+                return False if self.exhausted() else None
             self.frames = frames_of(block)
-            self.keys, self.at = list(map(self.key, self.frames)), 0
+            self.keys, self.position = list(map(self.key, self.frames)), 0
             if not self.keys:
                 continue
-            wrong = self.last is not None and self.keys[0] < self.last
-            if wrong or any(b < a for a, b in pairwise(self.keys)):
+            out_of_order = self.last is not None and self.keys[0] < self.last
+            if out_of_order or any(b < a for a, b in pairwise(self.keys)):
                 raise PgError(
                     "XX000",
                     f"{self.name} gives its rows in another order than it was asked for",
@@ -147,65 +150,66 @@
             return True
 
 
-def shard_source(stream: ShardRowStream, key) -> Source:
-    """The rows of a part that its node has sorted."""
-    return Source(stream.take, lambda: stream.done, key, f"shard {stream.shard}")
+def shard_source(stream: ShardRowStream, key) -> SortedSource:
+    """The rows of a shard, sorted by its data node."""
+    return SortedSource(stream.take, lambda: stream.done, key, f"shard {stream.shard}")
 
 
-def run_source(run: Run, key) -> Source:
+def run_source(run: Run, key) -> SortedSource:
     """The rows of a sorted run."""
-    return Source(
+    return SortedSource(
         lambda: run.read() if run.left else None, lambda: not run.left, key, "a spilled run"
     )
 
 
-def list_source(pairs: list[tuple]) -> Source:
-    """Rows sorted in memory, with their keys."""
-    source = Source(lambda: None, lambda: True, None, "a list")
+def list_source(pairs: list[tuple]) -> SortedSource:
+    """Rows sorted in memory; `pairs` holds (key, frame)."""
+    source = SortedSource(lambda: None, lambda: True, None, "a list")
     source.keys, source.frames = [k for k, _ in pairs], [f for _, f in pairs]
     return source
 
 
-def merge_sorted(sources: Sequence[Source]) -> Pulled:
-    """K-way merge. Runs of rows from one source go out together."""
+def merge_sorted(sources: Sequence[SortedSource]) -> BlockIterator:
+    """K-way merge by a heap; consecutive rows of one source are copied together."""
     heads: list[tuple] = []
     for index, source in enumerate(sources):
-        while (there := source.fill()) is None:
+        while (available := source.fill()) is None:
             yield None
-        if there:
-            heads.append((source.keys[source.at], index))
+        if available:
+            heads.append((source.keys[source.position], index))
     heapq.heapify(heads)
     out, size = [], 0
     while heads:
         _, index = heads[0]
         source = sources[index]
-        at = source.at
+        position = source.position
         if len(heads) == 1:
             end = len(source.keys)
         else:
-            rival, other = min(heads[1:3])  # the next smallest is a child of the root
-            find = bisect_right if index < other else bisect_left  # ties: the lower part first
-            end = max(find(source.keys, rival, at), at + 1)
-        if end == at + 1:
-            out.append(source.frames[at])
+            next_key, other = min(heads[1:3])  # the second smallest is a child of the root
+            # ties: the lower source index first
+            find = bisect_right if index < other else bisect_left
+            end = max(find(source.keys, next_key, position), position + 1)
+        if end == position + 1:
+            out.append(source.frames[position])
             size += len(out[-1])
         else:
-            out += source.frames[at:end]
-            size += sum(map(len, source.frames[at:end]))
-        source.at = end
+            out += source.frames[position:end]
+            size += sum(map(len, source.frames[position:end]))
+        source.position = end
         if end < len(source.keys):
             heapq.heapreplace(heads, (source.keys[end], index))
         else:
-            if out:  # a block is decoded next: that is a stretch of work
+            if out:  # decoding the next block takes a while: yield first
                 yield b"".join(out), len(out)
                 out, size = [], 0
-            while (there := source.fill()) is None:
+            while (available := source.fill()) is None:
                 yield None
-            if there:
-                heapq.heapreplace(heads, (source.keys[source.at], index))
+            if available:
+                heapq.heapreplace(heads, (source.keys[source.position], index))
             else:
                 heapq.heappop(heads)
-        if size >= OUT:
+        if size >= OUTPUT_BLOCK_BYTES:
             yield b"".join(out), len(out)
             out, size = [], 0
     if out:
@@ -215,36 +219,38 @@
 # --- operators ----------------------------------------------------------------------
 
 
-def concat(shard_results: Sequence[ShardRowStream]) -> Pulled:
-    """All rows, part by part, as the bytes they came in."""
+def concat(shard_results: Sequence[ShardRowStream]) -> BlockIterator:
+    """All rows, shard by shard, in blocks as they arrived."""
     for shard_result in shard_results:
         while not shard_result.done:
             block = shard_result.take()
             yield None if block is None else (block, -1)
 
 
-def stretches(pulled: Pulled) -> Iterator[list[bytes] | None]:
-    """Rows of the input in lists that are short enough for one turn."""
-    for block in pulled:
+def row_batches(blocks: BlockIterator) -> Iterator[list[bytes] | None]:
+    """Split the input into lists of at most `ROWS_PER_STEP` row frames."""
+    for block in blocks:
         if block is None:
             yield None
             continue
         frames = frames_of(block[0])
-        for start in range(0, len(frames), STRETCH):
-            yield frames[start : start + STRETCH]
+        for start in range(0, len(frames), ROWS_PER_STEP):
+            yield frames[start : start + ROWS_PER_STEP]
 
 
-def shaped(pulled: Pulled, cut: Callable[[bytes], bytes] | None) -> Pulled:
-    """Blocks without their hidden columns."""
+def drop_hidden_columns(
+    blocks: BlockIterator, cut: Callable[[bytes], bytes] | None
+) -> BlockIterator:
+    """Remove the hidden columns from each row."""
     if cut is None:
-        yield from pulled
+        yield from blocks
         return
-    for frames in stretches(pulled):
+    for frames in row_batches(blocks):
         yield None if frames is None else (b"".join(map(cut, frames)), len(frames))
 
 
-def limited(source: Pulled, limit: int | None, offset: int) -> Pulled:
-    """LIMIT and OFFSET; the source is closed as soon as no more is needed."""
+def limited(source: BlockIterator, limit: int | None, offset: int) -> BlockIterator:
+    """Apply LIMIT and OFFSET; closes the source as soon as no more rows are needed."""
     skip, left = offset, limit
     if left != 0:
         for block in source:
@@ -253,8 +259,8 @@
                 continue
             frames = frames_of(block[0])
             if skip:
-                gone = min(skip, len(frames))
-                frames, skip = frames[gone:], skip - gone
+                skipped = min(skip, len(frames))
+                frames, skip = frames[skipped:], skip - skipped
             if left is not None:
                 frames = frames[:left]
                 left -= len(frames)
@@ -264,34 +270,34 @@
     source.close()
 
 
-def external_sort(pulled: Pulled, key, memory: QueryMemory) -> Pulled:
-    """Sort any number of rows: short sorted lists, merged to runs on disk, merged again. Stable."""
+def external_sort(blocks: BlockIterator, key, memory: QueryMemory) -> BlockIterator:
+    """Stable external merge sort: sorted batches are merged to runs on disk, runs to the result."""
     runs: list[Run] = []
     lists: list[list[tuple]] = []
     held: list[tuple] = []
     size = 0
     first = itemgetter(0)
     try:
-        for frames in stretches(pulled):
+        for frames in row_batches(blocks):
             if frames is None:
                 yield None
                 continue
             held += [(key(frame), frame) for frame in frames]
-            grown = sum(map(len, frames)) + ROW_COST * len(frames)
-            size += grown
-            memory.table(grown)
-            if len(held) >= SORTED_AT_ONCE:
+            added_bytes = sum(map(len, frames)) + ROW_OVERHEAD_BYTES * len(frames)
+            size += added_bytes
+            memory.record_operator_bytes(added_bytes)
+            if len(held) >= SORT_BATCH_ROWS:
                 held.sort(key=first)
                 lists.append(held)
                 held = []
-            if size >= memory.room:
+            if size >= memory.operator_limit:
                 held.sort(key=first)
                 yield from _spilled(
                     runs, merge_sorted([list_source(one) for one in [*lists, held]]), memory
                 )
-                memory.table(-size)
+                memory.record_operator_bytes(-size)
                 lists, held, size = [], [], 0
-                if len(runs) >= FAN_IN:
+                if len(runs) >= MERGE_FAN_IN:
                     old = runs[:]
                     yield from _spilled(
                         runs, merge_sorted([run_source(run, key) for run in old]), memory
@@ -299,56 +305,56 @@
                     for run in old:
                         run.close()
                     del runs[: len(old)]
-            yield GO_ON
+            yield CONTINUE
         held.sort(key=first)
         tail = [list_source(one) for one in [*lists, held]]
         yield from merge_sorted([*(run_source(run, key) for run in runs), *tail])
     finally:
-        memory.table(-size)
+        memory.record_operator_bytes(-size)
         for run in runs:
             run.close()
 
 
-def _spilled(runs: list[Run], pulled: Pulled, memory: QueryMemory) -> Pulled:
-    """Write sorted rows to a new run, a block a turn."""
+def _spilled(runs: list[Run], blocks: BlockIterator, memory: QueryMemory) -> BlockIterator:
+    """Write sorted rows to a new run, one block per step."""
     run = memory.memory_reservations.space.create_run()
     runs.append(run)
-    for block in pulled:
+    for block in blocks:
         if block is not None and block[0]:
             run.append(block[0])
             memory.spilled += len(block[0])
-        yield GO_ON
+        yield CONTINUE
 
 
-def top(pulled: Pulled, key, count: int, memory: QueryMemory) -> Pulled:
-    """The first `count` rows in order, holding at most twice as many."""
+def top(blocks: BlockIterator, key, count: int, memory: QueryMemory) -> BlockIterator:
+    """The first `count` rows in order, with about twice as many in memory at most."""
     held: list[tuple] = []
-    size, worst, full = 0, None, False
+    size, last_key, full = 0, None, False
     first = itemgetter(0)
     try:
-        for frames in stretches(pulled):
+        for frames in row_batches(blocks):
             if frames is None:
                 yield None
                 continue
             pairs = [(key(frame), frame) for frame in frames]
-            held += [pair for pair in pairs if pair[0] < worst] if full else pairs
-            if len(held) >= 2 * count + STRETCH:
+            held += [pair for pair in pairs if pair[0] < last_key] if full else pairs
+            if len(held) >= 2 * count + ROWS_PER_STEP:
                 held.sort(key=first)
                 del held[count:]
-                full, worst = bool(held), held[-1][0] if held else None
-                now = sum(len(f) for _, f in held) + ROW_COST * len(held)
-                memory.table(now - size)
-                size = now
-            yield GO_ON
+                full, last_key = bool(held), held[-1][0] if held else None
+                held_bytes = sum(len(f) for _, f in held) + ROW_OVERHEAD_BYTES * len(held)
+                memory.record_operator_bytes(held_bytes - size)
+                size = held_bytes
+            yield CONTINUE
         held.sort(key=first)
         frames = [frame for _, frame in held[:count]]
         yield b"".join(frames), len(frames)
     finally:
-        memory.table(-size)
+        memory.record_operator_bytes(-size)
 
 
-class Partitions:
-    """Rows put aside by the hash of their key, on disk."""
+class SpillPartitions:
+    """Rows spilled to partitions on disk by the hash of their key."""
 
     def __init__(self, memory: QueryMemory, salt: int) -> None:
         self.memory, self.salt = memory, salt
@@ -356,12 +362,12 @@
         self.pending: list[list[bytes]] = [[] for _ in range(PARTITIONS)]
         self.sizes = [0] * PARTITIONS
 
-    def put(self, key: object, frame: bytes) -> None:
-        """Put a row aside."""
+    def add(self, key: object, frame: bytes) -> None:
+        """Add a row to the partition of its key."""
         index = xxhash.xxh3_64_intdigest(repr(key).encode(), self.salt) % PARTITIONS
         self.pending[index].append(frame)
         self.sizes[index] += len(frame)
-        if self.sizes[index] >= PIECE // 8:
+        if self.sizes[index] >= SPILL_BLOCK_BYTES // 8:
             self._flush(index)
 
     def _flush(self, index: int) -> None:
@@ -373,110 +379,114 @@
         self.pending[index], self.sizes[index] = [], 0
 
     def finish(self) -> list[Run]:
-        """All that was put aside, partition by partition."""
+        """Flush all rows and return one run per non-empty partition."""
         for index in range(PARTITIONS):
             if self.pending[index]:
                 self._flush(index)
         return [run for run in self.runs if run is not None]
 
     def close(self) -> None:
-        """Give the disk back."""
+        """Close the runs and release their disk space."""
         for run in self.runs:
             if run is not None:
                 run.close()
 
 
-def hashed(pulled: Pulled, table, memory: QueryMemory, depth: int = 0) -> Pulled:
-    """Hybrid hashing: groups that fit are kept, rows of other keys go to partitions, each done
-    after.
+def hybrid_hash(blocks: BlockIterator, table, memory: QueryMemory, depth: int = 0) -> BlockIterator:
+    """Hybrid hash aggregation: groups that fit stay in memory, rows of other keys are partitioned.
 
-    `table` has `groups`, `split(frame) -> (key, row)`, `add(key, row)`, `cost(frame)`, `result()`,
-    `fresh()`, and where its groups grow by the row (`retains`) `measured()`.
+    The partitions on disk are processed one after the other, after the groups in memory. `table`
+    has `groups`, `key_and_row(frame) -> (key, row)`, `add(key, row)`, `estimate_bytes(frame)`,
+    `result()`, `empty_copy()` and, where its groups grow with each row (`grows_per_row`),
+    `measure_bytes()`.
     """
-    aside: Partitions | None = None
-    size = counted = 0
-    groups, split, add = table.groups, table.split, table.add
-    retains = table.retains  # each row makes its group larger: no partition of it would help
+    partitions: SpillPartitions | None = None
+    size = recorded_bytes = 0
+    groups, key_and_row, add = table.groups, table.key_and_row, table.add
+    # if each row enlarges its group, partitioning by key would not help
+    grows_per_row = table.grows_per_row
     try:
-        for frames in stretches(pulled):
+        for frames in row_batches(blocks):
             if frames is None:
                 yield None
                 continue
             for frame in frames:
-                name, row = split(frame)
-                if name in groups:
-                    add(name, row)
-                    if retains:
-                        size += len(frame) + ROW_COST
-                elif aside is None:
-                    add(name, row)
-                    size += table.cost(frame)
+                key, row = key_and_row(frame)
+                if key in groups:
+                    add(key, row)
+                    if grows_per_row:
+                        size += len(frame) + ROW_OVERHEAD_BYTES
+                elif partitions is None:
+                    add(key, row)
+                    size += table.estimate_bytes(frame)
                 else:
-                    aside.put(name, frame)
+                    partitions.add(key, frame)
             if (
-                retains and size >= memory.room
-            ):  # values seen before cost nothing: count what is really held
-                size = table.measured()
-            memory.table(size - counted)
-            counted = size
-            if (aside is None and size >= memory.room) or (retains and size >= 2 * memory.room):
-                if depth >= DEPTH or aside is not None:
+                grows_per_row and size >= memory.operator_limit
+            ):  # repeated DISTINCT values take no memory: measure the actual size
+                size = table.measure_bytes()
+            memory.record_operator_bytes(size - recorded_bytes)
+            recorded_bytes = size
+            if (partitions is None and size >= memory.operator_limit) or (
+                grows_per_row and size >= 2 * memory.operator_limit
+            ):
+                if depth >= MAX_PARTITION_DEPTH or partitions is not None:
                     raise PgError(
                         "53200",
                         "the groups of the answer are larger than its share of memory",
                         hint="the bound is [merge] query_bytes",
                     )
-                aside = Partitions(memory, depth)
-            yield GO_ON
+                partitions = SpillPartitions(memory, depth)
+            yield CONTINUE
         for rows in table.result():
             yield b"".join(rows), len(rows)
         groups.clear()
-        memory.table(-counted)
-        counted = 0
-        if aside is not None:
-            for run in aside.finish():
+        memory.record_operator_bytes(-recorded_bytes)
+        recorded_bytes = 0
+        if partitions is not None:
+            for run in partitions.finish():
                 inner = ((run.read(), -1) for _ in iter(lambda run=run: run.left, False))
-                yield from hashed(inner, table.fresh(), memory, depth + 1)
+                yield from hybrid_hash(inner, table.empty_copy(), memory, depth + 1)
                 run.close()
     finally:
-        memory.table(-counted)
-        if aside is not None:
-            aside.close()
+        memory.record_operator_bytes(-recorded_bytes)
+        if partitions is not None:
+            partitions.close()
 
 
 class Distinct:
-    """A table that keeps the first row of each key."""
+    """Hash table for `hybrid_hash` that keeps the first row of each key."""
 
-    retains = False
+    grows_per_row = False
 
     def __init__(self, fields: Sequence[Field]) -> None:
         self.fields = fields
         self.orders = [types.order_key(f.oid, f.format) for f in fields]
         self.groups: dict = {}
 
-    def fresh(self) -> Distinct:
-        """An empty table of the same kind."""
+    def empty_copy(self) -> Distinct:
+        """An empty table with the same columns."""
         return Distinct(self.fields)
 
-    def split(self, frame: bytes) -> tuple[tuple, bytes]:
-        """(what tells the row apart, the row)."""
+    def key_and_row(self, frame: bytes) -> tuple[tuple, bytes]:
+        """(key of all columns, row frame)."""
         row = read_row(frame)
         return tuple(
             [None if v is None else o(v) for o, v in zip(self.orders, row, strict=True)]
         ), frame
 
     def add(self, key: tuple, frame: bytes) -> None:
-        """A row of this key."""
+        """Keep the row if it is the first one with this key."""
         if key not in self.groups:
             self.groups[key] = frame
 
     @staticmethod
-    def cost(frame: bytes) -> int:
-        """Bytes a new key takes, about."""
-        return 2 * len(frame) + 2 * ROW_COST
+    def estimate_bytes(frame: bytes) -> int:
+        """Estimated memory of a new key in bytes."""
+        return 2 * len(frame) + 2 * ROW_OVERHEAD_BYTES
 
     def result(self) -> Iterator[list[bytes]]:
-        """The rows kept, in the order they came."""
+        """The rows kept, in order of arrival, in lists of at most 1000."""
         frames = list(self.groups.values())
         for start in range(0, len(frames), 1000):
             yield frames[start : start + 1000]
--- a/tansycrank/merge/pipeline.py
+++ b/tansycrank/merge/pipeline.py
@@ -1,4 +1,4 @@
-"""From a merge plan to operators over streams."""
+"""Builds the operators of a merge plan."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tansycrank.postgres.messages import Field
 from tansycrank.sql.plan import MergePlan
 
-TOP = 10_000  # rows of LIMIT and OFFSET up to which the first rows are kept in memory
+TOP = 10_000  # largest LIMIT plus OFFSET for which the first rows are kept in memory
 
 
 def build(
@@ -19,11 +19,14 @@
     shard_results: Sequence[ShardRowStream],
     params: Sequence[object],
     oids: Sequence[int],
-    results: tuple[int, ...],
-    told: tuple[Field, ...] | None,
+    result_formats: tuple[int, ...],
+    described: tuple[Field, ...] | None,
     memory: QueryMemory,
-) -> tuple[tuple[Field, ...], op.Pulled]:
-    """The columns of the answer and its rows. All parts have told their columns."""
+) -> tuple[tuple[Field, ...], op.BlockIterator]:
+    """The columns and the row blocks of the result.
+
+    Every shard must have reported its columns. `described` are the columns announced to the client.
+    """
     fields = shard_results[0].fields or ()
     if plan is None:
         return fields, op.concat(shard_results)
@@ -38,14 +41,14 @@
     limit, offset = scalar(plan.limit, params, "LIMIT"), scalar(plan.offset, params, "OFFSET") or 0
     rows = op.concat(shard_results)
     if plan.kind == "grouped":
-        table = GroupTable(plan, fields, params, oids, results, told)
+        table = GroupTable(plan, fields, params, oids, result_formats, described)
         if plan.distinct_first:
-            rows = op.hashed(rows, op.Distinct(fields), memory)
-        rows, fields = op.hashed(rows, table, memory), table.fields
+            rows = op.hybrid_hash(rows, op.Distinct(fields), memory)
+        rows, fields = op.hybrid_hash(rows, table, memory), table.fields
     elif plan.distinct:
-        rows = op.hashed(rows, op.Distinct(fields), memory)
+        rows = op.hybrid_hash(rows, op.Distinct(fields), memory)
     if plan.sort:
-        by = op.key_maker(plan.sort, fields)
+        by = op.sort_key_function(plan.sort, fields)
         if plan.presorted:
             rows = op.merge_sorted(
                 [op.shard_source(shard_result, by) for shard_result in shard_results]
@@ -55,18 +58,22 @@
         else:
             rows = op.external_sort(rows, by, memory)
     visible = fields[: len(fields) - plan.hidden] if plan.hidden else fields
-    return visible, op.limited(op.shaped(rows, op.cutter(plan.hidden, len(fields))), limit, offset)
+    return visible, op.limited(
+        op.drop_hidden_columns(rows, op.hidden_column_remover(plan.hidden, len(fields))),
+        limit,
+        offset,
+    )
 
 
 def streams(plan: MergePlan | None) -> bool:
-    """Whether rows may leave before all shard results are complete."""
+    """Whether rows may be sent to the client before all shard results are complete."""
     return plan is None or (
         plan.kind != "grouped" and not plan.distinct and (not plan.sort or plan.presorted)
     )
 
 
 def explain(plan: MergePlan | None, memory_share: int, quota: int) -> list[str]:
-    """Lines for EXPLAIN: operators with their memory, and what they spill."""
+    """Lines for EXPLAIN: the operators, their memory limits and whether they spill."""
     share = f"memory at most {memory_share // 1024} kB"
     if plan is None:
         return ["Pass On: rows as they come, held back at the node"]
--- a/tansycrank/merge/rows.py
+++ b/tansycrank/merge/rows.py
@@ -1,7 +1,7 @@
-"""Merging parts held in memory. Rows are DataRow frames; only columns that a key needs are decoded.
+"""Merging of shard results in memory, and the table of groups that streaming merges share.
 
-Ties are broken by the number of the part, then by the order of its rows: one answer is always the
-same.
+Rows are DataRow frames; only the columns that a key needs are decoded. Rows with equal keys are
+ordered by shard, then by their order within the shard, so that results are deterministic.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from tansycrank.merge import collected, folds
-from tansycrank.merge.values import as_told, check_range, divide, evaluate
+from tansycrank.merge.values import cast_to_described, check_range, divide, evaluate
 from tansycrank.postgres import types
 from tansycrank.postgres.errors import PgError, unsupported
 from tansycrank.postgres.messages import Field, data_row, read_row
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class ShardRows:
-    """What one part brought: its columns, its rows as frames, its command tag."""
+    """The complete result of one shard: columns, row frames and command tag."""
 
     fields: tuple[Field, ...]
     rows: list[bytes]
@@ -29,28 +29,26 @@
 
 @dataclass(slots=True)
 class Result:
-    """An answer: columns (None for a statement without rows), row frames, and the command tag."""
+    """A query result: columns (None for a statement without rows), row frames and command tag."""
 
     fields: tuple[Field, ...] | None
     rows: Sequence[bytes]
     tag: str
-    stream: object = (
-        None  # a RowStream in the place of `rows`, for answers too large to be made at once
-    )
-    memory: object = None  # what is held for it until it has been written out
+    stream: object = None  # a RowStream instead of `rows`, for results that are streamed
+    memory: object = None  # QueryMemory to close once the result has been sent
 
 
-def shard_formats(plan: MergePlan | None, results: tuple[int, ...]) -> tuple[int, ...]:
-    """The formats to ask of the nodes, for those the client wants."""
+def shard_formats(plan: MergePlan | None, result_formats: tuple[int, ...]) -> tuple[int, ...]:
+    """The result formats to request from the nodes, given those that the client requested."""
     if plan is None:
-        return results
+        return result_formats
     if plan.kind == "grouped":
         return ()
-    return results + (0,) * plan.hidden if len(results) > 1 else results
+    return result_formats + (0,) * plan.hidden if len(result_formats) > 1 else result_formats
 
 
 def scalar(value: Scalar, params: Sequence[object], what: str) -> int | None:
-    """LIMIT or OFFSET for these parameters."""
+    """The value of LIMIT or OFFSET (`what`) with these parameters; None if there is none."""
     found = params[value.param - 1] if value.param else value.value
     if found is None:
         return None
@@ -68,13 +66,13 @@
     shard_results: Sequence[ShardRows],
     params: Sequence[object],
     oids: Sequence[int],
-    results: tuple[int, ...],
-    told: tuple[Field, ...] | None = None,
+    result_formats: tuple[int, ...],
+    described: tuple[Field, ...] | None = None,
 ) -> Result:
-    """One answer of all parts.
+    """Merge complete shard results into one result.
 
-    `params` are decoded values, `results` the formats the client wants, `told` the columns it has
-    been told.
+    `params` are decoded values with the types `oids`, `result_formats` the formats that the client
+    requested, `described` the columns announced to the client.
     """
     limit, offset = scalar(plan.limit, params, "LIMIT"), scalar(plan.offset, params, "OFFSET") or 0
     shapes = {
@@ -85,7 +83,7 @@
             "XX000", "shards answer with different columns", hint="are their tables alike?"
         )
     if plan.kind == "grouped":
-        return _grouped(plan, shard_results, params, oids, results, limit, offset, told)
+        return _grouped(plan, shard_results, params, oids, result_formats, limit, offset, described)
     return _plain(plan, shard_results, limit, offset)
 
 
@@ -96,7 +94,7 @@
 def sort_rows(
     rows: list[tuple], keys: Sequence[SortKey], fields: Sequence[Field], offset: int = 0
 ) -> list[tuple]:
-    """Sort tuples whose item `offset` + column holds a wire value or None. Stable."""
+    """Stable sort of tuples that hold the wire value (or None) of column c at item `offset` + c."""
     for key in reversed(keys):
         column = key.column if key.column >= 0 else len(fields) + key.column
         order = types.order_key(fields[column].oid, fields[column].format)
@@ -138,11 +136,11 @@
     return Result(visible, frames, f"SELECT {len(frames)}")
 
 
-VALUE_COST = 220  # bytes a value that is kept takes, with its key
+VALUE_OVERHEAD_BYTES = 220  # memory of one collected value with its key
 
 
 def _fold(spec: Aggregate, fields: Sequence[Field]) -> folds.Fold:
-    """How one more part's row changes the state of an aggregate."""
+    """The function (state, row) -> state of an aggregate."""
     if spec.raw:
         return collected.fold(spec, fields)
     column = spec.columns[0]
@@ -150,14 +148,14 @@
     if spec.kind in ("min", "max"):
         if oid in types.TEXTUAL and not spec.collated:
             raise unsupported(f"{spec.kind}() of a text expression", 'add COLLATE "C" to it')
-        return folds.extreme(spec.kind, column, oid, code)
+        return folds.min_max(spec.kind, column, oid, code)
     if spec.kind == "avg":
         return folds.mean(column, oid, code, spec.columns[1])
-    return folds.running(spec.kind, column, oid, code)
+    return folds.running_value(spec.kind, column, oid, code)
 
 
 def _final(spec: Aggregate, fields: Sequence[Field], state: object) -> tuple[int, object]:
-    """(type, value) of a finished aggregate."""
+    """(type OID, value) of an aggregate from its final state."""
     if spec.raw:
         return collected.final(spec, fields, state)
     field = fields[spec.columns[0]]
@@ -174,8 +172,9 @@
 
 
 class GroupTable:
-    """Groups and their running aggregates; `result` gives rows of the answer, with hidden sort
-    columns.
+    """Hash table of groups and the states of their aggregates.
+
+    `result` gives the output rows, with hidden sort columns.
     """
 
     def __init__(
@@ -184,51 +183,53 @@
         fields: Sequence[Field],
         params: Sequence[object],
         oids: Sequence[int],
-        results: tuple[int, ...],
-        told: tuple[Field, ...] | None,
+        result_formats: tuple[int, ...],
+        described: tuple[Field, ...] | None,
     ) -> None:
-        self.plan, self.shard_fields, self.told = plan, fields, told
+        self.plan, self.shard_fields, self.described = plan, fields, described
         self.params = list(zip(oids, params, strict=True))
         width = len(plan.outputs)
-        self.codes = _codes(results, width - plan.hidden) + (0,) * plan.hidden
+        self.codes = _codes(result_formats, width - plan.hidden) + (0,) * plan.hidden
         self._orders = [types.order_key(f.oid, f.format) for f in fields[: plan.groups]]
         self._folds = [(plan.groups + i, _fold(a, fields)) for i, a in enumerate(plan.aggregates)]
-        self._plain = self._passed_on()
-        self.retains = any(collected.retains(a) for a in plan.aggregates)
-        self.groups: dict[object, list] = {}  # raw group columns, then a state an aggregate
-        heads = [(f.oid, None) for f in fields[: plan.groups]]
-        empty = self._values(heads, [_final(a, fields, None) for a in plan.aggregates])
+        self._passthrough = self._passthrough_positions()
+        self.grows_per_row = any(collected.grows_per_row(a) for a in plan.aggregates)
+        # key -> wire values of the group columns, then one state per aggregate
+        self.groups: dict[object, list] = {}
+        group_values = [(f.oid, None) for f in fields[: plan.groups]]
+        empty = self._values(group_values, [_final(a, fields, None) for a in plan.aggregates])
         self.fields = tuple(_fields(plan, empty, self.codes))
 
-    def _passed_on(self) -> list[int] | None:
-        """Where each output stands in a group's list, if all are groups or plain integers; else
-        None.
+    def _passthrough_positions(self) -> list[int] | None:
+        """Index of each output in the entry of a group, if none needs decoding; else None.
+
+        That is so if all are group columns or int8 counts and sums, in text format.
         """
-        if self.plan.having is not None or any(self.codes) or self.told is not None:
+        if self.plan.having is not None or any(self.codes) or self.described is not None:
             return None
-        places = []
+        positions = []
         for output in self.plan.outputs:
             kind, *rest = output.expression
             if kind == "group" and self.shard_fields[rest[0]].format == 0:
-                places.append(rest[0])
+                positions.append(rest[0])
             elif kind == "agg" and self.plan.aggregates[rest[0]].kind in ("count", "sum"):
                 if self.plan.aggregates[rest[0]].raw:
                     return None
                 if self.shard_fields[self.plan.aggregates[rest[0]].columns[0]].oid != types.INT8:
                     return None
-                places.append(self.plan.groups + rest[0])
+                positions.append(self.plan.groups + rest[0])
             else:
                 return None
-        return places
+        return positions
 
-    def fresh(self) -> GroupTable:
-        """An empty table of the same plan."""
+    def empty_copy(self) -> GroupTable:
+        """An empty table for the same plan."""
         other = copy(self)
         other.groups = {}
         return other
 
-    def split(self, frame: bytes) -> tuple[object, list]:
-        """(what tells the group apart, the row)."""
+    def key_and_row(self, frame: bytes) -> tuple[object, list]:
+        """(key of the group, decoded row of wire values)."""
         row = read_row(frame)
         if len(self._orders) == 1:
             return None if row[0] is None else self._orders[0](row[0]), row
@@ -237,55 +238,63 @@
         ), row
 
     def add(self, key: object, row: list) -> None:
-        """A part's row of this group."""
+        """Fold a row into the group with this key."""
         entry = self.groups.get(key)
         if entry is None:
             entry = self.groups[key] = row[: self.plan.groups] + [None] * len(self._folds)
         for at, fold in self._folds:
             entry[at] = fold(entry[at], row)
 
-    def cost(self, frame: bytes) -> int:
-        """Bytes a new group takes, about."""
+    def estimate_bytes(self, frame: bytes) -> int:
+        """Estimated memory of a new group in bytes."""
         return 2 * len(frame) + 300 + 100 * len(self._folds)
 
-    def measured(self) -> int:
-        """Bytes its groups take, about, where they hold values."""
+    def measure_bytes(self) -> int:
+        """Estimated memory in bytes of all groups, with their collected values."""
         held = sum(
             len(v) for entry in self.groups.values() for v in entry if isinstance(v, list | dict)
         )
-        return held * VALUE_COST + len(self.groups) * self.cost(b"")
+        return held * VALUE_OVERHEAD_BYTES + len(self.groups) * self.estimate_bytes(b"")
 
-    def _values(self, heads: list[tuple], totals: list[tuple]) -> list[tuple]:
-        found = [evaluate(o.expression, heads, totals, self.params) for o in self.plan.outputs]
-        return _told(self.told, found)
+    def _values(self, group_values: list[tuple], aggregate_values: list[tuple]) -> list[tuple]:
+        found = [
+            evaluate(o.expression, group_values, aggregate_values, self.params)
+            for o in self.plan.outputs
+        ]
+        return _as_described(self.described, found)
 
-    def _row(self, heads: list[tuple], totals: list[tuple]) -> bytes:
-        values = zip(self._values(heads, totals), self.codes, strict=True)
+    def _row(self, group_values: list[tuple], aggregate_values: list[tuple]) -> bytes:
+        values = zip(self._values(group_values, aggregate_values), self.codes, strict=True)
         return data_row(
             [None if v is None else types.encode(oid or types.TEXT, c, v) for (oid, v), c in values]
         )
 
     def result(self) -> Iterator[list[bytes]]:
-        """Rows, some at a time."""
+        """The output rows as lists of at most 200 frames."""
         groups, fields, aggregates = self.plan.groups, self.shard_fields, self.plan.aggregates
         out: list[bytes] = []
         having = self.plan.having
-        if not groups and not self.groups:  # aggregates over nothing are still one row
+        if not groups and not self.groups:  # without GROUP BY, no input still gives one row
             self.groups[()] = [None] * len(aggregates)
         for entry in self.groups.values():
-            if self._plain is not None:
-                values = [entry[at] for at in self._plain]
+            if self._passthrough is not None:
+                values = [entry[at] for at in self._passthrough]
                 out.append(
                     data_row([str(_int8(v)).encode() if type(v) is int else v for v in values])
                 )
             else:
-                heads = [
+                group_values = [
                     (f.oid, None if v is None else types.decode(f.oid, f.format, v))
                     for f, v in zip(fields, entry[:groups], strict=False)
                 ]
-                totals = [_final(a, fields, entry[groups + i]) for i, a in enumerate(aggregates)]
-                if having is None or evaluate(having, heads, totals, self.params)[1] is True:
-                    out.append(self._row(heads, totals))
+                aggregate_values = [
+                    _final(a, fields, entry[groups + i]) for i, a in enumerate(aggregates)
+                ]
+                if (
+                    having is None
+                    or evaluate(having, group_values, aggregate_values, self.params)[1] is True
+                ):
+                    out.append(self._row(group_values, aggregate_values))
             if len(out) >= 200:
                 yield out
                 out = []
@@ -301,12 +310,12 @@
     shard_results: Sequence[ShardRows],
     params: Sequence[object],
     oids: Sequence[int],
-    results: tuple[int, ...],
+    result_formats: tuple[int, ...],
     limit: int | None,
     offset: int,
-    told: tuple[Field, ...] | None,
+    described: tuple[Field, ...] | None,
 ) -> Result:
-    table = GroupTable(plan, shard_results[0].fields, params, oids, results, told)
+    table = GroupTable(plan, shard_results[0].fields, params, oids, result_formats, described)
     frames = [frame for shard_result in shard_results for frame in shard_result.rows]
     if plan.distinct_first:
         orders = [types.order_key(f.oid, f.format) for f in shard_results[0].fields]
@@ -316,7 +325,7 @@
         }
         frames = list(first.values())
     for frame in frames:
-        table.add(*table.split(frame))
+        table.add(*table.key_and_row(frame))
     rows = [tuple(read_row(frame)) for frames in table.result() for frame in frames]
     rows = _cut(sort_rows(rows, plan.sort, table.fields), limit, offset)
     visible = len(plan.outputs) - plan.hidden
@@ -325,18 +334,20 @@
     )
 
 
-def _told(told: tuple[Field, ...] | None, values: list[tuple]) -> list[tuple]:
-    if told is None:
+def _as_described(described: tuple[Field, ...] | None, values: list[tuple]) -> list[tuple]:
+    if described is None:
         return values
-    return [as_told(f.oid, v) for f, v in zip(told, values, strict=False)] + values[len(told) :]
+    return [cast_to_described(f.oid, v) for f, v in zip(described, values, strict=False)] + values[
+        len(described) :
+    ]
 
 
-def _codes(results: tuple[int, ...], count: int) -> tuple[int, ...]:
-    if len(results) <= 1:
-        return (results[0] if results else 0,) * count
-    if len(results) != count:
-        raise PgError("08P01", f"{len(results)} result formats for {count} columns")
-    return results
+def _codes(result_formats: tuple[int, ...], count: int) -> tuple[int, ...]:
+    if len(result_formats) <= 1:
+        return (result_formats[0] if result_formats else 0,) * count
+    if len(result_formats) != count:
+        raise PgError("08P01", f"{len(result_formats)} result formats for {count} columns")
+    return result_formats
 
 
 def _fields(plan: MergePlan, values: Sequence[tuple], codes: Sequence[int]) -> list[Field]:
--- a/tansycrank/merge/values.py
+++ b/tansycrank/merge/values.py
@@ -1,4 +1,4 @@
-"""Arithmetic and expressions over groups, exact as PostgreSQL has them."""
+"""Arithmetic and expressions over groups, with exactly PostgreSQL's results."""
 
 from __future__ import annotations
 
@@ -12,19 +12,14 @@
 from tansycrank.sql.plan import Expression
 
 EXACT = decimal.Context(prec=20_000, rounding=decimal.ROUND_HALF_UP, Emax=999_999, Emin=-999_999)
-MIN_SIGNIFICANT, DIGITS_A_GROUP, MAX_SCALE = (
-    16,
-    4,
-    1000,
-)  # numeric.c: NUMERIC_MIN_SIG_DIGITS, DEC_DIGITS, ...
+# NUMERIC_MIN_SIG_DIGITS, DEC_DIGITS and NUMERIC_MAX_DISPLAY_SCALE of numeric.c
+MIN_SIGNIFICANT, DIGITS_PER_GROUP, MAX_SCALE = 16, 4, 1000
 
-Typed = (
-    tuple  # (oid, value); a value of None is NULL, an oid of 0 a literal whose type is still open
-)
+Typed = tuple  # (type OID, value): value None is NULL, OID 0 an untyped literal
 
 
 def add(left: object, right: object) -> object:
-    """The sum of two partial sums of one type."""
+    """The sum of two partial sums of the same type. Raises PgError on a float overflow."""
     if isinstance(left, Decimal):
         return EXACT.add(left, right)
     total = left + right
@@ -38,31 +33,31 @@
 
 
 def check_range(oid: int, value: object) -> object:
-    """Integers stay in their type."""
+    """The value, unless it is an integer out of range of its type: then raises PgError."""
     bits = {types.INT2: 15, types.INT4: 31, types.INT8: 63}.get(oid)
     if bits and value is not None and not -(2**bits) <= value < 2**bits:
         raise PgError(OUT_OF_RANGE, f"{types.type_name(oid)} out of range")
     return value
 
 
-def _leading(value: Decimal) -> tuple[int, int]:
-    """(weight, first digit) of a number in base 10000, as numeric.c keeps it."""
+def _leading_digit(value: Decimal) -> tuple[int, int]:
+    """(weight, first digit) of a number in base 10000, the representation of numeric.c."""
     if not value:
         return 0, 0
-    weight = value.adjusted() // DIGITS_A_GROUP
-    return weight, int(abs(value).scaleb(-weight * DIGITS_A_GROUP, EXACT))
+    weight = value.adjusted() // DIGITS_PER_GROUP
+    return weight, int(abs(value).scaleb(-weight * DIGITS_PER_GROUP, EXACT))
 
 
 def div_scale(total: Decimal, divisor: Decimal) -> int:
-    """Decimal places of a quotient of numerics, as `select_div_scale` of numeric.c chooses them."""
-    (weight1, first1), (weight2, first2) = _leading(total), _leading(divisor)
+    """Decimal places of a quotient of numerics, as in `select_div_scale` of numeric.c."""
+    (weight1, first1), (weight2, first2) = _leading_digit(total), _leading_digit(divisor)
     quotient_weight = weight1 - weight2 - (first1 <= first2)
     places = [-min(number.as_tuple().exponent, 0) for number in (total, divisor)]
-    return min(max(MIN_SIGNIFICANT - quotient_weight * DIGITS_A_GROUP, *places, 0), MAX_SCALE)
+    return min(max(MIN_SIGNIFICANT - quotient_weight * DIGITS_PER_GROUP, *places, 0), MAX_SCALE)
 
 
 def divide(total: Decimal, number: int) -> Decimal:
-    """numeric / numeric as PostgreSQL rounds it."""
+    """numeric / numeric, rounded as in PostgreSQL."""
     if not total.is_finite():
         return total
     divisor = Decimal(number)
@@ -70,19 +65,22 @@
     return EXACT.divide(total, divisor).quantize(unit, context=EXACT)
 
 
-def spread_of(kind: str, count: int, total: Decimal, squares: Decimal) -> Decimal | None:
-    """stddev and variance of numerics from count, sum and sum of squares
-    (`numeric_stddev_internal`).
+def numeric_deviation(kind: str, count: int, total: Decimal, squares: Decimal) -> Decimal | None:
+    """Standard deviation or variance of numerics from count, sum and sum of squares.
+
+    Follows `numeric_stddev_internal` of numeric.c.
     """
     sample = not kind.endswith("_pop")
     if count <= sample:
         return None
-    above = EXACT.subtract(EXACT.multiply(Decimal(count), squares), EXACT.multiply(total, total))
-    if above <= 0:
+    numerator = EXACT.subtract(
+        EXACT.multiply(Decimal(count), squares), EXACT.multiply(total, total)
+    )
+    if numerator <= 0:
         return Decimal(0)
-    below = Decimal(count * (count - 1) if sample else count * count)
-    unit = Decimal(1).scaleb(-div_scale(above, below))
-    variance = EXACT.divide(above, below).quantize(unit, context=EXACT)
+    denominator = Decimal(count * (count - 1) if sample else count * count)
+    unit = Decimal(1).scaleb(-div_scale(numerator, denominator))
+    variance = EXACT.divide(numerator, denominator).quantize(unit, context=EXACT)
     return (
         variance if kind.startswith("var") else EXACT.sqrt(variance).quantize(unit, context=EXACT)
     )
@@ -94,7 +92,7 @@
     aggregates: Sequence[Typed],
     params: Sequence[Typed],
 ) -> Typed:
-    """The value of an expression of a merge plan, three-valued logic included."""
+    """Evaluate an expression of a merge plan, with SQL's three-valued logic."""
     kind, *args = expression
     if kind == "group":
         return groups[args[0]]
@@ -118,9 +116,9 @@
         return types.BOOL, (values[0][1] is None) == values[1]
     if kind == "coalesce":
         typed = next((v for v in values if v[0]), values[0])
-        for one in values:
-            if one[1] is not None:
-                return typed[0], _as(typed[0], one)
+        for each in values:
+            if each[1] is not None:
+                return typed[0], _cast(typed[0], each)
         return typed[0], None
     if kind == "round":
         (oid, value), digits = values
@@ -149,8 +147,8 @@
     raise unsupported(f"type {types.type_name(oid)} as a condition over aggregates")
 
 
-def _as(oid: int, typed: Typed) -> object:
-    """The value in another type, where that is exact."""
+def _cast(oid: int, typed: Typed) -> object:
+    """The value cast to another type; raises PgError for casts that are not supported."""
     if typed[0] == oid or oid == 0:
         return typed[1]
     if typed[0] in types.TEXTUAL and isinstance(typed[1], str):
@@ -166,9 +164,10 @@
     )
 
 
-def as_told(oid: int, typed: Typed) -> Typed:
-    """The value in the type that the store has told the client (a store may count in types of its
-    own).
+def cast_to_described(oid: int, typed: Typed) -> Typed:
+    """The value cast to the column type announced to the client.
+
+    The types of partial results may differ from it, as a store may count in types of its own.
     """
     if typed[0] == oid or typed[1] is None:
         return oid, typed[1]
@@ -176,7 +175,7 @@
         return oid, float(typed[1])
     if typed[0] in types.TEXTUAL and oid in types.TEXTUAL:
         return oid, typed[1]
-    return oid, _as(oid, typed)
+    return oid, _cast(oid, typed)
 
 
 NUMBERS = types.NUMBERS
@@ -186,9 +185,9 @@
     if left[1] is None or right[1] is None:
         return None
     if left[0] == 0 and right[0] != 0:
-        left = right[0], _as(right[0], left)
+        left = right[0], _cast(right[0], left)
     elif right[0] == 0 and left[0] != 0:
-        right = left[0], _as(left[0], right)
+        right = left[0], _cast(left[0], right)
     a, b = left[1], right[1]
     if {left[0], right[0]} <= NUMBERS:
         if isinstance(a, float) or isinstance(b, float):
@@ -203,22 +202,19 @@
     return {"=": a == b, "<>": a != b, "<": a < b, ">": a > b, "<=": a <= b, ">=": a >= b}[sign]
 
 
-SUMS = {
-    types.INT2: types.INT8,
-    types.INT4: types.INT8,
-    types.INT8: types.NUMERIC,
-}  # else the type itself
+# result types of sum(); for other types the type itself
+SUMS = {types.INT2: types.INT8, types.INT4: types.INT8, types.INT8: types.NUMERIC}
 
 
 def sum_type(oid: int) -> int:
-    """The type of sum() over values of a type, as PostgreSQL has it."""
+    """The result type of sum() over a type, as in PostgreSQL."""
     if oid not in NUMBERS:
         raise unsupported(f"sum or avg of type {types.type_name(oid)}")
     return SUMS.get(oid, oid)
 
 
-def total_of(oid: int, values: Sequence[object]) -> object:
-    """The sum of values of a type, in the type of sum(); None of none."""
+def sum_of(oid: int, values: Sequence[object]) -> object:
+    """The sum of values in the result type of sum(); None if there are no values."""
     total = None
     for value in values:
         total = value if total is None else add(total, value)
@@ -226,14 +222,14 @@
 
 
 def percentile(kind: str, fraction: object, ordered: Sequence[object]) -> object:
-    """percentile_cont (interpolated, float8) or percentile_disc of values in order."""
-    share = float(fraction)
-    if not 0 <= share <= 1:
-        raise PgError("22003", f"percentile value {share} is not between 0 and 1")
+    """percentile_cont (interpolated, float8) or percentile_disc of sorted values."""
+    fraction_value = float(fraction)
+    if not 0 <= fraction_value <= 1:
+        raise PgError("22003", f"percentile value {fraction_value} is not between 0 and 1")
     if not ordered:
         return None
     if kind == "percentile_disc":
-        return ordered[max(math.ceil(share * len(ordered)), 1) - 1]
-    place = share * (len(ordered) - 1)
-    low, high = float(ordered[math.floor(place)]), float(ordered[math.ceil(place)])
-    return low + (place - math.floor(place)) * (high - low)
+        return ordered[max(math.ceil(fraction_value * len(ordered)), 1) - 1]
+    position = fraction_value * (len(ordered) - 1)
+    low, high = float(ordered[math.floor(position)]), float(ordered[math.ceil(position)])
+    return low + (position - math.floor(position)) * (high - low)
--- a/tansycrank/merge/work.py
+++ b/tansycrank/merge/work.py
@@ -1,4 +1,4 @@
-"""Cooperative scheduling of large merges: bounded slices of each reactor turn, shared fairly."""
+"""Cooperative round-robin scheduling of large merges, in bounded slices of each reactor turn."""
 
 from __future__ import annotations
 
@@ -7,51 +7,51 @@
 from typing import Protocol
 
 from tansycrank.merge.blocks import QueryMemory, ShardRowStream, frames_of
-from tansycrank.merge.operators import Pulled
+from tansycrank.merge.operators import BlockIterator
 from tansycrank.postgres.errors import INTERNAL, PgError
 from tansycrank.postgres.messages import Field
 
-SLICE = 0.002  # seconds of a reactor turn that all merges together may take
-STEPS = 200  # blocks of a turn at most, however short they are
-HIGH = 128 * 1024  # bytes of an answer ready to leave, past which its merge rests
+TIME_SLICE_S = 0.002  # time per reactor turn for all merges together
+MAX_STEPS_PER_TURN = 200  # limit for steps that are very short
+HIGH_WATER_BYTES = 128 * 1024  # output not yet sent above which a merge pauses
 
 
 class RowStream:
-    """An answer on its way: rows are made as they are taken. `count` is what has been taken."""
+    """A streamed result, merged as its rows are taken. `count` is the number of rows taken."""
 
     def __init__(
         self,
         fields: tuple[Field, ...],
-        source: Pulled,
+        source: BlockIterator,
         shard_results: Sequence[ShardRowStream],
         memory: QueryMemory,
-        worker: MergeScheduler,
+        scheduler: MergeScheduler,
     ) -> None:
-        self.fields, self.shard_results, self.memory, self.worker = (
+        self.fields, self.shard_results, self.memory, self.scheduler = (
             fields,
             shard_results,
             memory,
-            worker,
+            scheduler,
         )
         self.on_ready: Callable[[], None] = lambda: None
         self.error: PgError | None = None
         self.finished = self.closed = False
         self.count = 0
         self._source = source
-        self._out: deque[bytes] = deque()
+        self._output: deque[bytes] = deque()
         self._size = 0
         for shard_result in shard_results:
             shard_result.on_data = self.wake
-        worker.wake(self)
+        scheduler.wake(self)
 
     def wake(self) -> None:
-        """Input has come, or room."""
-        if not self.closed and not self.finished and self._size < HIGH:
-            self.worker.wake(self)
+        """Schedule the merge after new input or a drop of unsent output, if it can run."""
+        if not self.closed and not self.finished and self._size < HIGH_WATER_BYTES:
+            self.scheduler.wake(self)
 
     def step(self) -> bool:
-        """One block of work; tells whether there is more to do now."""
-        if self.closed or self.finished or self._size >= HIGH:
+        """Produce at most one block; returns whether the merge can continue at once."""
+        if self.closed or self.finished or self._size >= HIGH_WATER_BYTES:
             return False
         try:
             block = next(self._source)
@@ -62,7 +62,7 @@
         except PgError as problem:
             self._fail(problem)
             return False
-        except Exception as problem:  # a fault of an operator ends this query alone
+        except Exception as problem:  # a bug in an operator must end this query only
             self._fail(
                 PgError(INTERNAL, f"merging the parts failed: {type(problem).__name__}: {problem}")
             )
@@ -71,11 +71,11 @@
             return False
         if not block[0]:
             return True
-        self._out.append(block[0])
+        self._output.append(block[0])
         self._size += len(block[0])
-        self.memory.table(len(block[0]))
+        self.memory.record_operator_bytes(len(block[0]))
         self.on_ready()
-        return self._size < HIGH
+        return self._size < HIGH_WATER_BYTES
 
     def _fail(self, problem: PgError) -> None:
         self.error, self.finished = problem, True
@@ -83,23 +83,23 @@
 
     @property
     def ended(self) -> bool:
-        """Whether nothing is left to take: all rows were taken, or it failed."""
-        return self.finished and not self._out
+        """Whether no rows remain to be taken, at the end or after a failure."""
+        return self.finished and not self._output
 
-    def take(self, most: int | None = None) -> list[bytes]:
-        """Frames that are ready, at most so many rows; none where there is nothing yet."""
+    def take(self, max_rows: int | None = None) -> list[bytes]:
+        """Row frames that are ready, at most `max_rows`; empty if there are none yet."""
         taken: list[bytes] = []
-        while self._out and (most is None or len(taken) < most):
-            block = self._out.popleft()
+        while self._output and (max_rows is None or len(taken) < max_rows):
+            block = self._output.popleft()
             self._size -= len(block)
-            self.memory.table(-len(block))
+            self.memory.record_operator_bytes(-len(block))
             frames = frames_of(block)
-            if most is not None and len(taken) + len(frames) > most:
-                keep = most - len(taken)
+            if max_rows is not None and len(taken) + len(frames) > max_rows:
+                keep = max_rows - len(taken)
                 rest = b"".join(frames[keep:])
-                self._out.appendleft(rest)
+                self._output.appendleft(rest)
                 self._size += len(rest)
-                self.memory.table(len(rest))
+                self.memory.record_operator_bytes(len(rest))
                 frames = frames[:keep]
             taken += frames
         self.count += len(taken)
@@ -107,42 +107,42 @@
         return taken
 
     def take_block(self) -> tuple[bytes, int] | None:
-        """A whole block and its rows, uncut."""
-        if not self._out:
+        """The next block and its number of rows; None if none is ready."""
+        if not self._output:
             return None
-        block = self._out.popleft()
+        block = self._output.popleft()
         self._size -= len(block)
-        self.memory.table(-len(block))
-        rows = _rows(block)
+        self.memory.record_operator_bytes(-len(block))
+        rows = _count_rows(block)
         self.count += rows
         self.wake()
         return block, rows
 
     def abort(self, problem: PgError) -> None:
-        """End it with an error: what is ready is not sent any more."""
+        """End the stream with an error and discard the output that is ready."""
         if self.closed or self.ended:
             return
-        self.memory.table(-self._size)
-        self._out.clear()
+        self.memory.record_operator_bytes(-self._size)
+        self._output.clear()
         self._size = 0
         self._fail(problem)
 
     def close(self) -> None:
-        """The answer is out, or nobody wants it: nodes, disk and memory are free."""
+        """Release nodes, disk and memory, after the result was sent or is no longer needed."""
         if self.closed:
             return
         self.closed = True
-        self.worker.forget(self)
+        self.scheduler.remove(self)
         self._source.close()
-        self._out.clear()
-        self.memory.table(-self._size)
+        self._output.clear()
+        self.memory.record_operator_bytes(-self._size)
         self._size = 0
         for shard_result in self.shard_results:
             shard_result.on_data = lambda: None
         self.memory.close()
 
 
-def _rows(block: bytes) -> int:
+def _count_rows(block: bytes) -> int:
     at, size, rows, unpack = 0, len(block), 0, int.from_bytes
     while at < size:
         at += 1 + unpack(block[at + 1 : at + 5], "big")
@@ -151,53 +151,54 @@
 
 
 class Task(Protocol):
-    """Large work in the line: a merge, or a link with bytes of a large part."""
+    """A schedulable task: a merge, or a connection with unread data of a large shard result."""
 
     def step(self) -> bool:
-        """Do a piece; tells whether there is more to do now."""
+        """Do a bounded amount of work; returns whether more can be done at once."""
 
 
 class MergeScheduler:
-    """Runs all large work by turns. `soon(f)` calls f in the next reactor turn, `clock()` tells
-    seconds.
+    """Runs the tasks of large queries round-robin.
 
-    While `pressing()` tells that queries wait for their nodes, a turn holds one piece of it.
+    `call_later(f)` must call f in the next reactor turn, `clock()` return seconds. While
+    `queries_waiting()` is true, that is, queries wait for their nodes, a reactor turn runs one step
+    only.
     """
 
     def __init__(
         self,
-        soon: Callable[[Callable[[], None]], object],
+        call_later: Callable[[Callable[[], None]], object],
         clock: Callable[[], float],
-        pressing: Callable[[], bool] = lambda: False,
+        queries_waiting: Callable[[], bool] = lambda: False,
     ) -> None:
-        self._soon, self._clock, self._pressing = soon, clock, pressing
-        self._line: deque[Task] = deque()
+        self._call_later, self._clock, self._queries_waiting = call_later, clock, queries_waiting
+        self._run_queue: deque[Task] = deque()
         self._queued: set[Task] = set()
-        self._call: object = None
-
-    def wake(self, stream: Task) -> None:
-        """Put it in the line."""
-        if stream not in self._queued:
-            self._queued.add(stream)
-            self._line.append(stream)
-            if self._call is None:
-                self._call = self._soon(self._turn)
-
-    def forget(self, stream: Task) -> None:
-        """It is closed."""
-        if stream in self._queued:
-            self._queued.discard(stream)
-            self._line.remove(stream)
+        self._scheduled_call: object = None
+
+    def wake(self, task: Task) -> None:
+        """Append a task to the run queue unless it is queued already."""
+        if task not in self._queued:
+            self._queued.add(task)
+            self._run_queue.append(task)
+            if self._scheduled_call is None:
+                self._scheduled_call = self._call_later(self._turn)
+
+    def remove(self, task: Task) -> None:
+        """Remove a closed task from the run queue."""
+        if task in self._queued:
+            self._queued.discard(task)
+            self._run_queue.remove(task)
 
     def _turn(self) -> None:
-        self._call = None
-        end = self._clock() + SLICE
-        for _ in range(1 if self._pressing() else STEPS):
-            if not self._line or self._clock() >= end:
+        self._scheduled_call = None
+        end = self._clock() + TIME_SLICE_S
+        for _ in range(1 if self._queries_waiting() else MAX_STEPS_PER_TURN):
+            if not self._run_queue or self._clock() >= end:
                 break
-            stream = self._line.popleft()
-            self._queued.discard(stream)
-            if stream.step():
-                self.wake(stream)
-        if self._line and self._call is None:
-            self._call = self._soon(self._turn)
+            task = self._run_queue.popleft()
+            self._queued.discard(task)
+            if task.step():
+                self.wake(task)
+        if self._run_queue and self._scheduled_call is None:
+            self._scheduled_call = self._call_later(self._turn)
--- a/tests/test_merge.py
+++ b/tests/test_merge.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from tansycrank.merge.rows import ShardRows, merge
-from tansycrank.merge.values import divide, evaluate, spread_of
+from tansycrank.merge.values import divide, evaluate, numeric_deviation
 from tansycrank.postgres import types
 from tansycrank.postgres.errors import PgError
 from tansycrank.postgres.messages import Field, data_row, read_row
@@ -200,5 +200,7 @@
     ],
 )
 def test_deviations_of_numerics_have_postgresqls_digits(kind, values, wanted):
-    found = spread_of(kind, len(values), Decimal(sum(values)), Decimal(sum(v * v for v in values)))
+    found = numeric_deviation(
+        kind, len(values), Decimal(sum(values)), Decimal(sum(v * v for v in values))
+    )
     assert (None if found is None else format(found, "f")) == wanted
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -44,7 +44,7 @@
 
 def tight(memory, room=1500):
     """A query with hardly any room: all that can spill does."""
-    memory.__class__ = type("Tight", (memory.__class__,), {"room": room})
+    memory.__class__ = type("Tight", (memory.__class__,), {"operator_limit": room})
     return memory
 
 
@@ -58,8 +58,8 @@
     return stream
 
 
-def drain(pulled):
-    return [t for block in pulled if block is not None for t in texts(block[0])]
+def drain(blocks):
+    return [t for block in blocks if block is not None for t in texts(block[0])]
 
 
 def pg_key(values):
@@ -73,7 +73,7 @@
     memory = (
         tight(memory_reservations.open(False), 700) if little else memory_reservations.open(False)
     )
-    key = op.key_maker((SortKey(0), SortKey(1)), FIELDS)
+    key = op.sort_key_function((SortKey(0), SortKey(1)), FIELDS)
     got = drain(
         op.external_sort(op.concat([shard_result(memory, rows) for rows in split]), key, memory)
     )
@@ -89,7 +89,7 @@
         16 * MIB, 8 * MIB, SpillSpace(str(tmp_path_factory.mktemp("s")), 0), lambda: 0.0
     )
     memory = memory_reservations.open(True)
-    key = op.key_maker((SortKey(0, descending, nulls_first),), FIELDS)
+    key = op.sort_key_function((SortKey(0, descending, nulls_first),), FIELDS)
 
     def rank(values):
         null = values[0] is None
@@ -110,7 +110,7 @@
 
 
 def test_a_part_in_another_order_is_an_error_not_a_wrong_answer(memory_reservations):
-    key = op.key_maker((SortKey(0),), FIELDS)
+    key = op.sort_key_function((SortKey(0),), FIELDS)
     stream = shard_result(memory_reservations.open(True), [(n, "x") for n in (1, 2, 5, 4)], cut=2)
     with pytest.raises(PgError) as problem:
         drain(op.merge_sorted([op.shard_source(stream, key)]))
@@ -123,7 +123,7 @@
         16 * MIB, 8 * MIB, SpillSpace(str(tmp_path_factory.mktemp("s")), 0), lambda: 0.0
     )
     memory = memory_reservations.open(False)
-    key = op.key_maker((SortKey(0), SortKey(1)), FIELDS)
+    key = op.sort_key_function((SortKey(0), SortKey(1)), FIELDS)
     rows = op.top(
         op.concat([shard_result(memory, rows) for rows in split]), key, limit + offset, memory
     )
@@ -149,8 +149,8 @@
     )
     shard_results = [shard_result(memory, rows, fields) for rows in split]
     try:
-        _, pulled = build(plan, shard_results, (), (), (), None, memory)
-        got = {int(k): (int(s), int(m)) for k, s, m in drain(pulled)}
+        _, blocks = build(plan, shard_results, (), (), (), None, memory)
+        got = {int(k): (int(s), int(m)) for k, s, m in drain(blocks)}
     except (
         PgError
     ) as problem:  # groups that no partition of this depth holds are refused, never cut
@@ -172,8 +172,8 @@
         shard_result(memory, [("1.0",), (None,), ("2",)], fields),
         shard_result(memory, [("1.00",), (None,)], fields),
     ]
-    _, pulled = build(MergePlan(distinct=True), shard_results, (), (), (), None, memory)
-    assert sorted(drain(pulled), key=str) == [("1.0",), ("2",), (None,)]
+    _, blocks = build(MergePlan(distinct=True), shard_results, (), (), (), None, memory)
+    assert sorted(drain(blocks), key=str) == [("1.0",), ("2",), (None,)]
 
 
 def test_a_limit_closes_the_parts_it_no_longer_needs(memory_reservations):
@@ -241,7 +241,7 @@
     while not held:
         stream.add(big(100_000), 1)
         assert memory.held < 8 * MIB
-    assert stream.committed and held == [True] and memory.held <= memory.working + 100_000
+    assert stream.committed and held == [True] and memory.held <= memory.buffer_limit + 100_000
     while held[-1]:
         assert stream.take() is not None
     assert held == [True, False]
@@ -254,7 +254,7 @@
     for block in blocks:
         stream.add(block, 1)
     stream.finish()
-    assert space.used > 0 and memory.held <= memory.working
+    assert space.used > 0 and memory.held <= memory.buffer_limit
     got = []
     while not stream.done:
         got.append(stream.take())
@@ -330,8 +330,8 @@
 
 
 def open_large(policy, number, streams=False, now=0.0):
-    policy.step(now, [gov.Opened(number, streams)])
-    return policy.step(now, [gov.Holds(number, gov.SMALL + 1)])
+    policy.step(now, [gov.QueryStarted(number, streams)])
+    return policy.step(now, [gov.MemoryUsed(number, gov.SMALL_QUERY_BYTES + 1)])
 
 
 def kinds(actions):
@@ -341,49 +341,53 @@
 def test_small_queries_ask_nobody():
     policy = governor()
     for number in range(200):
-        policy.step(0.0, [gov.Opened(number, False)])
-        assert kinds(policy.step(0.0, [gov.Holds(number, gov.SMALL)])) == ["Share"]
+        policy.step(0.0, [gov.QueryStarted(number, False)])
+        assert kinds(policy.step(0.0, [gov.MemoryUsed(number, gov.SMALL_QUERY_BYTES)])) == [
+            "SetLimit"
+        ]
     assert not policy.large
 
 
 def test_large_ones_share_equally_and_shrink_together():
     policy = governor()
-    assert kinds(open_large(policy, 1, True)) == ["Share", "Stream"]
+    assert kinds(open_large(policy, 1, True)) == ["SetLimit", "Stream"]
     assert policy.share == 32 * MIB
     actions = open_large(policy, 2)
     assert kinds(actions)[-1] == "Spill"
-    shares = {a.query: a.limit for a in actions if isinstance(a, gov.Share)}
+    shares = {a.query: a.limit for a in actions if isinstance(a, gov.SetLimit)}
     assert shares == {1: 24 * MIB, 2: 24 * MIB}
 
 
 def test_past_the_least_share_they_wait_and_come_in_order():
     policy = governor()
-    room = int(64 * MIB * (1 - gov.RESERVE)) // gov.LEAST
+    room = int(64 * MIB * (1 - gov.SMALL_QUERY_RESERVE)) // gov.MIN_SHARE_BYTES
     for number in range(room):
         open_large(policy, number)
-    assert kinds(open_large(policy, 100)) == kinds(open_large(policy, 101)) == ["Wait"]
-    actions = policy.step(500.0, [gov.Closed(3)])
+    assert kinds(open_large(policy, 100)) == kinds(open_large(policy, 101)) == ["PauseReads"]
+    actions = policy.step(500.0, [gov.QueryEnded(3)])
     assert [a.query for a in actions if isinstance(a, gov.Spill)] == [100]
 
 
 def test_past_the_line_they_are_refused_with_a_time_from_what_was_measured():
     policy = governor()
-    for number in range(12 + gov.LINE):
+    for number in range(12 + gov.MAX_WAITING_QUERIES):
         open_large(policy, number)
-    policy.step(3000.0, [gov.Closed(0)])
+    policy.step(3000.0, [gov.QueryEnded(0)])
     open_large(policy, 900, now=3000.0)
-    (refusal,) = open_large(policy, 901, now=3000.0)
-    assert isinstance(refusal, gov.Refuse)
-    assert refusal.after == pytest.approx(3000.0 * (len(policy.line) + 1) / len(policy.large))
+    (rejection,) = open_large(policy, 901, now=3000.0)
+    assert isinstance(rejection, gov.Reject)
+    assert rejection.retry_after_ms == pytest.approx(
+        3000.0 * (len(policy.waiting_queries) + 1) / len(policy.large)
+    )
 
 
 def test_when_all_is_full_the_last_large_one_goes_first():
     policy = governor()
     open_large(policy, 1)
     open_large(policy, 2)
-    policy.step(0.0, [gov.Opened(3, False)])
-    assert [a.query for a in policy.step(0.0, [gov.Full(3)])] == [2]
-    assert [a.query for a in governor().step(0.0, [gov.Full(7)])] == [7]
+    policy.step(0.0, [gov.QueryStarted(3, False)])
+    assert [a.query for a in policy.step(0.0, [gov.LimitExceeded(3)])] == [2]
+    assert [a.query for a in governor().step(0.0, [gov.LimitExceeded(7)])] == [7]
 
 
 @given(
@@ -401,12 +405,17 @@
     policy = governor(process=32 * MIB, query=16 * MIB)
     for kind, number, size, streams in script:
         if kind == "open" and number not in policy.queries:
-            policy.step(0.0, [gov.Opened(number, streams)])
+            policy.step(0.0, [gov.QueryStarted(number, streams)])
         elif kind == "holds":
-            policy.step(0.0, [gov.Holds(number, min(size, gov.SMALL) if size % 2 else size)])
+            policy.step(
+                0.0,
+                [gov.MemoryUsed(number, min(size, gov.SMALL_QUERY_BYTES) if size % 2 else size)],
+            )
         elif kind == "close":
-            policy.step(0.0, [gov.Closed(number)])
+            policy.step(0.0, [gov.QueryEnded(number)])
         assert len(policy.large) * policy.share <= 32 * MIB
-        assert set(policy.large) <= set(policy.queries) and set(policy.line) <= set(policy.queries)
-        assert not set(policy.large) & set(policy.line)
-        assert not policy.line or policy.large  # whoever waits, waits for somebody
+        assert set(policy.large) <= set(policy.queries) and set(policy.waiting_queries) <= set(
+            policy.queries
+        )
+        assert not set(policy.large) & set(policy.waiting_queries)
+        assert not policy.waiting_queries or policy.large  # whoever waits, waits for somebody
