--- a/tests/e2e/test_large.py
+++ b/tests/e2e/test_large.py
@@ -1,4 +1,4 @@
-"""Large answers through the running router: exact, bounded, and honest when something breaks."""
+"""Large results through a running router: exact, in bounded memory, with an error on a failure."""
 
 import contextlib
 import itertools
@@ -48,12 +48,12 @@
         ("distinct", "SELECT DISTINCT g, v FROM bulk"),
     ],
 )
-def test_every_row_comes_once_in_bounded_memory(bulk, kind, sql):
+def test_every_row_arrives_once_in_bounded_memory(bulk, kind, sql):
     checker = Checker(kind, LAYOUT)
     bulk.reset_peak()
     before = memory(bulk.router.pid)
-    heard = ask(bulk.port, sql, checker.feed)
-    assert (heard.error, checker.verdict()) == ("", "")
+    response = ask(bulk.port, sql, checker.feed)
+    assert (response.error, checker.verdict()) == ("", "")
     assert memory(bulk.router.pid, "VmHWM") - before < LAYOUT.process + 16 * MIB
     assert not spilled(bulk)
 
@@ -75,7 +75,7 @@
     assert [(g - GROUP_BASE, c) for g, c in ordered] == best
 
 
-def test_a_limit_over_sorted_rows_reads_few(bulk):
+def test_limit_over_sorted_rows_is_fast(bulk):
     with connect(bulk, autocommit=True) as link:
         began = time.monotonic()
         ids = [r[0] for r in link.execute("SELECT id FROM bulk ORDER BY id LIMIT 10").fetchall()]
@@ -83,20 +83,20 @@
     assert time.monotonic() - began < 10
 
 
-def test_top_rows_by_a_key_that_nodes_do_not_sort(bulk):
+def test_top_rows_by_a_key_not_sorted_by_nodes(bulk):
     with connect(bulk, autocommit=True) as link:
         rows = link.execute("SELECT id, v FROM bulk ORDER BY abs(v) DESC, id LIMIT 4").fetchall()
     assert [v for _, v in rows] == [999] * 4 and [i for i, _ in rows] == sorted(i for i, _ in rows)
 
 
-def test_a_sort_that_nodes_cant_do_spills_and_is_right(bulk):
+def test_sort_not_done_by_nodes_is_exact(bulk):
     with connect(bulk, autocommit=True) as link:
         rows = link.execute("SELECT v, id FROM bulk ORDER BY abs(v), id").fetchall()
     assert len(rows) == sum(LAYOUT.rows)
     assert all(a < b for a, b in itertools.pairwise(rows))
 
 
-def test_a_slow_client_slows_the_nodes_and_takes_no_memory(bulk):
+def test_slow_client_does_not_increase_memory(bulk):
     slow = dial(bulk.port)
     slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8192)
     slow.sendall(pg.query("SELECT id, g, v FROM bulk"))
@@ -115,7 +115,7 @@
     )
 
 
-def test_a_client_that_leaves_amid_its_rows_frees_all(bulk):
+def test_client_disconnect_mid_result_releases_everything(bulk):
     for sql in ("SELECT id, g, v FROM bulk", "SELECT DISTINCT g, v FROM bulk"):
         link = dial(bulk.port)
         link.sendall(pg.query(sql))
@@ -127,7 +127,7 @@
         assert link.execute("SELECT count(*) FROM bulk").fetchone()[0] == sum(LAYOUT.rows)
 
 
-def test_a_cancel_during_a_spill_ends_it_and_the_session_goes_on(bulk):
+def test_session_survives_cancel_during_spill(bulk):
     with connect(bulk, autocommit=True) as link:
         timer = threading.Timer(0.3, link.cancel)
         timer.start()
@@ -139,7 +139,7 @@
         assert link.execute("SELECT 1").fetchone() == (1,)
 
 
-def test_a_cancel_amid_the_rows_ends_them_and_the_session_goes_on(bulk):
+def test_session_survives_cancel_mid_result(bulk):
     with connect(bulk, autocommit=True) as link, link.cursor() as cursor:
         with (
             pytest.raises(psycopg.errors.QueryCanceled),
@@ -151,7 +151,7 @@
         assert link.execute("SELECT 1").fetchone() == (1,)
 
 
-def test_a_cursor_pages_through_without_gap_or_repeat(bulk):
+def test_cursor_returns_each_row_once(bulk):
     with connect(bulk) as link, link.cursor(name="pages") as cursor:
         cursor.itersize = 5000
         cursor.execute("SELECT id FROM bulk ORDER BY id")
@@ -159,7 +159,7 @@
     assert len(seen) == sum(LAYOUT.rows) and all(a < b for a, b in itertools.pairwise(seen))
 
 
-def test_an_idle_cursor_is_let_go_and_says_so(bulk):
+def test_idle_cursor_is_closed(bulk):
     with connect(bulk) as link:
         link.execute("DECLARE c CURSOR FOR SELECT id FROM bulk ORDER BY id")
         assert len(link.execute("FETCH 3 FROM c").fetchall()) == 3
@@ -169,25 +169,25 @@
             link.execute("FETCH 3 FROM c")
 
 
-def test_an_execute_with_a_row_limit_keeps_its_place(bulk):
+def test_execute_with_row_limit_resumes_its_portal(bulk):
     raw = dial(bulk.port)
 
-    def say(*frames):
+    def send(*frames):
         raw.sendall(b"".join(frames) + pg.SYNC_FRAME)
         data = b""
         while data[-6:-1] != b"Z\x00\x00\x00\x05":
             data += raw.recv(1 << 18)
         return [(chr(k), f) for k, f in pg.Frames(1 << 26).feed(data)]
 
-    say(pg.query("BEGIN")[:0], pg.parse("BEGIN", ()), pg.bind((), (), ()), pg.execute())
+    send(pg.query("BEGIN")[:0], pg.parse("BEGIN", ()), pg.bind((), (), ()), pg.execute())
     bind = pg.frame(b"B", b"p\0\0" + bytes(6))
     some = pg.frame(b"E", b"p\0" + pg.INT.pack(1000))
-    say(pg.parse("SELECT id FROM bulk ORDER BY id", ()), bind)
+    send(pg.parse("SELECT id FROM bulk ORDER BY id", ()), bind)
     ids = []
     for _ in range(5):
-        heard = say(some)
-        assert heard[-2][0] == "s"
-        ids += [int(pg.read_row(f)[0]) for k, f in heard if k == "D"]
+        response = send(some)
+        assert response[-2][0] == "s"
+        ids += [int(pg.read_row(f)[0]) for k, f in response if k == "D"]
     assert len(ids) == 5000 and all(a < b for a, b in itertools.pairwise(ids))
     raw.close()
 
@@ -204,12 +204,12 @@
             link.execute("COPY bulk FROM STDIN")
 
 
-def test_a_replica_lost_amid_its_rows_is_an_honest_error():
+def test_replica_lost_mid_result_is_an_error():
     layout = BulkLayout(rows=[200_000, 20_000], groups=1000, die_after={0: 90_000})
-    with BulkCluster(layout) as site:
+    with BulkCluster(layout) as cluster:
         seen = []
-        heard = ask(site.port, "SELECT id, g, v FROM bulk ORDER BY id", seen.append)
-        assert heard.error.startswith("58T02") and 0 < heard.rows < 220_000
+        response = ask(cluster.port, "SELECT id, g, v FROM bulk ORDER BY id", seen.append)
+        assert response.error.startswith("58T02") and 0 < response.rows < 220_000
         ids = [int(pg.read_row(f)[0]) for block in seen for f in _frames(block)]
         assert all(a < b for a, b in itertools.pairwise(ids))  # no row twice
 
@@ -222,35 +222,35 @@
 
 def test_one_row_of_fifty_megabytes():
     layout = BulkLayout(rows=[1, 1], groups=10, pad=50 * MIB, more="max_row_bytes = 60000000")
-    with BulkCluster(layout) as site:
-        heard = ask(site.port, "SELECT id, pad FROM bulk")
-        assert heard.error == "" and heard.rows == 2
-        heard = ask(site.port, "SELECT id FROM bulk ORDER BY id")
-        assert heard.error == "" and heard.rows == 2
+    with BulkCluster(layout) as cluster:
+        response = ask(cluster.port, "SELECT id, pad FROM bulk")
+        assert response.error == "" and response.rows == 2
+        response = ask(cluster.port, "SELECT id FROM bulk ORDER BY id")
+        assert response.error == "" and response.rows == 2
     layout.more = "max_row_bytes = 1000000"
-    with BulkCluster(layout) as site:
-        assert ask(site.port, "SELECT id, pad FROM bulk").error != ""
-        assert ask(site.port, "SELECT id FROM bulk").rows == 2
+    with BulkCluster(layout) as cluster:
+        assert ask(cluster.port, "SELECT id, pad FROM bulk").error != ""
+        assert ask(cluster.port, "SELECT id FROM bulk").rows == 2
 
 
-def test_a_quota_reached_ends_that_query_alone_and_a_kill_leaves_no_file():
+def test_exceeded_quota_fails_one_query_and_kill_leaves_no_file():
     layout = BulkLayout(
         rows=skewed(400_000), groups=400_000, process=16 * MIB, query=2 * MIB, quota=300_000
     )
-    with BulkCluster(layout) as site:
-        heard = ask(site.port, "SELECT DISTINCT g, v FROM bulk")
-        assert heard.error.startswith("53100")
-        assert ask(site.port, "SELECT id, g, v FROM bulk").error == ""
+    with BulkCluster(layout) as cluster:
+        response = ask(cluster.port, "SELECT DISTINCT g, v FROM bulk")
+        assert response.error.startswith("53100")
+        assert ask(cluster.port, "SELECT id, g, v FROM bulk").error == ""
     layout.quota = 1 << 30
-    with BulkCluster(layout) as site:
-        link = dial(site.port)
+    with BulkCluster(layout) as cluster:
+        link = dial(cluster.port)
         link.sendall(pg.query("SELECT DISTINCT g, v FROM bulk"))
         time.sleep(1.0)
-        site.router.kill()
-        site.router.wait()
+        cluster.router.kill()
+        cluster.router.wait()
         link.close()
-        assert not list(Path(site.folder / "spill").iterdir())
-        site.start_router()
+        assert not list(Path(cluster.folder / "spill").iterdir())
+        cluster.start_router()
         checker = Checker("distinct", layout)
-        assert ask(site.port, "SELECT DISTINCT g, v FROM bulk", checker.feed).error == ""
+        assert ask(cluster.port, "SELECT DISTINCT g, v FROM bulk", checker.feed).error == ""
         assert not checker.verdict()
--- a/tests/test_merge.py
+++ b/tests/test_merge.py
@@ -1,4 +1,4 @@
-"""Merging: PostgreSQL's arithmetic and order, exact."""
+"""Merging of shard results in memory: exact arithmetic and ordering as in PostgreSQL."""
 
 from decimal import Decimal
 
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize(
-    "total, number, wanted",
+    "total, number, expected",
     [  # as PostgreSQL 15 prints sum / count
         ("1", 3, "0.33333333333333333333"),
         ("10815797.94", 23384, "462.5298469038658912"),
@@ -40,15 +40,15 @@
         ("-7", 2, "-3.5000000000000000"),
     ],
 )
-def test_numeric_division_has_postgresqls_scale(total, number, wanted):
-    assert format(divide(Decimal(total), number), "f") == wanted
+def test_numeric_division_has_the_scale_of_postgresql(total, number, expected):
+    assert format(divide(Decimal(total), number), "f") == expected
 
 
-def test_ties_are_broken_the_same_way_every_time():
+def test_rows_with_equal_keys_are_ordered_by_shard():
     plan = MergePlan("sorted", sort=(SortKey(0),))
     first, second = rows(INTS, (1, 10), (2, 11)), rows(INTS, (1, 20), (2, 21))
-    wanted = [("1", "10"), ("1", "20"), ("2", "11"), ("2", "21")]
-    assert texts(merge(plan, [first, second], (), (), ())) == wanted
+    expected = [("1", "10"), ("1", "20"), ("2", "11"), ("2", "21")]
+    assert texts(merge(plan, [first, second], (), (), ())) == expected
 
 
 @given(
@@ -64,7 +64,7 @@
     st.integers(0, 12),
     st.one_of(st.none(), st.integers(0, 12)),
 )
-def test_a_sorted_merge_is_the_sort_of_all(split, descending, nulls_first, offset, limit):
+def test_sorted_merge_equals_sort_of_all_rows(split, descending, nulls_first, offset, limit):
     plan = MergePlan(
         "sorted",
         sort=(SortKey(0, descending, nulls_first), SortKey(1)),
@@ -78,9 +78,9 @@
         rank = (0 if nulls_first else 2) if value is None else 1
         return rank, -(value or 0) if descending else (value or 0), row[1]
 
-    wanted = sorted((row for shard_result in split for row in shard_result), key=key)[offset:]
-    wanted = wanted if limit is None else wanted[:limit]
-    assert got == [tuple(None if v is None else str(v) for v in row) for row in wanted]
+    expected = sorted((row for shard_result in split for row in shard_result), key=key)[offset:]
+    expected = expected if limit is None else expected[:limit]
+    assert got == [tuple(None if v is None else str(v) for v in row) for row in expected]
 
 
 @given(
@@ -96,7 +96,7 @@
         max_size=4,
     )
 )
-def test_groups_over_parts_are_the_groups_of_all(split):
+def test_grouping_partial_results_equals_grouping_all_rows(split):
     fields = (Field("k", types.NUMERIC), Field("s", types.INT8), Field("n", types.INT8))
     shard_results = []
     for shard_result in split:
@@ -117,13 +117,13 @@
         outputs=(Output("k", ("group", 0)), Output("s", ("agg", 0)), Output("a", ("agg", 1))),
     )
     got = texts(merge(plan, shard_results, (), (), ()))
-    wanted: dict = {}
+    expected: dict = {}
     for shard_result in split:
         for key, value in shard_result:
-            wanted.setdefault("1.0" if key == "1.00" else key, []).append(value)
-    assert len(got) == len(wanted)
+            expected.setdefault("1.0" if key == "1.00" else key, []).append(value)
+    assert len(got) == len(expected)
     for key, total, mean in got:
-        values = [v for v in wanted[key] if v is not None]
+        values = [v for v in expected[key] if v is not None]
         assert total == (str(sum(values)) if values else None)
         assert (mean is None) == (not values)
         if values:
@@ -131,7 +131,7 @@
             assert abs(Decimal(mean) - exact) <= abs(exact) * Decimal("1e-15")
 
 
-def test_an_int8_sum_past_its_range_is_an_error_not_a_wrong_number():
+def test_int8_sum_out_of_range_is_an_error():
     fields = (Field("s", types.INT8),)
     plan = MergePlan(
         "grouped", aggregates=(Aggregate("sum", (0,)),), outputs=(Output("s", ("agg", 0)),)
@@ -141,7 +141,7 @@
     assert problem.value.state == "22003"
 
 
-def test_numeric_sums_are_exact_however_long():
+def test_numeric_sums_are_exact_with_many_digits():
     fields = (Field("s", types.NUMERIC),)
     plan = MergePlan(
         "grouped", aggregates=(Aggregate("sum", (0,)),), outputs=(Output("s", ("agg", 0)),)
@@ -152,27 +152,27 @@
     assert texts(got) == [("9" * 60 + "." + "0" * 50 + "1",)]
 
 
-def test_parts_with_different_columns_are_never_merged():
+def test_shard_results_with_different_columns_are_rejected():
     with pytest.raises(PgError):
         merge(
             MergePlan(), [rows(INTS, (1, 2)), rows((Field("a", types.TEXT),), ("x",))], (), (), ()
         )
 
 
-def test_max_of_text_whose_collation_is_unknown_is_refused():
+def test_max_of_text_without_known_collation_is_rejected():
     fields = (Field("m", types.TEXT),)
     plan = MergePlan(
         "grouped",
         aggregates=(Aggregate("max", (0,), collated=False),),
         outputs=(Output("m", ("agg", 0)),),
     )
-    with pytest.raises(PgError) as refusal:
+    with pytest.raises(PgError) as error:
         merge(plan, [rows(fields, ("a",)), rows(fields, ("b",))], (), (), ())
-    assert refusal.value.state == "0A000"
+    assert error.value.state == "0A000"
 
 
 @pytest.mark.parametrize(
-    "expression, wanted",
+    "expression, expected",
     [
         (("op", "=", ("const", None), ("const", 1)), None),
         (("and", ("const", False), ("const", None)), False),
@@ -184,13 +184,13 @@
         (("op", "=", ("coalesce", ("agg", 1), ("const", 0)), ("const", 0)), True),
     ],
 )
-def test_three_valued_logic(expression, wanted):
+def test_three_valued_logic(expression, expected):
     aggregates = [(types.NUMERIC, Decimal(2)), (types.NUMERIC, None)]
-    assert evaluate(expression, [], aggregates, [])[1] is wanted
+    assert evaluate(expression, [], aggregates, [])[1] is expected
 
 
 @pytest.mark.parametrize(
-    "kind, values, wanted",
+    "kind, values, expected",
     [  # as PostgreSQL 15 prints them
         ("variance", [1, 2, 3, 4], "1.6666666666666667"),
         ("stddev", [1, 2, 3, 4], "1.2909944487358056"),
@@ -199,8 +199,8 @@
         ("stddev", [5], None),
     ],
 )
-def test_deviations_of_numerics_have_postgresqls_digits(kind, values, wanted):
+def test_numeric_deviations_have_the_digits_of_postgresql(kind, values, expected):
     found = numeric_deviation(
         kind, len(values), Decimal(sum(values)), Decimal(sum(v * v for v in values))
     )
-    assert (None if found is None else format(found, "f")) == wanted
+    assert (None if found is None else format(found, "f")) == expected
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,7 @@
-"""Streams, operators, spill and the governor: bounded, exact, and gone when they are over."""
+"""Row streams, merge operators, spill files and the memory governor.
+
+Results must be exact, memory bounded, and all memory and disk space released at the end.
+"""
 
 import os
 
@@ -42,9 +45,9 @@
     return MemoryReservations(16 * MIB, 8 * MIB, space, lambda: 0.0)
 
 
-def tight(memory, room=1500):
-    """A query with hardly any room: all that can spill does."""
-    memory.__class__ = type("Tight", (memory.__class__,), {"operator_limit": room})
+def with_operator_limit(memory, limit=1500):
+    """Give operators a memory limit so small that every operator that can spill does."""
+    memory.__class__ = type("LimitedQueryMemory", (memory.__class__,), {"operator_limit": limit})
     return memory
 
 
@@ -67,24 +70,26 @@
 
 
 @given(st.lists(ROWS, min_size=1, max_size=4), st.booleans())
-def test_external_sort_is_the_sort_however_little_room(tmp_path_factory, split, little):
+def test_external_sort_is_exact_with_any_memory_limit(tmp_path_factory, split, small_limit):
     space = SpillSpace(str(tmp_path_factory.mktemp("spill")), 64 * MIB)
     memory_reservations = MemoryReservations(16 * MIB, 8 * MIB, space, lambda: 0.0)
     memory = (
-        tight(memory_reservations.open(False), 700) if little else memory_reservations.open(False)
+        with_operator_limit(memory_reservations.open(False), 700)
+        if small_limit
+        else memory_reservations.open(False)
     )
     key = op.sort_key_function((SortKey(0), SortKey(1)), FIELDS)
     got = drain(
         op.external_sort(op.concat([shard_result(memory, rows) for rows in split]), key, memory)
     )
-    wanted = sorted((r for rows in split for r in rows), key=pg_key)
-    assert got == [(None if a is None else str(a), b) for a, b in wanted]
+    expected = sorted((r for rows in split for r in rows), key=pg_key)
+    assert got == [(None if a is None else str(a), b) for a, b in expected]
     memory.close()
     assert space.used == 0 and memory_reservations.total == 0
 
 
 @given(st.lists(ROWS, min_size=1, max_size=5), st.booleans(), st.booleans())
-def test_a_k_way_merge_of_sorted_parts(tmp_path_factory, split, descending, nulls_first):
+def test_k_way_merge_of_sorted_shard_results(tmp_path_factory, split, descending, nulls_first):
     memory_reservations = MemoryReservations(
         16 * MIB, 8 * MIB, SpillSpace(str(tmp_path_factory.mktemp("s")), 0), lambda: 0.0
     )
@@ -103,13 +108,13 @@
             [op.shard_source(shard_result(memory, rows), key) for rows in shard_results]
         )
     )
-    wanted = sorted(
+    expected = sorted(
         (r for rows in shard_results for r in rows), key=rank
-    )  # stable: ties by part, then by arrival
-    assert got == [(None if a is None else str(a), b) for a, b in wanted]
+    )  # stable: equal keys by shard, then by arrival
+    assert got == [(None if a is None else str(a), b) for a, b in expected]
 
 
-def test_a_part_in_another_order_is_an_error_not_a_wrong_answer(memory_reservations):
+def test_unsorted_shard_result_is_an_error(memory_reservations):
     key = op.sort_key_function((SortKey(0),), FIELDS)
     stream = shard_result(memory_reservations.open(True), [(n, "x") for n in (1, 2, 5, 4)], cut=2)
     with pytest.raises(PgError) as problem:
@@ -128,18 +133,18 @@
         op.concat([shard_result(memory, rows) for rows in split]), key, limit + offset, memory
     )
     got = drain(op.limited(rows, limit, offset))
-    wanted = sorted((r for rows in split for r in rows), key=pg_key)[offset : offset + limit]
-    assert got == [(None if a is None else str(a), b) for a, b in wanted]
+    expected = sorted((r for rows in split for r in rows), key=pg_key)[offset : offset + limit]
+    assert got == [(None if a is None else str(a), b) for a, b in expected]
 
 
 PAIRS = st.lists(st.tuples(st.integers(0, 60), st.integers(-9, 9)), max_size=60)
 
 
 @given(st.lists(PAIRS, min_size=1, max_size=3), st.sampled_from([600, 4000, 10**6]))
-def test_hash_grouping_spills_and_loses_nothing(tmp_path_factory, split, room):
+def test_hash_aggregation_that_spills_is_exact(tmp_path_factory, split, limit):
     space = SpillSpace(str(tmp_path_factory.mktemp("spill")), 64 * MIB)
     memory_reservations = MemoryReservations(16 * MIB, 8 * MIB, space, lambda: 0.0)
-    memory = tight(memory_reservations.open(False), room)
+    memory = with_operator_limit(memory_reservations.open(False), limit)
     fields = (Field("k", types.INT8), Field("s", types.INT8))
     plan = MergePlan(
         "grouped",
@@ -151,23 +156,22 @@
     try:
         _, blocks = build(plan, shard_results, (), (), (), None, memory)
         got = {int(k): (int(s), int(m)) for k, s, m in drain(blocks)}
-    except (
-        PgError
-    ) as problem:  # groups that no partition of this depth holds are refused, never cut
-        assert problem.state == "53200" and room == 600
+    except PgError as problem:
+        # groups that exceed the limit at maximum depth raise an error; rows are never lost
+        assert problem.state == "53200" and limit == 600
         return
     finally:
         memory.close()
-    wanted: dict = {}
+    expected: dict = {}
     for k, v in (r for rows in split for r in rows):
-        s, m = wanted.get(k, (0, -99))
-        wanted[k] = s + v, max(m, v)
-    assert got == wanted and space.used == 0
+        s, m = expected.get(k, (0, -99))
+        expected[k] = s + v, max(m, v)
+    assert got == expected and space.used == 0
 
 
-def test_distinct_treats_equal_numerics_as_one_and_null_as_one(memory_reservations):
+def test_distinct_merges_equal_numerics_and_nulls(memory_reservations):
     fields = (Field("n", types.NUMERIC),)
-    memory = tight(memory_reservations.open(False), 300)
+    memory = with_operator_limit(memory_reservations.open(False), 300)
     shard_results = [
         shard_result(memory, [("1.0",), (None,), ("2",)], fields),
         shard_result(memory, [("1.00",), (None,)], fields),
@@ -176,7 +180,7 @@
     assert sorted(drain(blocks), key=str) == [("1.0",), ("2",), (None,)]
 
 
-def test_a_limit_closes_the_parts_it_no_longer_needs(memory_reservations):
+def test_limit_closes_shard_streams_no_longer_needed(memory_reservations):
     memory, closed = memory_reservations.open(True), []
     streams = [ShardRowStream(memory) for _ in range(2)]
     for stream in streams:
@@ -195,7 +199,7 @@
     assert closed == streams and memory_reservations.total == 0
 
 
-def test_a_part_that_fails_mid_stream_ends_the_answer_with_its_error(memory_reservations):
+def test_shard_failure_mid_stream_fails_the_result(memory_reservations):
     memory = memory_reservations.open(True)
     stream = ShardRowStream(memory)
     stream.fields = FIELDS
@@ -212,7 +216,7 @@
     assert rows.ended and rows.error.state == "58T02"
 
 
-def test_taking_a_few_rows_at_a_time_loses_none(memory_reservations):
+def test_taking_few_rows_at_a_time_returns_all_rows(memory_reservations):
     memory = memory_reservations.open(True)
     stream, calls = shard_result(memory, [(n, "x") for n in range(100)]), []
     rows = RowStream(
@@ -226,14 +230,14 @@
     assert b"".join(got) == b"".join(row(n, "x") for n in range(100)) and rows.count == 100
 
 
-# --- streams under the governor ----------------------------------------------------------
+# --- row streams with the governor ----------------------------------------------------------
 
 
 def big(size):
     return frame(b"D", b"\x00\x01" + (size - 11).to_bytes(4, "big") + b"x" * (size - 11))
 
 
-def test_a_large_streaming_query_holds_its_nodes_back_and_lets_them_go_on(memory_reservations):
+def test_large_streaming_query_pauses_and_resumes_its_nodes(memory_reservations):
     memory, held = memory_reservations.open(True), []
     stream = ShardRowStream(memory)
     stream.pause_reading = held.append
@@ -247,7 +251,7 @@
     assert held == [True, False]
 
 
-def test_a_large_gathering_query_spills_and_reads_back_in_order(memory_reservations, space):
+def test_large_collecting_query_spills_and_reads_back_in_order(memory_reservations, space):
     memory = memory_reservations.open(False)
     stream = ShardRowStream(memory)
     blocks = [row(n, "x" * 50_000) for n in range(200)]
@@ -263,7 +267,7 @@
     assert space.used == 0 and memory_reservations.total == 0
 
 
-def test_a_full_disk_ends_that_query_with_a_clear_error(tmp_path):
+def test_exceeded_spill_quota_fails_the_query(tmp_path):
     space = SpillSpace(str(tmp_path), 1000)
     memory_reservations = MemoryReservations(16 * MIB, 8 * MIB, space, lambda: 0.0)
     memory = memory_reservations.open(False)
@@ -276,11 +280,13 @@
     assert memory_reservations.total == 0
 
 
-def test_runs_leave_nothing_behind_and_are_checked(tmp_path):
+def test_runs_leave_no_file_and_detect_corruption(tmp_path):
     space = SpillSpace(str(tmp_path), MIB)
     run = space.create_run()
     run.append(b"first block" * 100)
-    assert not list(tmp_path.iterdir())  # unlinked at once: a kill leaves nothing
+    assert not list(
+        tmp_path.iterdir()
+    )  # unlinked at once, so that even a killed process leaves no file
     os.pwrite(run._handle, b"\xff", run.size - 3)
     with pytest.raises(PgError) as problem:
         run.read()
@@ -290,7 +296,7 @@
     assert space.used == 0
 
 
-def test_what_a_crash_left_is_removed_at_the_start_and_the_living_are_spared(tmp_path):
+def test_leftover_files_of_dead_processes_alone_are_removed(tmp_path):
     dead, alive = (
         tmp_path / "tansycrank-run-999999999-a",
         tmp_path / f"tansycrank-run-{os.getpid()}-b",
@@ -301,14 +307,14 @@
     assert not dead.exists() and alive.exists()
 
 
-def test_a_directory_that_cant_be_used_is_named():
+def test_unusable_spill_directory_is_an_error():
     space = SpillSpace("/proc/nowhere", MIB)
     with pytest.raises((PgError, OSError)):
         space.create_run()
 
 
 @given(st.lists(st.binary(max_size=300), max_size=30), st.integers(1, 200))
-def test_rows_cut_anywhere_come_out_whole(values, cut):
+def test_rows_split_across_reads_are_reassembled(values, cut):
     data = b"".join(data_row([v]) for v in values) + frame(b"C", b"SELECT\0") + frame(b"Z", b"I")
     frames, rows, others = RowFrames(1 << 20), [], []
     for at in range(0, len(data), cut):
@@ -338,7 +344,7 @@
     return [type(a).__name__ for a in actions]
 
 
-def test_small_queries_ask_nobody():
+def test_small_queries_need_no_admission():
     policy = governor()
     for number in range(200):
         policy.step(0.0, [gov.QueryStarted(number, False)])
@@ -348,7 +354,7 @@
     assert not policy.large
 
 
-def test_large_ones_share_equally_and_shrink_together():
+def test_large_queries_get_equal_shares():
     policy = governor()
     assert kinds(open_large(policy, 1, True)) == ["SetLimit", "Stream"]
     assert policy.share == 32 * MIB
@@ -358,17 +364,17 @@
     assert shares == {1: 24 * MIB, 2: 24 * MIB}
 
 
-def test_past_the_least_share_they_wait_and_come_in_order():
+def test_queries_without_a_minimum_share_wait_in_order():
     policy = governor()
-    room = int(64 * MIB * (1 - gov.SMALL_QUERY_RESERVE)) // gov.MIN_SHARE_BYTES
-    for number in range(room):
+    query_count = int(64 * MIB * (1 - gov.SMALL_QUERY_RESERVE)) // gov.MIN_SHARE_BYTES
+    for number in range(query_count):
         open_large(policy, number)
     assert kinds(open_large(policy, 100)) == kinds(open_large(policy, 101)) == ["PauseReads"]
     actions = policy.step(500.0, [gov.QueryEnded(3)])
     assert [a.query for a in actions if isinstance(a, gov.Spill)] == [100]
 
 
-def test_past_the_line_they_are_refused_with_a_time_from_what_was_measured():
+def test_queries_beyond_the_queue_are_rejected_with_a_measured_retry_time():
     policy = governor()
     for number in range(12 + gov.MAX_WAITING_QUERIES):
         open_large(policy, number)
@@ -381,7 +387,7 @@
     )
 
 
-def test_when_all_is_full_the_last_large_one_goes_first():
+def test_exceeded_process_limit_ends_the_last_admitted_query():
     policy = governor()
     open_large(policy, 1)
     open_large(policy, 2)
@@ -393,7 +399,7 @@
 @given(
     st.lists(
         st.tuples(
-            st.sampled_from(["open", "holds", "close"]),
+            st.sampled_from(["open", "used", "close"]),
             st.integers(0, 12),
             st.integers(0, 40 * MIB),
             st.booleans(),
@@ -401,12 +407,12 @@
         max_size=80,
     )
 )
-def test_no_order_of_events_breaks_the_bound_or_leaves_one_waiting_for_nothing(script):
+def test_any_event_order_keeps_the_limit_and_no_query_waits_needlessly(script):
     policy = governor(process=32 * MIB, query=16 * MIB)
     for kind, number, size, streams in script:
         if kind == "open" and number not in policy.queries:
             policy.step(0.0, [gov.QueryStarted(number, streams)])
-        elif kind == "holds":
+        elif kind == "used":
             policy.step(
                 0.0,
                 [gov.MemoryUsed(number, min(size, gov.SMALL_QUERY_BYTES) if size % 2 else size)],
@@ -418,4 +424,6 @@
             policy.queries
         )
         assert not set(policy.large) & set(policy.waiting_queries)
-        assert not policy.waiting_queries or policy.large  # whoever waits, waits for somebody
+        assert (
+            not policy.waiting_queries or policy.large
+        )  # a query waits only while another one is running
