--- a/tansycrank/merge/blocks.py
+++ b/tansycrank/merge/blocks.py
@@ -39,7 +39,7 @@
         self.fields: tuple[Field, ...] | None = None
         self.tag, self.state = "", "open"
         self.error: PgError | None = None
-        self.rows = self.size = self.held = 0
+        self.rows = self.size = self.buffered_bytes = 0
         self.blocks: deque[bytes] = deque()
         self.run: Run | None = None
         self.committed = False  # its rows may be sent to the client before it is complete
@@ -59,7 +59,7 @@
         self.blocks.append(block)
         self.rows += rows
         self.size += len(block)
-        self.held += len(block)
+        self.buffered_bytes += len(block)
         self.memory.record_buffered(self, len(block))
         self.on_data()
 
@@ -90,7 +90,7 @@
         if not self.blocks:
             return None
         block = self.blocks.popleft()
-        self.held -= len(block)
+        self.buffered_bytes -= len(block)
         self.memory.release_buffered(len(block))
         if self._paused and not self.memory.over_limit(self):
             self.set_paused(False)
@@ -111,7 +111,7 @@
         spill_blocks, size = [], 0
         while self.blocks:
             block = self.blocks.popleft()
-            self.held -= len(block)
+            self.buffered_bytes -= len(block)
             self.memory.release_buffered(len(block))
             spill_blocks.append(block)
             size += len(block)
@@ -125,9 +125,9 @@
         if self.state == "closed":
             return
         previous_state, self.state = self.state, "closed"
-        self.memory.release_buffered(self.held)
+        self.memory.release_buffered(self.buffered_bytes)
         self.blocks.clear()
-        self.held = 0
+        self.buffered_bytes = 0
         if self.run is not None:
             self.run.close()
         if self in self.memory.streams:
@@ -142,7 +142,7 @@
     def __init__(self, memory_reservations: MemoryReservations, number: int, streams: bool) -> None:
         self.memory_reservations, self.number = memory_reservations, number
         self.streams: list[ShardRowStream] = []
-        self.mode, self.limit, self.held, self.peak, self.spilled = (
+        self.mode, self.limit, self.buffered_bytes, self.peak, self.spilled = (
             "small",
             gov.SMALL_QUERY_BYTES,
             0,
@@ -159,14 +159,14 @@
 
     def record_buffered(self, stream: ShardRowStream, size: int) -> None:
         """Count `size` bytes of new rows; report to the governor and apply the mode."""
-        self.held += size
-        self.peak = max(self.peak, self.held + self.operator_bytes)
+        self.buffered_bytes += size
+        self.peak = max(self.peak, self.buffered_bytes + self.operator_bytes)
         self.memory_reservations.total += size
         self.memory_reservations.peak = max(
             self.memory_reservations.peak, self.memory_reservations.total
         )
-        if self.held + self.operator_bytes - self._reported >= REPORT_INTERVAL_BYTES:
-            self._reported = self.held + self.operator_bytes
+        if self.buffered_bytes + self.operator_bytes - self._reported >= REPORT_INTERVAL_BYTES:
+            self._reported = self.buffered_bytes + self.operator_bytes
             self.memory_reservations.handle_event(gov.MemoryUsed(self.number, self._reported))
         if self.memory_reservations.total > self.memory_reservations.governor.process:
             self.memory_reservations.handle_event(gov.LimitExceeded(self.number))
@@ -177,7 +177,7 @@
         for each in [stream] if stream is not None else list(self.streams):
             if (
                 self.mode == "stream"
-                and each.held
+                and each.buffered_bytes
                 and not each.committed
                 and each.state in ("open", "complete")
             ):
@@ -187,9 +187,9 @@
             elif self.mode != "wait" and not self.over_limit(each):
                 each.set_paused(False)
         if self.mode == "spill":
-            while self.held > self.buffer_limit:
-                largest = max(self.streams, key=lambda s: s.held, default=None)
-                if largest is None or not largest.held:
+            while self.buffered_bytes > self.buffer_limit:
+                largest = max(self.streams, key=lambda s: s.buffered_bytes, default=None)
+                if largest is None or not largest.buffered_bytes:
                     break
                 largest.spill()
 
@@ -202,15 +202,15 @@
         """Whether a stream buffers more than it may, so that its node must wait."""
         if self.mode == "wait":
             return True
-        return self.mode == "stream" and stream.held > self.buffer_limit // max(
+        return self.mode == "stream" and stream.buffered_bytes > self.buffer_limit // max(
             len(self.streams), 1
         )
 
     def release_buffered(self, size: int) -> None:
         """Count `size` bytes of rows taken, spilled or discarded."""
-        self.held -= size
+        self.buffered_bytes -= size
         self.memory_reservations.total -= size
-        self._reported = min(self._reported, self.held + self.operator_bytes)
+        self._reported = min(self._reported, self.buffered_bytes + self.operator_bytes)
 
     def record_operator_bytes(self, size: int) -> None:
         """Count `size` bytes allocated by operators (negative: released)."""
@@ -218,11 +218,11 @@
         self.memory_reservations.total += size
         if (
             not self.closed
-            and self.held + self.operator_bytes - self._reported >= REPORT_INTERVAL_BYTES
+            and self.buffered_bytes + self.operator_bytes - self._reported >= REPORT_INTERVAL_BYTES
         ):
-            self._reported = self.held + self.operator_bytes
+            self._reported = self.buffered_bytes + self.operator_bytes
             self.memory_reservations.handle_event(gov.MemoryUsed(self.number, self._reported))
-        self.peak = max(self.peak, self.held + self.operator_bytes)
+        self.peak = max(self.peak, self.buffered_bytes + self.operator_bytes)
         self.memory_reservations.peak = max(
             self.memory_reservations.peak, self.memory_reservations.total
         )
--- a/tansycrank/merge/governor.py
+++ b/tansycrank/merge/governor.py
@@ -37,10 +37,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MemoryUsed:
-    """A query uses `held` bytes now and needs more."""
+    """A query uses `used_bytes` bytes now and needs more."""
 
     query: int
-    held: int
+    used_bytes: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,7 +100,7 @@
 @dataclass(slots=True)
 class _Query:
     streams: bool
-    held: int = 0
+    used_bytes: int = 0
     large: bool = False
     waiting: bool = False
     admitted_at: float = 0.0
@@ -125,9 +125,9 @@
             match event:
                 case QueryStarted(query, streams):
                     self.queries[query] = _Query(streams)
-                case MemoryUsed(query, held):
+                case MemoryUsed(query, used_bytes):
                     if query in self.queries:
-                        self._memory_used(now, query, held, actions)
+                        self._memory_used(now, query, used_bytes, actions)
                 case LimitExceeded(query):
                     # the last admitted query is ended first: older ones are closer to completion
                     victim = next(reversed(self.large), query)
@@ -144,7 +144,7 @@
 
     def _large_query_pool(self, excluded: int | None = None) -> int:
         small = sum(
-            q.held for number, q in self.queries.items() if not q.large and number != excluded
+            q.used_bytes for number, q in self.queries.items() if not q.large and number != excluded
         )
         return max(self.process - max(int(self.process * SMALL_QUERY_RESERVE), small), 0)
 
@@ -157,12 +157,12 @@
             MIN_SHARE_BYTES, self.query
         )
 
-    def _memory_used(self, now: float, number: int, held: int, actions: list) -> None:
+    def _memory_used(self, now: float, number: int, used_bytes: int, actions: list) -> None:
         query_state = self.queries[number]
-        query_state.held = held
+        query_state.used_bytes = used_bytes
         if query_state.large or query_state.waiting:
             return
-        if held <= SMALL_QUERY_BYTES:
+        if used_bytes <= SMALL_QUERY_BYTES:
             actions.append(SetLimit(number, SMALL_QUERY_BYTES))
         elif not self.waiting_queries and self._has_share_for(number):
             self._admit(now, number, actions)
--- a/tansycrank/merge/operators.py
+++ b/tansycrank/merge/operators.py
@@ -249,7 +249,7 @@
         yield None if frames is None else (b"".join(map(cut, frames)), len(frames))
 
 
-def limited(source: BlockIterator, limit: int | None, offset: int) -> BlockIterator:
+def apply_limit(source: BlockIterator, limit: int | None, offset: int) -> BlockIterator:
     """Apply LIMIT and OFFSET; closes the source as soon as no more rows are needed."""
     skip, left = offset, limit
     if left != 0:
@@ -292,14 +292,14 @@
                 held = []
             if size >= memory.operator_limit:
                 held.sort(key=first)
-                yield from _spilled(
+                yield from _spill(
                     runs, merge_sorted([list_source(one) for one in [*lists, held]]), memory
                 )
                 memory.record_operator_bytes(-size)
                 lists, held, size = [], [], 0
                 if len(runs) >= MERGE_FAN_IN:
                     old = runs[:]
-                    yield from _spilled(
+                    yield from _spill(
                         runs, merge_sorted([run_source(run, key) for run in old]), memory
                     )
                     for run in old:
@@ -315,7 +315,7 @@
             run.close()
 
 
-def _spilled(runs: list[Run], blocks: BlockIterator, memory: QueryMemory) -> BlockIterator:
+def _spill(runs: list[Run], blocks: BlockIterator, memory: QueryMemory) -> BlockIterator:
     """Write sorted rows to a new run, one block per step."""
     run = memory.memory_reservations.space.create_run()
     runs.append(run)
--- a/tansycrank/merge/pipeline.py
+++ b/tansycrank/merge/pipeline.py
@@ -58,7 +58,7 @@
         else:
             rows = op.external_sort(rows, by, memory)
     visible = fields[: len(fields) - plan.hidden] if plan.hidden else fields
-    return visible, op.limited(
+    return visible, op.apply_limit(
         op.drop_hidden_columns(rows, op.hidden_column_remover(plan.hidden, len(fields))),
         limit,
         offset,
--- a/tests/e2e/test_large.py
+++ b/tests/e2e/test_large.py
@@ -59,10 +59,10 @@
 
 
 def test_groups_are_exact(bulk):
-    with connect(bulk, autocommit=True) as link:
-        rows = link.execute("SELECT g, count(*), sum(v) FROM bulk GROUP BY g").fetchall()
+    with connect(bulk, autocommit=True) as connection:
+        rows = connection.execute("SELECT g, count(*), sum(v) FROM bulk GROUP BY g").fetchall()
         five = "SELECT g, count(*) FROM bulk GROUP BY g ORDER BY 2 DESC, 1 LIMIT 5"
-        ordered = link.execute(five).fetchall()
+        ordered = connection.execute(five).fetchall()
     groups, total = {}, LAYOUT.groups
     for shard_rows in LAYOUT.rows:
         least, more = divmod(shard_rows, total)
@@ -76,22 +76,26 @@
 
 
 def test_limit_over_sorted_rows_is_fast(bulk):
-    with connect(bulk, autocommit=True) as link:
+    with connect(bulk, autocommit=True) as connection:
         began = time.monotonic()
-        ids = [r[0] for r in link.execute("SELECT id FROM bulk ORDER BY id LIMIT 10").fetchall()]
+        ids = [
+            r[0] for r in connection.execute("SELECT id FROM bulk ORDER BY id LIMIT 10").fetchall()
+        ]
     assert ids == sorted(10**9 + i * 16 + s for i in range(2) for s in range(8))[:10]
     assert time.monotonic() - began < 10
 
 
 def test_top_rows_by_a_key_not_sorted_by_nodes(bulk):
-    with connect(bulk, autocommit=True) as link:
-        rows = link.execute("SELECT id, v FROM bulk ORDER BY abs(v) DESC, id LIMIT 4").fetchall()
+    with connect(bulk, autocommit=True) as connection:
+        rows = connection.execute(
+            "SELECT id, v FROM bulk ORDER BY abs(v) DESC, id LIMIT 4"
+        ).fetchall()
     assert [v for _, v in rows] == [999] * 4 and [i for i, _ in rows] == sorted(i for i, _ in rows)
 
 
 def test_sort_not_done_by_nodes_is_exact(bulk):
-    with connect(bulk, autocommit=True) as link:
-        rows = link.execute("SELECT v, id FROM bulk ORDER BY abs(v), id").fetchall()
+    with connect(bulk, autocommit=True) as connection:
+        rows = connection.execute("SELECT v, id FROM bulk ORDER BY abs(v), id").fetchall()
     assert len(rows) == sum(LAYOUT.rows)
     assert all(a < b for a, b in itertools.pairwise(rows))
 
@@ -117,42 +121,42 @@
 
 def test_client_disconnect_mid_result_releases_everything(bulk):
     for sql in ("SELECT id, g, v FROM bulk", "SELECT DISTINCT g, v FROM bulk"):
-        link = dial(bulk.port)
-        link.sendall(pg.query(sql))
-        link.recv(1000)
-        link.close()
+        connection = dial(bulk.port)
+        connection.sendall(pg.query(sql))
+        connection.recv(1000)
+        connection.close()
     time.sleep(0.5)
     assert not spilled(bulk)
-    with connect(bulk, autocommit=True) as link:
-        assert link.execute("SELECT count(*) FROM bulk").fetchone()[0] == sum(LAYOUT.rows)
+    with connect(bulk, autocommit=True) as connection:
+        assert connection.execute("SELECT count(*) FROM bulk").fetchone()[0] == sum(LAYOUT.rows)
 
 
 def test_session_survives_cancel_during_spill(bulk):
-    with connect(bulk, autocommit=True) as link:
-        timer = threading.Timer(0.3, link.cancel)
+    with connect(bulk, autocommit=True) as connection:
+        timer = threading.Timer(0.3, connection.cancel)
         timer.start()
         with contextlib.suppress(psycopg.errors.QueryCanceled):
-            link.execute(
+            connection.execute(
                 "SELECT g, v, count(*), sum(id) FROM bulk GROUP BY g, v ORDER BY 4 DESC"
             ).fetchall()
         timer.join()
-        assert link.execute("SELECT 1").fetchone() == (1,)
+        assert connection.execute("SELECT 1").fetchone() == (1,)
 
 
 def test_session_survives_cancel_mid_result(bulk):
-    with connect(bulk, autocommit=True) as link, link.cursor() as cursor:
+    with connect(bulk, autocommit=True) as connection, connection.cursor() as cursor:
         with (
             pytest.raises(psycopg.errors.QueryCanceled),
             cursor.copy("COPY (SELECT id, g, v FROM bulk) TO STDOUT") as rows,
         ):
             for number, _ in enumerate(rows):
                 if number == 5:
-                    link.cancel()
-        assert link.execute("SELECT 1").fetchone() == (1,)
+                    connection.cancel()
+        assert connection.execute("SELECT 1").fetchone() == (1,)
 
 
 def test_cursor_returns_each_row_once(bulk):
-    with connect(bulk) as link, link.cursor(name="pages") as cursor:
+    with connect(bulk) as connection, connection.cursor(name="pages") as cursor:
         cursor.itersize = 5000
         cursor.execute("SELECT id FROM bulk ORDER BY id")
         seen = [r[0] for r in cursor]
@@ -160,13 +164,13 @@
 
 
 def test_idle_cursor_is_closed(bulk):
-    with connect(bulk) as link:
-        link.execute("DECLARE c CURSOR FOR SELECT id FROM bulk ORDER BY id")
-        assert len(link.execute("FETCH 3 FROM c").fetchall()) == 3
-        assert len(link.execute("FETCH FORWARD 4 FROM c").fetchall()) == 4
+    with connect(bulk) as connection:
+        connection.execute("DECLARE c CURSOR FOR SELECT id FROM bulk ORDER BY id")
+        assert len(connection.execute("FETCH 3 FROM c").fetchall()) == 3
+        assert len(connection.execute("FETCH FORWARD 4 FROM c").fetchall()) == 4
         time.sleep(2.5)
         with pytest.raises(psycopg.errors.InvalidCursorName):
-            link.execute("FETCH 3 FROM c")
+            connection.execute("FETCH 3 FROM c")
 
 
 def test_execute_with_row_limit_resumes_its_portal(bulk):
@@ -193,15 +197,15 @@
 
 
 def test_copy_in_three_formats(bulk):
-    with connect(bulk, autocommit=True) as link:
+    with connect(bulk, autocommit=True) as connection:
         three = "SELECT id, v FROM bulk ORDER BY id LIMIT 3"
-        with link.cursor().copy(f"COPY ({three}) TO STDOUT (FORMAT csv, HEADER)") as c:
+        with connection.cursor().copy(f"COPY ({three}) TO STDOUT (FORMAT csv, HEADER)") as c:
             lines = b"".join(bytes(b) for b in c).decode().splitlines()
         assert lines[0] == "id,v" and len(lines) == 4 and lines[1].startswith("1000000000,")
-        with link.cursor().copy("COPY (SELECT id, v FROM bulk) TO STDOUT") as c:
+        with connection.cursor().copy("COPY (SELECT id, v FROM bulk) TO STDOUT") as c:
             assert sum(bytes(b).count(b"\n") for b in c) == sum(LAYOUT.rows)
         with pytest.raises(psycopg.Error):
-            link.execute("COPY bulk FROM STDIN")
+            connection.execute("COPY bulk FROM STDIN")
 
 
 def test_replica_lost_mid_result_is_an_error():
@@ -243,12 +247,12 @@
         assert ask(cluster.port, "SELECT id, g, v FROM bulk").error == ""
     layout.quota = 1 << 30
     with BulkCluster(layout) as cluster:
-        link = dial(cluster.port)
-        link.sendall(pg.query("SELECT DISTINCT g, v FROM bulk"))
+        connection = dial(cluster.port)
+        connection.sendall(pg.query("SELECT DISTINCT g, v FROM bulk"))
         time.sleep(1.0)
         cluster.router.kill()
         cluster.router.wait()
-        link.close()
+        connection.close()
         assert not list(Path(cluster.folder / "spill").iterdir())
         cluster.start_router()
         checker = Checker("distinct", layout)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -132,7 +132,7 @@
     rows = op.top(
         op.concat([shard_result(memory, rows) for rows in split]), key, limit + offset, memory
     )
-    got = drain(op.limited(rows, limit, offset))
+    got = drain(op.apply_limit(rows, limit, offset))
     expected = sorted((r for rows in split for r in rows), key=pg_key)[offset : offset + limit]
     assert got == [(None if a is None else str(a), b) for a, b in expected]
 
@@ -244,8 +244,12 @@
     memory.on_streaming = lambda s: setattr(s, "committed", True)
     while not held:
         stream.add(big(100_000), 1)
-        assert memory.held < 8 * MIB
-    assert stream.committed and held == [True] and memory.held <= memory.buffer_limit + 100_000
+        assert memory.buffered_bytes < 8 * MIB
+    assert (
+        stream.committed
+        and held == [True]
+        and memory.buffered_bytes <= memory.buffer_limit + 100_000
+    )
     while held[-1]:
         assert stream.take() is not None
     assert held == [True, False]
@@ -258,7 +262,7 @@
     for block in blocks:
         stream.add(block, 1)
     stream.finish()
-    assert space.used > 0 and memory.held <= memory.buffer_limit
+    assert space.used > 0 and memory.buffered_bytes <= memory.buffer_limit
     got = []
     while not stream.done:
         got.append(stream.take())
