--- a/tansycrank/daemon.py
+++ b/tansycrank/daemon.py
@@ -125,7 +125,7 @@
         self._maintenance_call = self.reactor.callLater(
             MAINTENANCE_INTERVAL_SECONDS, self._maintain
         )
-        self.pools.sweep()
+        self.pools.close_expired()
 
     def _on_watch_endpoints(self, on: bool) -> None:
         self.roster.watch(on)
--- a/tansycrank/discovery/endpoint_source.py
+++ b/tansycrank/discovery/endpoint_source.py
@@ -33,9 +33,9 @@
             case PublishUpdate(update):
                 self.publish(update)
             case SetAddress(endpoint, host, port):
-                self.pools.place(endpoint, host, port)
+                self.pools.set_address(endpoint, host, port)
             case RemoveEndpoint(endpoint):
-                self.pools.forget(endpoint)
+                self.pools.remove_endpoint(endpoint)
 
     def read_available(self) -> None:
         """Read what has arrived of changes; a source that is polled has nothing waiting."""
--- a/tansycrank/sql_router/connection_pool.py
+++ b/tansycrank/sql_router/connection_pool.py
@@ -45,7 +45,7 @@
         """Return an ended call that stands for an attempt that was not allowed."""
         return cls(endpoint, request, None, lambda ended: None, None, ended=True)
 
-    def untimed(self) -> None:
+    def cancel_timeout(self) -> None:
         """Cancel its time-out: its answer has begun to leave for the client."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
@@ -60,7 +60,7 @@
         if self.ended:
             return
         self.ended = True
-        self.untimed()
+        self.cancel_timeout()
         self.on_connected()
         self.done(ended)
 
@@ -72,7 +72,7 @@
     host: str
     port: int
     idle: list[NodeConnection] = field(default_factory=list)
-    all: set[NodeConnection] = field(default_factory=set)
+    connections: set[NodeConnection] = field(default_factory=set)
     waiting: list[OutgoingCall] = field(
         default_factory=list
     )  # each has a connection of its own under way
@@ -97,9 +97,9 @@
         self.opened = self.closed = 0
         self.notifications = PendingNotifications(reactor, lambda: None)
         self._mean_login_ms = 0.0
-        self.later: Callable[[NodeConnection], None] | None = None  # the line of large work
+        self.defer_read: Callable[[NodeConnection], None] | None = None  # the line of large work
 
-    def place(self, endpoint: int, host: str, port: int) -> None:
+    def set_address(self, endpoint: int, host: str, port: int) -> None:
         """Set the address of a node. One that moved gets new connections."""
         node = self.nodes.get(endpoint)
         if node is not None and (node.host, node.port) == (host, port):
@@ -108,7 +108,7 @@
             self._empty(node)
         self.nodes[endpoint] = NodePool(host, port)
 
-    def forget(self, endpoint: int) -> None:
+    def remove_endpoint(self, endpoint: int) -> None:
         """Close the idle connections of a node that is gone; busy ones finish first."""
         if endpoint in self.nodes:
             self.close_idle(endpoint)
@@ -125,10 +125,10 @@
             self._empty(node)
 
     def _empty(self, node: NodePool) -> None:
-        for connection in list(node.all):
+        for connection in list(node.connections):
             connection.leave()
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Close connections that were unused for `idle_link_ms`; called now and then."""
         border = self.reactor.seconds() - self.store.idle_link_ms / 1000
         for node in self.nodes.values():
@@ -142,14 +142,14 @@
         endpoint: int,
         request: ShardStatement,
         stream: ShardRowStream,
-        time_out: float,
+        timeout_ms: float,
         done: Callable[[AttemptResult], None],
         attempt: Attempt,
-        connect_within: float = 0.0,
+        connect_wait_ms: float = 0.0,
     ) -> OutgoingCall:
         """Send a shard request; `done` is called with its one outcome, never before this returns.
 
-        It ends as never executed if it waits longer than `connect_within` for its connection, or
+        It ends as never executed if it waits longer than `connect_wait_ms` for its connection, or
         than `LOGIN_PATIENCE` mean logins if that is longer; 0 for no limit.
         """
         call = OutgoingCall(endpoint, request, stream, done, attempt)
@@ -157,18 +157,18 @@
         if node is None:
             self.reactor.callLater(0, call.finish, AttemptResult(Outcome.CONNECT_FAILED))
             return call
-        if time_out > 0:
-            call.timer = self.reactor.callLater(time_out / 1000, self._timed_out, call)
+        if timeout_ms > 0:
+            call.timer = self.reactor.callLater(timeout_ms / 1000, self._timed_out, call)
         if node.idle:
             connection = node.idle.pop()
             if not self._run(connection, call):
                 node.idle.append(connection)
-        elif len(node.all) >= self.store.max_links:
+        elif len(node.connections) >= self.store.max_links:
             self.reactor.callLater(0, call.finish, AttemptResult(Outcome.REJECTED))
         else:
             node.waiting.append(call)
-            if connect_within > 0:
-                limit_ms = max(connect_within, LOGIN_PATIENCE * self._mean_login_ms)
+            if connect_wait_ms > 0:
+                limit_ms = max(connect_wait_ms, LOGIN_PATIENCE * self._mean_login_ms)
                 call.connect_timer = self.reactor.callLater(
                     limit_ms / 1000, self._stop_waiting, call
                 )
@@ -216,9 +216,9 @@
     def _open(self, node: NodePool) -> None:
         grace = self.store.cancel_grace_ms / 1000
         connection = NodeConnection(
-            self.parameters, self.max_row, grace, self.reactor, self.notifications, self.later
+            self.parameters, self.max_row, grace, self.reactor, self.notifications, self.defer_read
         )
-        node.all.add(connection)
+        node.connections.add(connection)
         self.opened += 1
         opened_at = self.reactor.seconds()
         timer = self.reactor.callLater(self.store.connect_timeout_ms / 1000, connection.abort)
@@ -236,11 +236,11 @@
         def lost(connection: NodeConnection, refusal) -> None:
             if timer.active():
                 timer.cancel()
-            node.all.discard(connection)
+            node.connections.discard(connection)
             self.closed += 1
             if connection in node.idle:
                 node.idle.remove(connection)
-            starting = sum(one.state is ConnectionState.STARTING for one in node.all)
+            starting = sum(one.state is ConnectionState.STARTING for one in node.connections)
             while len(node.waiting) > starting:  # the send whose connection this was
                 node.waiting.pop(0).finish(AttemptResult(refused_outcome(refusal), error=refusal))
 
--- a/tansycrank/sql_router/coordinator.py
+++ b/tansycrank/sql_router/coordinator.py
@@ -268,7 +268,7 @@
                     and not call.ended
                 ):
                     shard_request.answer, stream.committed = stream, True
-                    call.untimed()
+                    call.cancel_timeout()
                     latency = self.now - shard_request.sent_at[number]
                     self.loop.enqueue(
                         routing.ResponseStarted(shard_request.id, number, call.endpoint, latency)
--- a/tansycrank/sql_router/node_connection.py
+++ b/tansycrank/sql_router/node_connection.py
@@ -120,7 +120,7 @@
     ) -> None:
         self._notifications = notifications
         self.parameters, self.cancel_grace, self.reactor = parameters, cancel_grace, reactor
-        self.later = (
+        self.defer_read = (
             later  # puts the link in the line of large work; None: everything is read at once
         )
         self.frames = pg.RowFrames(max_row)
@@ -162,12 +162,12 @@
             and self._stream is not None
             and self._stream.memory.mode != "small"
         )
-        if self._pending or (is_large and self.later is not None):
+        if self._pending or (is_large and self.defer_read is not None):
             # Splitting 32 kB into rows takes half a millisecond, and hundreds of connections may be
             # readable in one reactor turn.
             self._pending += data
             self._set_reading()
-            self.later(self)
+            self.defer_read(self)
         else:
             self._read(data)
 
--- a/tansycrank/sql_router/service.py
+++ b/tansycrank/sql_router/service.py
@@ -77,7 +77,7 @@
             coordinator.reactor.seconds,
             lambda: bool(coordinator.queries),
         )
-        coordinator.pools.later = self.worker.wake
+        coordinator.pools.defer_read = self.worker.wake
         self.start_admission(coordinator.reactor)
 
     def start_admission(self, reactor) -> None:
--- a/tansycrank/testbed/simulated.py
+++ b/tansycrank/testbed/simulated.py
@@ -144,7 +144,7 @@
     ended: bool = False
     timer: Call | None = None
 
-    def untimed(self) -> None:
+    def cancel_timeout(self) -> None:
         """No time-out runs any more."""
         if self.timer is not None:
             self.timer.cancel()
@@ -153,7 +153,7 @@
         """Report, once."""
         if not self.ended:
             self.ended = True
-            self.untimed()
+            self.cancel_timeout()
             self.done(ended)
 
 
@@ -161,17 +161,17 @@
     """Sends of one router to simulated nodes. The work of a part stands in its request's text."""
 
     def __init__(self, clock: SimClock, nodes: dict[int, SimNode]) -> None:
-        self.clock, self.nodes, self.later = clock, nodes, None
+        self.clock, self.nodes, self.defer_read = clock, nodes, None
 
     def send(
         self,
         endpoint: int,
         request: ShardStatement,
         stream,
-        time_out: float,
+        timeout_ms: float,
         done: Callable[[AttemptResult], None],
         attempt: Attempt,
-        connect_within: float = 0.0,
+        connect_wait_ms: float = 0.0,
     ) -> SimSending:
         """As `ConnectionPool.send`; connections are always there."""
         if attempt.start(self.clock.seconds() * 1000) is not None:
@@ -179,9 +179,9 @@
             self.clock.callLater(0, sending.finish, AttemptResult(routing.Outcome.NOT_SENT))
             return sending
         sending = SimSending(endpoint, stream, done, float(request.sql))
-        if time_out > 0:
+        if timeout_ms > 0:
             sending.timer = self.clock.callLater(
-                time_out / 1000, sending.finish, AttemptResult(routing.Outcome.TIMED_OUT)
+                timeout_ms / 1000, sending.finish, AttemptResult(routing.Outcome.TIMED_OUT)
             )
         self.clock.callLater(0.0002, self.nodes[endpoint].take, sending)
         return sending
--- a/tests/test_sql_node_connection.py
+++ b/tests/test_sql_node_connection.py
@@ -42,14 +42,14 @@
         self.pools = ConnectionPool(self.reactor, StoreSection(**store), {"user": "x"}, max_row)
         self.streams = []
         self.lives = LifecycleHarness()
-        self.pools.place(1, *ADDRESS)
+        self.pools.set_address(1, *ADDRESS)
         self.ended, self.links = [], []
 
-    def send(self, request=ASK, time_out=0.0, **bounds):
+    def send(self, request=ASK, timeout_ms=0.0, **bounds):
         stream = ShardRowStream(self.memory_reservations.open(False))
         self.streams.append(stream)
         attempt = self.lives.attempt(self.reactor.seconds() * 1000)
-        return self.pools.send(1, request, stream, time_out, self.ended.append, attempt, **bounds)
+        return self.pools.send(1, request, stream, timeout_ms, self.ended.append, attempt, **bounds)
 
     def accept(self, greet=True):
         """Let the newest connection stand."""
@@ -194,12 +194,12 @@
     link = node.accept()
     node.pools.cancel(sending)
     node.reactor.advance(0.5)
-    assert link.transport.aborted and not node.pools.nodes[1].all
+    assert link.transport.aborted and not node.pools.nodes[1].connections
 
 
 def test_a_time_out_is_one_outcome_whatever_comes_later():
     node = Node()
-    node.send(time_out=100.0)
+    node.send(timeout_ms=100.0)
     link = node.accept()
     node.reactor.advance(0.2)
     link.dataReceived(ANSWER + pg.ready("I"))
@@ -209,14 +209,14 @@
 
 def test_a_time_out_while_connecting_never_ran():
     node = Node()
-    node.send(time_out=100.0)
+    node.send(timeout_ms=100.0)
     node.reactor.advance(0.2)
     assert node.outcomes == [Outcome.CONNECT_FAILED]
 
 
 def test_a_call_waits_no_longer_for_its_connection_than_it_may():
     node = Node(connect_timeout_ms=5000)
-    node.send(time_out=4000.0, connect_within=150.0)
+    node.send(timeout_ms=4000.0, connect_wait_ms=150.0)
     node.reactor.advance(0.14)
     assert not node.ended
     node.reactor.advance(0.02)
@@ -225,10 +225,10 @@
 
 def test_the_connection_that_a_call_did_not_wait_for_serves_the_next_one():
     node = Node(connect_timeout_ms=5000)
-    node.send(time_out=4000.0, connect_within=150.0)
+    node.send(timeout_ms=4000.0, connect_wait_ms=150.0)
     node.reactor.advance(0.2)
     link = node.accept()
-    node.send(time_out=4000.0, connect_within=150.0)
+    node.send(timeout_ms=4000.0, connect_wait_ms=150.0)
     assert link.state is ConnectionState.BUSY and len(node.reactor.tcpClients) == 1
     node.reactor.advance(0.2)  # it has its connection: only its time-out runs
     link.dataReceived(ANSWER + pg.ready("I"))
@@ -237,10 +237,10 @@
 
 def test_a_call_may_wait_for_a_login_as_long_as_logins_take():
     node = Node(connect_timeout_ms=5000)
-    node.send(time_out=4000.0, connect_within=500.0)
+    node.send(timeout_ms=4000.0, connect_wait_ms=500.0)
     node.reactor.advance(0.1)
     node.accept()  # a login takes 100 ms here
-    node.send(time_out=4000.0, connect_within=1.0)
+    node.send(timeout_ms=4000.0, connect_wait_ms=1.0)
     node.reactor.advance(0.25)
     assert not node.ended
     node.reactor.advance(0.1)
@@ -305,17 +305,17 @@
 def test_links_that_nobody_uses_are_swept():
     node, link = ready(idle_link_ms=1000)
     link.dataReceived(ANSWER + pg.ready("I"))
-    node.pools.sweep()
+    node.pools.close_expired()
     assert link.state is ConnectionState.IDLE
     node.reactor.advance(2)
-    node.pools.sweep()
+    node.pools.close_expired()
     assert link.state is ConnectionState.CLOSED
 
 
 def test_a_node_that_moved_gets_new_links():
     node, link = ready()
     link.dataReceived(ANSWER + pg.ready("I"))
-    node.pools.place(1, "10.0.0.2", 5432)
+    node.pools.set_address(1, "10.0.0.2", 5432)
     node.send()
     assert link.state is ConnectionState.CLOSED and node.reactor.tcpClients[-1][:2] == (
         "10.0.0.2",
