--- a/tansycrank/sql_router/node_connection.py
+++ b/tansycrank/sql_router/node_connection.py
@@ -49,8 +49,8 @@
     STARTING = "starting"  # connecting or logging in
     IDLE = "idle"
     BUSY = "busy"  # running a shard request
-    SETTLING = "settling"  # cancelled; the node has not finished yet
-    SETTLED = "settled"  # ready again, but the CancelRequest may still arrive
+    CANCELLING = "cancelling"  # cancelled; the node has not finished yet
+    AWAITING_CANCEL = "awaiting_cancel"  # ready again, but the CancelRequest may still arrive
     CLOSED = "closed"
 
 
@@ -67,7 +67,7 @@
     key: str = ""
     describe: bool = False
 
-    def wire(self) -> bytes:
+    def encode(self) -> bytes:
         """The protocol messages, up to their Sync."""
         if self.describe:
             return pg.parse(self.sql, self.oids) + pg.describe("S") + pg.SYNC_FRAME
@@ -214,7 +214,7 @@
         self.state, self._unsent = ConnectionState.BUSY, attempt
         self._done, self._ended = done, AttemptResult(Outcome.SUCCEEDED)
         self._stream, stream.hold = stream, self._hold
-        self.transport.write(request.wire())
+        self.transport.write(request.encode())
 
     def may_write(self) -> bool:
         """Whether what was written may leave now; a shard request is asked about once more."""
@@ -225,7 +225,7 @@
             if self._unsent.may_still_start(self.reactor.seconds() * 1000):
                 return True
             self._take_back_request()
-        elif self.state is ConnectionState.SETTLING:
+        elif self.state is ConnectionState.CANCELLING:
             self._unsent = None
             self._settle()
         return False
@@ -249,7 +249,7 @@
         """
         if self.state is not ConnectionState.BUSY:
             return
-        self.state = ConnectionState.SETTLING
+        self.state = ConnectionState.CANCELLING
         self._finish(AttemptResult(outcome))
         self._hold(False)  # what is on its way is read and dropped
         self._grace = self.reactor.callLater(self.cancel_grace, self.abort)
@@ -280,11 +280,11 @@
 
     def _cancel_closed(self) -> None:
         self._cancel_open = False
-        if self.state is ConnectionState.SETTLED:
+        if self.state is ConnectionState.AWAITING_CANCEL:
             self._become_idle()
 
     def _settle(self) -> None:
-        self.state = ConnectionState.SETTLED
+        self.state = ConnectionState.AWAITING_CANCEL
         if not self._cancel_open:
             self._become_idle()
 
@@ -296,7 +296,7 @@
 
     def _hold(self, stop: bool) -> None:
         """Pause reading, so that TCP applies back pressure to the node; or resume."""
-        if self.state in (ConnectionState.BUSY, ConnectionState.SETTLING):
+        if self.state in (ConnectionState.BUSY, ConnectionState.CANCELLING):
             self._hold_requested = stop
             self._set_reading()
 
@@ -317,7 +317,7 @@
         try:
             self._stream.add(block, count)
         except PgError as problem:  # they can't be held: the query ends, the node is healthy
-            self.state = ConnectionState.SETTLING
+            self.state = ConnectionState.CANCELLING
             self._finish(AttemptResult(Outcome.SUCCEEDED, problem))
             self.abort()
 
@@ -378,7 +378,7 @@
         if self.state is ConnectionState.STARTING:
             self.state = ConnectionState.IDLE
             self.on_ready(self)
-        elif self.state is ConnectionState.SETTLING:
+        elif self.state is ConnectionState.CANCELLING:
             self._settle()
         elif self.state is ConnectionState.BUSY:
             ended, self.state = self._ended, ConnectionState.IDLE
--- a/tests/test_sql_node_connection.py
+++ b/tests/test_sql_node_connection.py
@@ -183,7 +183,7 @@
     before = len(node.reactor.tcpClients)
     node.send()  # danger: the cancel may still hit this link's next part
     assert len(node.reactor.tcpClients) == before + 1
-    assert link.state is ConnectionState.SETTLED
+    assert link.state is ConnectionState.AWAITING_CANCEL
     canceller.connectionLost()
     assert link.state is ConnectionState.BUSY  # with the part that waited for a connection
 
@@ -324,7 +324,7 @@
 
 
 def test_a_request_key_goes_before_its_statement():
-    wire = ShardStatement(0, "INSERT", key="it's").wire()
+    wire = ShardStatement(0, "INSERT", key="it's").encode()
     assert b"SET LOCAL tansycrank.request_key = 'it''s'" in wire
     assert wire.index(b"SET LOCAL") < wire.index(b"INSERT") and wire.count(pg.SYNC_FRAME) == 1
 
