--- a/tansycrank/postgres/server/extended_query.py
+++ b/tansycrank/postgres/server/extended_query.py
@@ -258,7 +258,7 @@
         fields = self._commands.fields(prepared, bind.results)
         local = prepared.local
         if prepared.compute is not None:
-            values = self._context.service.decoded(prepared, bind.values, bind.formats)
+            values = self._context.service.decode_values(prepared, bind.values, bind.formats)
             local = prepared.compute(values)
         header = description(fields) if with_description else b""
         answer = self._commands.run(local)
--- a/tansycrank/postgres/server/pending_operation.py
+++ b/tansycrank/postgres/server/pending_operation.py
@@ -6,7 +6,7 @@
 
 from tansycrank.merge.rows import Result
 from tansycrank.postgres.server.context import SessionConnection
-from tansycrank.sql_router.service import Running, Service
+from tansycrank.sql_router.service import RunningStatement, Service
 
 
 class PendingOperation:
@@ -15,12 +15,12 @@
     def __init__(self, service: Service, connection: SessionConnection) -> None:
         self._service = service
         self._connection = connection
-        self._running: Running | None = None
+        self._running: RunningStatement | None = None
         self.is_active = False
 
     def start(
         self,
-        begin: Callable[[Callable[[object], None]], Running | None],
+        begin: Callable[[Callable[[object], None]], RunningStatement | None],
         on_outcome: Callable[[object], None],
     ) -> None:
         """Call `begin` with a completion callback. An ended session gets no `on_outcome`."""
--- a/tansycrank/postgres/server/session.py
+++ b/tansycrank/postgres/server/session.py
@@ -191,7 +191,7 @@
         address = getattr(self.transport.getPeer(), "host", "")
         user = parameters.get("user", "")
         context.caller = Caller(address, user, parameters.get("database", "") or user)
-        rejection = self.service.may_enter(context.caller)
+        rejection = self.service.connection_error(context.caller)
         if rejection is not None:
             raise rejection
         self._timer.cancel()
--- a/tansycrank/sql_router/service.py
+++ b/tansycrank/sql_router/service.py
@@ -60,7 +60,7 @@
 
 
 @dataclass(slots=True)
-class Running:
+class RunningStatement:
     """A handle to cancel by."""
 
     entry: AdmissionEntry
@@ -95,7 +95,7 @@
 
     # --- who may enter, and what operators see ---------------------------------------------
 
-    def may_enter(self, caller: Caller) -> PgError | None:
+    def connection_error(self, caller: Caller) -> PgError | None:
         """Why a client may not have a session, if so."""
         if self.identity.may_connect(caller.address):
             return None
@@ -134,18 +134,20 @@
 
     # --- running ------------------------------------------------------------------------
 
-    def decoded(self, prepared: Prepared, values, formats) -> list[object]:
+    def decode_values(self, prepared: Prepared, values, formats) -> list[object]:
         """The parameters of a statement as values. Raises PgError 08P01, 22P02, 22P03."""
         return decode_parameters(prepared, values, formats)
 
-    def run(self, request: Request, done: Callable[[Result | PgError], None]) -> Running | None:
+    def run(
+        self, request: Request, done: Callable[[Result | PgError], None]
+    ) -> RunningStatement | None:
         """Run a statement; `done` hears exactly one Result or PgError. None where it was answered
         at once.
         """
         prepared, settings = request.prepared, request.settings or {}
         try:
             target = prepared.explain or prepared
-            values = self.decoded(target, request.values, request.formats)
+            values = self.decode_values(target, request.values, request.formats)
             index = class_index(self.config.classes, target.sql, settings)
             form = query_form(self.config.classes[index].section, target, settings)
             if prepared.explain is not None:
@@ -231,12 +233,12 @@
         remaining: float,
         start,
         done,
-    ) -> Running:
+    ) -> RunningStatement:
         """Pass a query to admission control."""
         caller_id = self.identity.identify(request.caller, settings.get("tansycrank.tenant", ""))
         sql = request.prepared.sql
         size = len(sql) + sum(len(value) for value in request.values if value is not None)
-        return Running(
+        return RunningStatement(
             self.admission.submit(
                 caller_id,
                 query_class,
@@ -317,7 +319,7 @@
             plan, self.coordinator.memory_reservations.governor.share, merge.spill_quota
         )
 
-    def cancel(self, running: Running, left: bool = False) -> None:
+    def cancel(self, running: RunningStatement, left: bool = False) -> None:
         """The client cancels, or has left."""
         self.admission.cancel(running.entry, self.coordinator.abandon)
 
@@ -327,7 +329,7 @@
         settings: Mapping[str, str],
         done: Callable[[tuple[tuple[int, ...], tuple[Field, ...] | None] | PgError], None],
         caller: Caller = UNKNOWN_CALLER,
-    ) -> Running | None:
+    ) -> RunningStatement | None:
         """(types of parameters, columns or None) of a statement, asked of a node once and kept."""
         target = prepared.explain or prepared
         if prepared.local is not None:
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -8,7 +8,7 @@
 from tansycrank.postgres import messages as pg
 from tansycrank.postgres.server import PostgresServerFactory
 from tansycrank.sql.planner import Planner
-from tansycrank.sql_router.service import Running, Service
+from tansycrank.sql_router.service import RunningStatement, Service
 
 
 class Core(Service):
@@ -25,7 +25,7 @@
         if request.prepared.local is None:
             try:
                 request.prepared.bind(
-                    self.decoded(request.prepared, request.values, request.formats)
+                    self.decode_values(request.prepared, request.values, request.formats)
                 )
             except Exception as problem:
                 done(problem)
@@ -39,7 +39,7 @@
             done(result)
             return None
         self.held.append((done, result))
-        return Running(len(self.held) - 1)
+        return RunningStatement(len(self.held) - 1)
 
     def describe(self, prepared, settings, done, caller=None):
         done((prepared.oids, (pg.Field("id", 20),) if prepared.returns_rows else None))
