--- a/tansycrank/sql_router/coordinator.py
+++ b/tansycrank/sql_router/coordinator.py
@@ -39,7 +39,7 @@
     """A shard request and its attempts."""
 
     id: int
-    request: ShardStatement
+    statement: ShardStatement
     attempts: list[OutgoingCall] = field(default_factory=list)
     lifecycle_attempts: list[Attempt | None] = field(
         default_factory=list
@@ -196,7 +196,7 @@
         self.counts["cancelled"] += 1
         self.loop.enqueue(routing.QueryCancelled(query.id))
         self.lifecycle.abandon(query.lifecycle_request, self.now)
-        self._forget(query, error or cancelled())
+        self._close_query(query, error or cancelled())
 
     def handle_endpoint_list(self, event: routing.EndpointListUpdate) -> None:
         """Apply an endpoint list: nothing starts any more at an endpoint that is not in service."""
@@ -230,14 +230,14 @@
             self._never_sent(action, shard_request, number)
             return
         shard_request.lifecycle_attempts.append(lifecycle_attempt)
-        stream = ShardRowStream(query.memory, shard_request.request.shard)
+        stream = ShardRowStream(query.memory, shard_request.statement.shard)
 
         def ended(result: AttemptResult) -> None:
-            self._ended(query, shard_request, number, action.endpoint, result)
+            self._on_attempt_ended(query, shard_request, number, action.endpoint, result)
 
         call = self.pools.send(
             action.endpoint,
-            shard_request.request,
+            shard_request.statement,
             stream,
             lifecycle_attempt.deadline - now,
             ended,
@@ -250,7 +250,7 @@
     def _never_sent(self, action: routing.Send, shard_request: ShardRequest, number: int) -> None:
         """End a send that was not allowed; the policy counts it among the attempts of its part."""
         shard_request.lifecycle_attempts.append(None)
-        shard_request.attempts.append(OutgoingCall.never(action.endpoint, shard_request.request))
+        shard_request.attempts.append(OutgoingCall.never(action.endpoint, shard_request.statement))
         self.loop.enqueue(
             routing.AttemptEnded(
                 shard_request.id, number, action.endpoint, routing.Outcome.NOT_SENT, 0.0
@@ -274,7 +274,7 @@
                         routing.ResponseStarted(shard_request.id, number, call.endpoint, latency)
                     )
 
-    def _ended(
+    def _on_attempt_ended(
         self,
         query: RoutedQuery,
         shard_request: ShardRequest,
@@ -291,7 +291,7 @@
             routing.AttemptEnded(shard_request.id, number, endpoint, result.outcome, latency)
         )
         query.attempt_history.append(
-            (shard_request.request.shard, endpoint, result.outcome.value, round(latency, 1))
+            (shard_request.statement.shard, endpoint, result.outcome.value, round(latency, 1))
         )
         answered = result.outcome is routing.Outcome.SUCCEEDED
         if stream is not None and stream.committed:
@@ -355,10 +355,10 @@
         )
         if allowed is AnswerKind.COMPLETE:
             self.counts["answered"] += 1
-            self._forget(query, query.shard_requests)
+            self._close_query(query, query.shard_requests)
         elif allowed is AnswerKind.FAILED:
             self.counts["failed"] += 1
-            self._forget(query, given_up())
+            self._close_query(query, given_up())
 
     def _reject(self, action: routing.Reject) -> None:
         query = self.queries.get(action.query)
@@ -372,7 +372,7 @@
             self._give_up(query, action.reason)
             allowed = self.lifecycle.answer(query.lifecycle_request, AnswerKind.REJECTED, self.now)
             self.counts["refused" if allowed is AnswerKind.REJECTED else "failed"] += 1
-            self._forget(query, refused if allowed is AnswerKind.REJECTED else given_up())
+            self._close_query(query, refused if allowed is AnswerKind.REJECTED else given_up())
 
     def _fail(self, action: routing.Fail) -> None:
         query = self.queries.get(action.query)
@@ -389,9 +389,9 @@
     def _end(self, query: RoutedQuery, problem: PgError) -> None:
         """The one final answer of a query that has failed."""
         if self.lifecycle.answer(query.lifecycle_request, AnswerKind.FAILED, self.now) is not None:
-            self._forget(query, problem)
+            self._close_query(query, problem)
 
-    def _forget(self, query: RoutedQuery, answer: list[ShardRequest] | PgError) -> None:
+    def _close_query(self, query: RoutedQuery, answer: list[ShardRequest] | PgError) -> None:
         """A query has been answered or abandoned."""
         self.queries.pop(query.id, None)
         for shard_request in query.shard_requests:
--- a/tansycrank/testbed/mutations.py
+++ b/tansycrank/testbed/mutations.py
@@ -39,16 +39,16 @@
 class SendsAfterTheEnd(_Extra):
     """Rule 1: a part goes out again most of a second after its query's final answer."""
 
-    def _forget(self, job, answer) -> None:
+    def _close_query(self, job, answer) -> None:
         shard_requests = list(job.shard_requests)
-        super()._forget(job, answer)
+        super()._close_query(job, answer)
         for shard_request in shard_requests[:1]:
             if shard_request.attempts:
                 self.reactor.callLater(
                     0.8,
                     self.extra,
                     shard_request.attempts[0].endpoint,
-                    shard_request.request,
+                    shard_request.statement,
                     500.0,
                 )
 
@@ -56,14 +56,14 @@
 class RepeatsUnsafe(coordinator.Coordinator):
     """Rule 2: a connection that broke after the send is called one that never stood."""
 
-    def _ended(self, job, shard_request, number, endpoint, result) -> None:
+    def _on_attempt_ended(self, job, shard_request, number, endpoint, result) -> None:
         if result.outcome in (
             routing.Outcome.CONNECTION_LOST,
             routing.Outcome.ERROR,
             routing.Outcome.TIMED_OUT,
         ):
             result.outcome = routing.Outcome.CONNECT_FAILED
-        super()._ended(job, shard_request, number, endpoint, result)
+        super()._on_attempt_ended(job, shard_request, number, endpoint, result)
 
 
 class DeafToDrains(coordinator.Coordinator):
@@ -95,7 +95,7 @@
             _, shard_request = self._shard_requests[action.shard_request]
             self.pools.store = msgspec.structs.replace(self.pools.store, max_links=2000)
             for _ in range(200):
-                self.extra(action.endpoint, shard_request.request, 2000.0)
+                self.extra(action.endpoint, shard_request.statement, 2000.0)
 
 
 class CopiesAll(_Extra):
@@ -104,7 +104,7 @@
     def _send(self, action) -> None:
         super()._send(action)
         _, shard_request = self._shard_requests[action.shard_request]
-        self.extra(action.endpoint, shard_request.request, 500.0)
+        self.extra(action.endpoint, shard_request.statement, 500.0)
 
 
 class AnswersInPart(service.Service):
