--- a/tansycrank/daemon.py
+++ b/tansycrank/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon of the SQL router: sets it up, starts it, drains it and stops it."""
+"""The SQL router process: setup, startup, graceful shutdown."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
 from tansycrank.sql_router.coordinator import Coordinator
 from tansycrank.sql_router.service import Service
 
-MAINTENANCE_INTERVAL_SECONDS = 5.0  # seconds between two looks for links that nobody uses
+MAINTENANCE_INTERVAL_SECONDS = 5.0  # between two sweeps for expired idle connections
 
 
-def make_log(section, stream=None) -> Any:
-    """A structlog logger: JSON lines, or lines for people."""
-    people = section.format == "people"
-    last = (
+def make_logger(section, stream=None) -> Any:
+    """Return a structlog logger that writes JSON lines or human-readable lines."""
+    for_console = section.format == "people"
+    renderer = (
         structlog.dev.ConsoleRenderer(colors=False)
-        if people
+        if for_console
         else structlog.processors.JSONRenderer(
             serializer=lambda value, **_: msgspec.json.encode(value, enc_hook=str).decode()
         )
@@ -44,7 +44,7 @@
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso"),
-            last,
+            renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(
             getattr(logging, section.level.upper())
@@ -73,9 +73,12 @@
             config.merge.max_row_bytes,
         )
         merge = config.merge
-        self.space = SpillSpace(merge.spill_dir, merge.spill_quota)
+        self.spill_space = SpillSpace(merge.spill_dir, merge.spill_quota)
         memory_reservations = MemoryReservations(
-            merge.process_bytes, merge.query_bytes, self.space, lambda: reactor.seconds() * 1000
+            merge.process_bytes,
+            merge.query_bytes,
+            self.spill_space,
+            lambda: reactor.seconds() * 1000,
         )
         self.coordinator = Coordinator(
             reactor,
@@ -87,11 +90,15 @@
             self._on_policy_failed,
         )
         self.coordinator.on_violation = self._on_violation
-        kind = FeedClient if config.roster.feed else EndpointFile
-        self.roster = kind(reactor, config, self.pools, self.coordinator.handle_endpoint_list, log)
-        self.pools.notifications = PendingNotifications(reactor, self.roster.read_available)
+        source_type = FeedClient if config.roster.feed else EndpointFile
+        self.endpoint_source = source_type(
+            reactor, config, self.pools, self.coordinator.handle_endpoint_list, log
+        )
+        self.pools.notifications = PendingNotifications(
+            reactor, self.endpoint_source.read_available
+        )
         self.service = Service(config, self.coordinator, log)
-        self.front = PostgresServerFactory(
+        self.server = PostgresServerFactory(
             self.service, config.listen, reactor, config.router.seed, log
         )
         self.port = None
@@ -100,26 +107,26 @@
         self.on_stopped = lambda: None
 
     def start(self) -> int:
-        """Remove spill files of a crash, listen, and watch discovery; returns the port."""
-        gone = self.space.clean()
-        if gone and self.log:
-            self.log.warning("leftover_spill_files_removed", removed=gone)
+        """Remove spill files left by a crash, listen, and watch discovery. Returns the port."""
+        removed = self.spill_space.clean()
+        if removed and self.log:
+            self.log.warning("leftover_spill_files_removed", removed=removed)
         self.port = self.reactor.listenTCP(
-            self.config.listen.port, self.front, backlog=1024, interface=self.config.listen.host
+            self.config.listen.port, self.server, backlog=1024, interface=self.config.listen.host
         )
         self.coordinator.start()
         self._maintenance_call = self.reactor.callLater(
             MAINTENANCE_INTERVAL_SECONDS, self._maintain
         )
-        number = self.port.getHost().port
+        port_number = self.port.getHost().port
         if self.log:
             self.log.info(
                 "listening_started",
                 host=self.config.listen.host,
-                port=number,
+                port=port_number,
                 me=self.config.router.me,
             )
-        return number
+        return port_number
 
     def _maintain(self) -> None:
         self._maintenance_call = self.reactor.callLater(
@@ -128,7 +135,7 @@
         self.pools.close_expired()
 
     def _on_watch_endpoints(self, on: bool) -> None:
-        self.roster.watch(on)
+        self.endpoint_source.watch(on)
 
     def _on_policy_failed(self, error: BaseException) -> None:
         if self.log:
@@ -147,46 +154,46 @@
 
     def stop(self) -> None:
         """Shut down gracefully: accept no sessions, drain queries for at most `stop_within_ms`."""
-        if self.front.stopping:
+        if self.server.stopping:
             return
         if self.log:
             self.log.info(
                 "shutdown_started",
-                sessions=len(self.front.sessions),
+                sessions=len(self.server.sessions),
                 queries=len(self.coordinator.queries),
             )
         self.port.stopListening()
-        self.front.stop_taking()
+        self.server.stop_taking()
         self._drain(self.reactor.seconds() + self.config.router.stop_within_ms / 1000)
 
     def _drain(self, shutdown_deadline: float) -> None:
-        busy = self.coordinator.queries or any(s.is_logged_in for s in self.front.sessions)
+        busy = self.coordinator.queries or any(s.is_logged_in for s in self.server.sessions)
         if busy and self.reactor.seconds() < shutdown_deadline:
-            self.front.stop_taking()
+            self.server.stop_taking()
             self.reactor.callLater(0.02, self._drain, shutdown_deadline)
         else:
             self.stop_now()
 
     def stop_now(self) -> None:
-        """Stop at once: answer each open query with 57P01, then end all sessions."""
+        """Stop at once: fail each open query with 57P01, then end all sessions."""
         if self.stopped:
             return
         self.stopped = True
         self.service.admission.close(PgError(SHUTTING_DOWN, "the router is shutting down"))
         for query in list(self.coordinator.queries.values()):
             self.coordinator.abandon(query, PgError(SHUTTING_DOWN, "the router is shutting down"))
-        for session in list(self.front.sessions):
+        for session in list(self.server.sessions):
             session.shut_down()
         self.coordinator.lifecycle.stop(self.coordinator.now)
         self.coordinator.stop()
-        self.roster.stop()
+        self.endpoint_source.stop()
         if self._maintenance_call is not None and self._maintenance_call.active():
             self._maintenance_call.cancel()
         self.reactor.callLater(0.1, self._finish)
 
     def _finish(self) -> None:
         self.pools.close()
-        for session in list(self.front.sessions):
+        for session in list(self.server.sessions):
             session.transport.abortConnection()
         if self.log:
             lifecycle = self.coordinator.lifecycle
@@ -201,11 +208,12 @@
 
 
 def run(config: Config, announce: bool = False) -> int:
-    """Run one router until SIGTERM or SIGINT; `announce` prints its port as JSON. Returns the exit
-    code.
+    """Run one router until SIGTERM or SIGINT and return the exit code.
+
+    `announce` prints its port as JSON. A second signal stops it without draining.
     """
     reactor = clock.install_reactor()
-    daemon = Daemon(reactor, config, make_log(config.log))
+    daemon = Daemon(reactor, config, make_logger(config.log))
     daemon.on_stopped = lambda: reactor.running and reactor.stop()
     try:
         port = daemon.start()
@@ -216,10 +224,10 @@
         print(msgspec.json.encode({"port": port}).decode(), flush=True)
 
     def stop(*_) -> None:
-        reactor.callFromThread(daemon.stop_now if daemon.front.stopping else daemon.stop)
+        reactor.callFromThread(daemon.stop_now if daemon.server.stopping else daemon.stop)
 
     gc.collect()
-    # modules and settings are never garbage; without this each collection scans them
+    # Modules and settings are never garbage; without freezing, each collection scans them.
     gc.freeze()
     gc.set_threshold(20_000, 20, 20)
     signal.signal(signal.SIGTERM, stop)
