--- a/tansycrank/sql_router/__init__.py
+++ b/tansycrank/sql_router/__init__.py
@@ -1,3 +1,3 @@
-"""The router itself: links and pools to nodes, the coordinator that carries out the module's
-decisions.
+"""The SQL router: connections to data nodes, the coordinator that carries out the routing policy's
+actions, and the service under the PostgreSQL server.
 """
--- a/tansycrank/sql_router/connection_pool.py
+++ b/tansycrank/sql_router/connection_pool.py
@@ -1,6 +1,7 @@
 """Connections to all data nodes: a bounded pool for each node.
 
-A call takes the idle connection used last, or opens one. Each call ends with exactly one outcome.
+A call takes the most recently used idle connection, or opens one. Each call ends with exactly one
+outcome.
 """
 
 from __future__ import annotations
@@ -18,70 +19,71 @@
     ConnectionState,
     NodeConnection,
     ShardStatement,
-    refused_outcome,
+    login_failure_outcome,
 )
 
-LOGIN_PATIENCE = 3.0  # mean logins that a call may wait at least: one takes several round trips
-LOGIN_WEIGHT = 0.125  # of the newest login in their mean
+# The least time a call may wait for its connection, in mean login times: a login takes several
+# round trips.
+MIN_CONNECT_WAIT_LOGINS = 3.0
+LOGIN_SMOOTHING = 0.125  # weight of the newest login in the moving average of login times
 
 
 @dataclass(slots=True, eq=False)
 class OutgoingCall:
-    """One attempt of a shard request, from the policy's Send to its outcome."""
+    """One attempt of a shard request, from the policy's `Send` to its outcome."""
 
     endpoint: int
-    request: ShardStatement
+    statement: ShardStatement
     stream: ShardRowStream
     done: Callable[[AttemptResult], None]
-    attempt: Attempt | None  # which says whether it may begin; None for one that was never made
+    attempt: Attempt | None  # decides whether it may start; None for a denied attempt
     connection: NodeConnection | None = None
-    out: bool = False  # its bytes left this process
+    is_sent: bool = False  # written to its connection
     ended: bool = False
     timer: object = None
-    connect_timer: object = None  # runs while it waits for its connection
+    connect_timer: object = None  # active while the call waits for its connection
 
     @classmethod
-    def never(cls, endpoint: int, request: ShardStatement) -> OutgoingCall:
-        """Return an ended call that stands for an attempt that was not allowed."""
-        return cls(endpoint, request, None, lambda ended: None, None, ended=True)
+    def denied(cls, endpoint: int, statement: ShardStatement) -> OutgoingCall:
+        """Return an ended call in place of an attempt that the lifecycle denied."""
+        return cls(endpoint, statement, None, lambda ended: None, None, ended=True)
 
     def cancel_timeout(self) -> None:
-        """Cancel its time-out: its answer has begun to leave for the client."""
+        """Cancel the timeout of an attempt that ended or whose rows are being streamed."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
 
-    def on_connected(self) -> None:
-        """Cancel the bound on waiting: it has its connection."""
+    def cancel_connect_timeout(self) -> None:
+        """Cancel the limit on waiting for a connection."""
         if self.connect_timer is not None and self.connect_timer.active():
             self.connect_timer.cancel()
 
     def finish(self, ended: AttemptResult) -> None:
-        """Report the outcome, once."""
+        """Report the outcome; later calls have no effect."""
         if self.ended:
             return
         self.ended = True
         self.cancel_timeout()
-        self.on_connected()
+        self.cancel_connect_timeout()
         self.done(ended)
 
 
 @dataclass(slots=True, eq=False)
 class NodePool:
-    """The connections of one node."""
+    """The connections to one data node."""
 
     host: str
     port: int
     idle: list[NodeConnection] = field(default_factory=list)
     connections: set[NodeConnection] = field(default_factory=set)
-    waiting: list[OutgoingCall] = field(
-        default_factory=list
-    )  # each has a connection of its own under way
+    # Each of these has a connection of its own being opened.
+    waiting: list[OutgoingCall] = field(default_factory=list)
 
 
 class ConnectionPool:
-    """The connections of this router. Times of `send` are milliseconds.
+    """The connections of this router to all data nodes.
 
-    `notifications` are read before a shard request leaves.
+    `notifications` are read before the first byte of a shard request is written to its socket.
     """
 
     def __init__(
@@ -97,68 +99,69 @@
         self.opened = self.closed = 0
         self.notifications = PendingNotifications(reactor, lambda: None)
         self._mean_login_ms = 0.0
-        self.defer_read: Callable[[NodeConnection], None] | None = None  # the line of large work
+        self.defer_read: Callable[[NodeConnection], None] | None = None  # queues large reads
 
     def set_address(self, endpoint: int, host: str, port: int) -> None:
-        """Set the address of a node. One that moved gets new connections."""
+        """Set the address of a node; close its connections if the address changed."""
         node = self.nodes.get(endpoint)
         if node is not None and (node.host, node.port) == (host, port):
             return
         if node is not None:
-            self._empty(node)
+            self._close_all(node)
         self.nodes[endpoint] = NodePool(host, port)
 
     def remove_endpoint(self, endpoint: int) -> None:
-        """Close the idle connections of a node that is gone; busy ones finish first."""
+        """Close the idle connections of a removed node; busy ones finish first."""
         if endpoint in self.nodes:
             self.close_idle(endpoint)
 
     def close_idle(self, endpoint: int) -> None:
-        """Close the unused connections of a node."""
+        """Close the idle connections of a node."""
         node = self.nodes.get(endpoint)
         while node is not None and node.idle:
-            node.idle[-1].leave()
+            node.idle[-1].close()
 
     def close(self) -> None:
         """Close all connections."""
         for node in self.nodes.values():
-            self._empty(node)
+            self._close_all(node)
 
-    def _empty(self, node: NodePool) -> None:
+    def _close_all(self, node: NodePool) -> None:
         for connection in list(node.connections):
-            connection.leave()
+            connection.close()
 
     def close_expired(self) -> None:
-        """Close connections that were unused for `idle_link_ms`; called now and then."""
-        border = self.reactor.seconds() - self.store.idle_link_ms / 1000
+        """Close connections that were idle for longer than `idle_link_ms`; called periodically."""
+        cutoff = self.reactor.seconds() - self.store.idle_link_ms / 1000
         for node in self.nodes.values():
-            for connection in [one for one in node.idle if one.used < border]:
-                connection.leave()
+            for connection in [one for one in node.idle if one.last_used < cutoff]:
+                connection.close()
 
-    # --- sends ------------------------------------------------------------------------
+    # --- calls ------------------------------------------------------------------------
 
     def send(
         self,
         endpoint: int,
-        request: ShardStatement,
+        statement: ShardStatement,
         stream: ShardRowStream,
         timeout_ms: float,
         done: Callable[[AttemptResult], None],
         attempt: Attempt,
         connect_wait_ms: float = 0.0,
     ) -> OutgoingCall:
-        """Send a shard request; `done` is called with its one outcome, never before this returns.
+        """Send a shard request; `done` is called exactly once, never before this returns.
 
-        It ends as never executed if it waits longer than `connect_wait_ms` for its connection, or
-        than `LOGIN_PATIENCE` mean logins if that is longer; 0 for no limit.
+        The call ends as never executed if it waits longer for its connection than
+        `connect_wait_ms` or `MIN_CONNECT_WAIT_LOGINS` mean login times, whichever is longer.
+        A `timeout_ms` or `connect_wait_ms` of 0 sets no limit.
         """
-        call = OutgoingCall(endpoint, request, stream, done, attempt)
+        call = OutgoingCall(endpoint, statement, stream, done, attempt)
         node = self.nodes.get(endpoint)
         if node is None:
             self.reactor.callLater(0, call.finish, AttemptResult(Outcome.CONNECT_FAILED))
             return call
         if timeout_ms > 0:
-            call.timer = self.reactor.callLater(timeout_ms / 1000, self._timed_out, call)
+            call.timer = self.reactor.callLater(timeout_ms / 1000, self._on_timeout, call)
         if node.idle:
             connection = node.idle.pop()
             if not self._run(connection, call):
@@ -168,49 +171,51 @@
         else:
             node.waiting.append(call)
             if connect_wait_ms > 0:
-                limit_ms = max(connect_wait_ms, LOGIN_PATIENCE * self._mean_login_ms)
+                limit_ms = max(connect_wait_ms, MIN_CONNECT_WAIT_LOGINS * self._mean_login_ms)
                 call.connect_timer = self.reactor.callLater(
-                    limit_ms / 1000, self._stop_waiting, call
+                    limit_ms / 1000, self._on_connect_timeout, call
                 )
             self._open(node)
         return call
 
     def cancel(self, call: OutgoingCall) -> None:
-        """Stop waiting for a call."""
+        """Cancel a call; it ends as not sent if it has no connection yet."""
         self._stop(call, Outcome.CANCELLED, Outcome.NOT_SENT)
 
-    def _stop_waiting(self, call: OutgoingCall) -> None:
-        """End a call that waits too long; its connection, once there, serves the next one."""
+    def _on_connect_timeout(self, call: OutgoingCall) -> None:
+        """End a call that waited too long; its connection, once open, serves another call."""
         self._stop(call, Outcome.CONNECT_FAILED, Outcome.CONNECT_FAILED)
 
-    def _timed_out(self, call: OutgoingCall) -> None:
+    def _on_timeout(self, call: OutgoingCall) -> None:
         self._stop(call, Outcome.TIMED_OUT, Outcome.CONNECT_FAILED)
 
-    def _stop(self, call: OutgoingCall, if_out: Outcome, if_not: Outcome) -> None:
+    def _stop(
+        self, call: OutgoingCall, outcome_if_sent: Outcome, outcome_if_unsent: Outcome
+    ) -> None:
         if call.ended:
             return
-        if call.out:
-            call.connection.give_up(if_out)
+        if call.is_sent:
+            call.connection.abandon(outcome_if_sent)
             return
         node = self.nodes.get(call.endpoint)
         if node is not None and call in node.waiting:
-            node.waiting.remove(call)  # its connection, once there, waits for the next send
-        call.finish(AttemptResult(if_not))
+            node.waiting.remove(call)  # its connection, once open, serves another call
+        call.finish(AttemptResult(outcome_if_unsent))
 
     def _run(self, connection: NodeConnection, call: OutgoingCall) -> bool:
-        """Write a call to its connection; False if it may not start any more, and ends."""
+        """Write a call to a connection; end it and return False if it may no longer start."""
         now = self.reactor.seconds()
         if call.attempt.start(now * 1000) is not None:
             self.reactor.callLater(0, call.finish, AttemptResult(Outcome.NOT_SENT))
             return False
-        call.connection, call.out = connection, True
-        call.on_connected()
-        connection.used = now
-        connection.run(call.request, call.stream, call.finish, call.attempt)
+        call.connection, call.is_sent = connection, True
+        call.cancel_connect_timeout()
+        connection.last_used = now
+        connection.run(call.statement, call.stream, call.finish, call.attempt)
         return True
 
     def _record_login(self, took_ms: float) -> None:
-        weight = LOGIN_WEIGHT if self._mean_login_ms else 1.0
+        weight = LOGIN_SMOOTHING if self._mean_login_ms else 1.0
         self._mean_login_ms += weight * (took_ms - self._mean_login_ms)
 
     def _open(self, node: NodePool) -> None:
@@ -227,13 +232,13 @@
             if timer.active():
                 timer.cancel()
                 self._record_login((self.reactor.seconds() - opened_at) * 1000)
-            connection.used = self.reactor.seconds()
+            connection.last_used = self.reactor.seconds()
             while node.waiting:
                 if self._run(connection, node.waiting.pop(0)):
                     return
             node.idle.append(connection)
 
-        def lost(connection: NodeConnection, refusal) -> None:
+        def lost(connection: NodeConnection, login_error) -> None:
             if timer.active():
                 timer.cancel()
             node.connections.discard(connection)
@@ -241,8 +246,10 @@
             if connection in node.idle:
                 node.idle.remove(connection)
             starting = sum(one.state is ConnectionState.STARTING for one in node.connections)
-            while len(node.waiting) > starting:  # the send whose connection this was
-                node.waiting.pop(0).finish(AttemptResult(refused_outcome(refusal), error=refusal))
+            while len(node.waiting) > starting:  # the call that this connection was opened for
+                node.waiting.pop(0).finish(
+                    AttemptResult(login_failure_outcome(login_error), error=login_error)
+                )
 
         connection.on_ready, connection.on_lost = ready, lost
         factory = SingleConnectionFactory(connection, connection.on_connect_failed)
--- a/tansycrank/sql_router/coordinator.py
+++ b/tansycrank/sql_router/coordinator.py
@@ -1,7 +1,6 @@
-"""Between the step loop and the SQL router's sockets: what happened becomes events, actions are
-carried out.
+"""Passes queries and outcomes to the routing policy as events, and carries out its actions.
 
-Nothing is decided here.
+All routing decisions are made by the policy.
 """
 
 from __future__ import annotations
@@ -36,16 +35,15 @@
 
 @dataclass(slots=True, eq=False)
 class ShardRequest:
-    """A shard request and its attempts."""
+    """A shard request and its attempts; the lists hold one item per attempt, in order."""
 
     id: int
     statement: ShardStatement
     attempts: list[OutgoingCall] = field(default_factory=list)
-    lifecycle_attempts: list[Attempt | None] = field(
-        default_factory=list
-    )  # of the attempts; None for one never made
+    # None for a denied attempt
+    lifecycle_attempts: list[Attempt | None] = field(default_factory=list)
     sent_at: list[float] = field(default_factory=list)
-    answer: ShardRowStream | None = None  # the attempt whose rows count, whole or begun
+    answer: ShardRowStream | None = None  # rows of the attempt that answers, complete or streaming
     oids: tuple[int, ...] = ()
 
 
@@ -62,19 +60,19 @@
     shard_requests: list[ShardRequest]
     memory: Memory
     done: Callable[[list[ShardRequest] | PgError], None]
-    began: float
-    lifecycle_request: Query
+    arrived_at: float
+    lifecycle_query: Query
     attempt_history: list[tuple] = field(default_factory=list)  # (shard, endpoint, outcome, ms)
     given_up: FailureReason | None = None
 
     @property
     def ended(self) -> bool:
-        """Whether nothing is owed to its client any more."""
-        return not self.lifecycle_request.is_open
+        """Whether it has been answered or abandoned."""
+        return not self.lifecycle_query.is_open
 
 
 class Coordinator:
-    """Between the module and the sockets. Times in milliseconds of the reactor's clock."""
+    """Connects the routing policy to the sockets. Times are ms of the reactor's clock."""
 
     def __init__(
         self,
@@ -84,7 +82,7 @@
         pools: ConnectionPool,
         memory_reservations: MemoryReservations,
         on_watch: Callable[[bool], None],
-        on_broken: Callable[[BaseException], None],
+        on_policy_error: Callable[[BaseException], None],
     ) -> None:
         self.reactor, self.pools, self.memory_reservations, self.settings = (
             reactor,
@@ -94,10 +92,10 @@
         )
         self.on_violation: Callable[[Violation], None] = lambda violation: None  # for the log
         self.lifecycle = Lifecycle(settings, lambda violation: self.on_violation(violation))
-        self.on_watch, self.on_broken = on_watch, on_broken
+        self.on_watch, self.on_policy_error = on_watch, on_policy_error
         self.queries: dict[int, RoutedQuery] = {}
         self._shard_requests: dict[int, tuple[RoutedQuery, ShardRequest]] = {}
-        self._ids = 0
+        self._last_id = 0
         self.counts = {
             "taken": 0,
             "answered": 0,
@@ -107,7 +105,7 @@
             "sends": 0,
         }
         self.given_up: Counter[FailureReason] = Counter()
-        acts = {
+        handlers = {
             routing.Send: self._send,
             routing.Cancel: self._cancel,
             routing.Answer: self._answer,
@@ -116,7 +114,7 @@
             routing.CloseIdleConnections: self._close_idle,
             routing.WatchEndpoints: lambda action: self.on_watch(action.on),
         }
-        self.loop = PolicyEventLoop(reactor, settings, seed, acts, self._broken)
+        self.loop = PolicyEventLoop(reactor, settings, seed, handlers, self._on_policy_error)
 
     @property
     def now(self) -> float:
@@ -125,18 +123,18 @@
 
     @property
     def steps(self) -> int:
-        """Number of steps taken."""
+        """Number of steps of the policy so far."""
         return self.loop.steps
 
     def start(self) -> None:
-        """Start: the policy asks for the endpoint list."""
+        """Run the first step, in which the policy requests the endpoint list."""
         self.loop.enqueue()
 
     def stop(self) -> None:
-        """No more steps; open queries have been answered before."""
+        """Run no more steps; open queries must have been answered before."""
         self.loop.stop()
 
-    # --- in ---------------------------------------------------------------------------
+    # --- events ---------------------------------------------------------------------------
 
     def submit(
         self,
@@ -144,23 +142,23 @@
         remaining: float,
         requests: Sequence[ShardStatement],
         done: Callable[[list[ShardRequest] | PgError], None],
-        repeat: bool = False,
-        streams: bool = False,
+        is_retry: bool = False,
+        streams_rows: bool = False,
     ) -> RoutedQuery:
-        """Take a query. `remaining` is what its client will wait, in ms.
+        """Accept a query. `remaining` is the time until its deadline, in ms.
 
-        `streams` tells that its rows may leave before its parts are whole.
+        With `streams_rows`, rows may be sent to the client before its shard requests are complete.
         """
-        self._ids += 1
-        query_id = number = self._ids
+        self._last_id += 1
+        query_id = number = self._last_id
         shard_requests = []
         self.loop.enqueue(
             routing.QueryArrived(
-                query_id, number, query_class, remaining, len(requests), is_retry=repeat
+                query_id, number, query_class, remaining, len(requests), is_retry=is_retry
             )
         )
         cls, now = self.settings.classes[query_class], self.now
-        lifecycle_request = self.lifecycle.accept(
+        lifecycle_query = self.lifecycle.accept(
             str(query_id), cls.idempotency, cls.dedup_window, now + remaining, len(requests), now
         )
         query = RoutedQuery(
@@ -168,16 +166,16 @@
             number,
             query_class,
             shard_requests,
-            self.memory_reservations.open(streams),
+            self.memory_reservations.open(streams_rows),
             done,
             now,
-            lifecycle_request,
+            lifecycle_query,
         )
-        query.memory.on_refused = lambda problem: self._no_memory(query, problem)
-        query.memory.on_began = lambda stream: self._began(query, stream)
+        query.memory.on_refused = lambda problem: self._on_memory_rejected(query, problem)
+        query.memory.on_began = lambda stream: self._on_streaming_started(query, stream)
         for request in requests:
-            self._ids += 1
-            shard_request = ShardRequest(self._ids, request)
+            self._last_id += 1
+            shard_request = ShardRequest(self._last_id, request)
             shard_requests.append(shard_request)
             self._shard_requests[shard_request.id] = query, shard_request
             self.loop.enqueue(
@@ -195,21 +193,21 @@
             return
         self.counts["cancelled"] += 1
         self.loop.enqueue(routing.QueryCancelled(query.id))
-        self.lifecycle.abandon(query.lifecycle_request, self.now)
+        self.lifecycle.abandon(query.lifecycle_query, self.now)
         self._close_query(query, error or cancelled())
 
     def handle_endpoint_list(self, event: routing.EndpointListUpdate) -> None:
-        """Apply an endpoint list: nothing starts any more at an endpoint that is not in service."""
+        """Apply an endpoint list; no attempt starts at an endpoint that is not in service."""
         self.lifecycle.update_endpoints(event)
         self.loop.enqueue(event)
 
-    def _broken(self, error: Exception) -> None:
-        """The policy raised an error: answer all open queries."""
+    def _on_policy_error(self, error: Exception) -> None:
+        """Fail all open queries after the policy raised an error."""
         for query in list(self.queries.values()):
-            self._end(query, PgError(INTERNAL, "the router's decision module failed"))
-        self.on_broken(error)
+            self._fail_query(query, PgError(INTERNAL, "the router's decision module failed"))
+        self.on_policy_error(error)
 
-    # --- out --------------------------------------------------------------------------
+    # --- actions --------------------------------------------------------------------------
 
     def _send(self, action: routing.Send) -> None:
         query, shard_request = self._shard_requests[action.shard_request]
@@ -219,7 +217,7 @@
         self.counts["sends"] += 1
         try:
             lifecycle_attempt = self.lifecycle.prepare_attempt(
-                query.lifecycle_request,
+                query.lifecycle_query,
                 shard_request.id,
                 action.endpoint,
                 action.timeout,
@@ -227,7 +225,7 @@
                 now,
             )
         except AttemptDeniedError:
-            self._never_sent(action, shard_request, number)
+            self._on_attempt_denied(action, shard_request, number)
             return
         shard_request.lifecycle_attempts.append(lifecycle_attempt)
         stream = ShardRowStream(query.memory, shard_request.statement.shard)
@@ -247,18 +245,20 @@
         stream.on_close = lambda: self.pools.cancel(call)
         shard_request.attempts.append(call)
 
-    def _never_sent(self, action: routing.Send, shard_request: ShardRequest, number: int) -> None:
-        """End a send that was not allowed; the policy counts it among the attempts of its part."""
+    def _on_attempt_denied(
+        self, action: routing.Send, shard_request: ShardRequest, number: int
+    ) -> None:
+        """Report a denied attempt as not sent; the policy counts it among the attempts."""
         shard_request.lifecycle_attempts.append(None)
-        shard_request.attempts.append(OutgoingCall.never(action.endpoint, shard_request.statement))
+        shard_request.attempts.append(OutgoingCall.denied(action.endpoint, shard_request.statement))
         self.loop.enqueue(
             routing.AttemptEnded(
                 shard_request.id, number, action.endpoint, routing.Outcome.NOT_SENT, 0.0
             )
         )
 
-    def _began(self, query: RoutedQuery, stream: ShardRowStream) -> None:
-        """Rows of this attempt are to leave as they come: the module hears that it has begun."""
+    def _on_streaming_started(self, query: RoutedQuery, stream: ShardRowStream) -> None:
+        """Commit to the attempt whose rows are about to be streamed, and notify the policy."""
         for shard_request in query.shard_requests:
             for number, call in enumerate(shard_request.attempts):
                 if (
@@ -293,13 +293,13 @@
         query.attempt_history.append(
             (shard_request.statement.shard, endpoint, result.outcome.value, round(latency, 1))
         )
-        answered = result.outcome is routing.Outcome.SUCCEEDED
+        succeeded = result.outcome is routing.Outcome.SUCCEEDED
         if stream is not None and stream.committed:
-            self._stream_ended(query, stream, result)
-        elif answered and not query.ended and shard_request.answer is None:
-            if result.error is not None:  # the query's own fault: its client hears it at once
+            self._on_streamed_attempt_ended(query, stream, result)
+        elif succeeded and not query.ended and shard_request.answer is None:
+            if result.error is not None:  # an error in the query itself, so not retried
                 self.loop.enqueue(routing.QueryCancelled(query.id))
-                self._end(query, result.error)
+                self._fail_query(query, result.error)
             else:
                 shard_request.answer, shard_request.oids = stream, result.oids
                 stream.finish()
@@ -308,10 +308,10 @@
         if query.ended and all(s.ended for s in shard_request.attempts):
             self._shard_requests.pop(shard_request.id, None)
 
-    def _stream_ended(
+    def _on_streamed_attempt_ended(
         self, query: RoutedQuery, stream: ShardRowStream, result: AttemptResult
     ) -> None:
-        """End an attempt whose rows may have been sent: complete or an error, never a retry."""
+        """End an attempt whose rows may have reached the client: complete or failed, no retry."""
         if result.outcome is routing.Outcome.SUCCEEDED:
             stream.finish(result.error)
             return
@@ -323,13 +323,13 @@
         stream.finish(problem)
         if not query.ended:
             self.loop.enqueue(routing.QueryCancelled(query.id))
-            self._end(query, problem)
+            self._fail_query(query, problem)
 
-    def _no_memory(self, query: RoutedQuery, problem: PgError) -> None:
+    def _on_memory_rejected(self, query: RoutedQuery, problem: PgError) -> None:
         if not query.ended:
             self.loop.enqueue(routing.QueryCancelled(query.id))
-            self._end(query, problem)
-        else:  # its rows are on their way out
+            self._fail_query(query, problem)
+        else:  # its rows are being streamed to the client
             for shard_request in query.shard_requests:
                 for call in shard_request.attempts:
                     if call.stream is not None:
@@ -346,53 +346,55 @@
         if query is None:
             return
         if not action.complete:
-            # No front asks for answers in part yet.
+            # No client interface supports partial answers yet.
             self._fail(routing.Fail(action.query, FailureReason.INCOMPLETE))
             return
         missing = sum(shard_request.answer is None for shard_request in query.shard_requests)
         allowed = self.lifecycle.answer(
-            query.lifecycle_request, AnswerKind.COMPLETE, self.now, missing
+            query.lifecycle_query, AnswerKind.COMPLETE, self.now, missing
         )
         if allowed is AnswerKind.COMPLETE:
             self.counts["answered"] += 1
             self._close_query(query, query.shard_requests)
         elif allowed is AnswerKind.FAILED:
             self.counts["failed"] += 1
-            self._close_query(query, given_up())
+            self._close_query(query, outcome_unknown_error())
 
     def _reject(self, action: routing.Reject) -> None:
         query = self.queries.get(action.query)
         if query is not None:
-            refused = PgError(
+            rejection = PgError(
                 QUERY_REJECTED,
                 "refused: not answerable in time now; trying again is harmless",
                 detail=f"retry_after_ms={action.retry_after:.0f}",
                 hint="come back after the time in the detail field",
             )
-            self._give_up(query, action.reason)
-            allowed = self.lifecycle.answer(query.lifecycle_request, AnswerKind.REJECTED, self.now)
+            self._record_failure_reason(query, action.reason)
+            allowed = self.lifecycle.answer(query.lifecycle_query, AnswerKind.REJECTED, self.now)
             self.counts["refused" if allowed is AnswerKind.REJECTED else "failed"] += 1
-            self._close_query(query, refused if allowed is AnswerKind.REJECTED else given_up())
+            self._close_query(
+                query, rejection if allowed is AnswerKind.REJECTED else outcome_unknown_error()
+            )
 
     def _fail(self, action: routing.Fail) -> None:
         query = self.queries.get(action.query)
         if query is not None:
             self.counts["failed"] += 1
-            self._give_up(query, action.reason)
-            self._end(query, given_up())
+            self._record_failure_reason(query, action.reason)
+            self._fail_query(query, outcome_unknown_error())
 
-    def _give_up(self, query: RoutedQuery, reason: FailureReason) -> None:
-        """Record the reason for counters and for the query log."""
+    def _record_failure_reason(self, query: RoutedQuery, reason: FailureReason) -> None:
+        """Record why a query failed, for the counters and the query log."""
         query.given_up = reason
         self.given_up[reason] += 1
 
-    def _end(self, query: RoutedQuery, problem: PgError) -> None:
-        """The one final answer of a query that has failed."""
-        if self.lifecycle.answer(query.lifecycle_request, AnswerKind.FAILED, self.now) is not None:
+    def _fail_query(self, query: RoutedQuery, problem: PgError) -> None:
+        """Answer a query with an error, unless it has its final answer."""
+        if self.lifecycle.answer(query.lifecycle_query, AnswerKind.FAILED, self.now) is not None:
             self._close_query(query, problem)
 
     def _close_query(self, query: RoutedQuery, answer: list[ShardRequest] | PgError) -> None:
-        """A query has been answered or abandoned."""
+        """Remove a query that has been answered or abandoned, and report its answer."""
         self.queries.pop(query.id, None)
         for shard_request in query.shard_requests:
             if all(s.ended for s in shard_request.attempts):
@@ -405,8 +407,8 @@
         self.pools.close_idle(action.endpoint)
 
 
-def given_up() -> PgError:
-    """The answer to a query that may or may not have run."""
+def outcome_unknown_error() -> PgError:
+    """Return the error for a query that may or may not have been executed."""
     return PgError(
         FAILED,
         "given up: it may or may not have taken effect",
--- a/tansycrank/sql_router/node_connection.py
+++ b/tansycrank/sql_router/node_connection.py
@@ -1,8 +1,8 @@
 """One connection to a data node, as a client of the PostgreSQL protocol.
 
 A connection runs one shard request at a time and reports exactly one `AttemptResult` for it.
-What an outcome proves follows the table on the operators' page: only a request that never left this
-process, or was rejected before that, was never executed.
+Only a request of which no byte left this process, or that the node rejected before the request was
+sent, counts as never executed.
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
 from tansycrank.routing import Outcome
 from tansycrank.single_connection import SingleConnectionFactory
 
-READ_AT_ONCE = 16 * 1024  # bytes
-REQUEST_KEY = "tansycrank.request_key"
+READ_BUFFER_BYTES = 16 * 1024
+REQUEST_KEY_SETTING = "tansycrank.request_key"
 
-# Message types of PostgreSQL's backend
+# Message types of the PostgreSQL backend
 DATA_ROW = ord("D")
 READY_FOR_QUERY = ord("Z")
 COMMAND_COMPLETE = ord("C")
@@ -49,14 +49,18 @@
     STARTING = "starting"  # connecting or logging in
     IDLE = "idle"
     BUSY = "busy"  # running a shard request
-    CANCELLING = "cancelling"  # cancelled; the node has not finished yet
-    AWAITING_CANCEL = "awaiting_cancel"  # ready again, but the CancelRequest may still arrive
+    CANCELLING = "cancelling"  # abandoned; the node has not finished the request yet
+    AWAITING_CANCEL = "awaiting_cancel"  # ready, but the CancelRequest may still arrive
     CLOSED = "closed"
 
 
 @dataclass(frozen=True, slots=True)
 class ShardStatement:
-    """A statement that a data node runs, or describes where `describe` is set."""
+    """A statement that a data node runs, or only describes if `describe` is set.
+
+    `oids` and `formats` are the types and formats of the parameters, `results` the formats of the
+    result columns, `key` the idempotency key.
+    """
 
     shard: int
     sql: str
@@ -68,22 +72,22 @@
     describe: bool = False
 
     def encode(self) -> bytes:
-        """The protocol messages, up to their Sync."""
+        """Return the protocol messages, up to and including Sync."""
         if self.describe:
             return pg.parse(self.sql, self.oids) + pg.describe("S") + pg.SYNC_FRAME
-        head = b""
-        if (
-            self.key
-        ):  # in the transaction of the statement: the store drops repeats of the key in its window
+        set_key = b""
+        if self.key:
+            # In the transaction of the statement; within the deduplication window the store
+            # executes only the first statement with the same key.
             literal = self.key.replace("'", "''")
-            head = (
-                pg.parse(f"SET LOCAL {REQUEST_KEY} = '{literal}'", ())
+            set_key = (
+                pg.parse(f"SET LOCAL {REQUEST_KEY_SETTING} = '{literal}'", ())
                 + pg.bind((), (), ())
                 + pg.execute()
             )
         return b"".join(
             (
-                head,
+                set_key,
                 pg.parse(self.sql, self.oids),
                 pg.bind(self.values, self.formats, self.results),
                 pg.describe("P"),
@@ -95,10 +99,10 @@
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How a part ended at a node: an outcome, and with `ANSWERED` perhaps the statement's own
-    error.
+    """How an attempt ended.
 
-    Its rows are in the stream that the send was given.
+    With the outcome `SUCCEEDED`, `error` is an error in the statement itself. The rows are in
+    the stream that was passed to `ConnectionPool.send`.
     """
 
     outcome: Outcome
@@ -107,7 +111,10 @@
 
 
 class NodeConnection(LineReceiver):
-    """The protocol of one connection; its pool sets `on_ready` and `on_lost`."""
+    """The client side of one connection; its pool sets `on_ready` and `on_lost`.
+
+    `cancel_grace` is in seconds.
+    """
 
     def __init__(
         self,
@@ -116,47 +123,46 @@
         cancel_grace: float,
         reactor,
         notifications: PendingNotifications,
-        later: Callable[[NodeConnection], None] | None = None,
+        defer_read: Callable[[NodeConnection], None] | None = None,
     ) -> None:
         self._notifications = notifications
         self.parameters, self.cancel_grace, self.reactor = parameters, cancel_grace, reactor
-        self.defer_read = (
-            later  # puts the link in the line of large work; None: everything is read at once
-        )
+        # Queues the connection for the worker of large results; None to read immediately.
+        self.defer_read = defer_read
         self.frames = pg.RowFrames(max_row)
         self.state = ConnectionState.STARTING
-        self.key: tuple[int, int] | None = None
-        self.refusal: PgError | None = None
+        self.cancel_key: tuple[int, int] | None = None
+        self.login_error: PgError | None = None
         self.on_ready: Callable[[NodeConnection], None] = lambda connection: None
         self.on_lost: Callable[[NodeConnection, PgError | None], None] = (
-            lambda connection, refusal: None
+            lambda connection, login_error: None
         )
-        self.used = 0.0
+        self.last_used = 0.0
         self._done: Callable[[AttemptResult], None] | None = None
-        self._ended = AttemptResult(Outcome.SUCCEEDED)
+        self._result = AttemptResult(Outcome.SUCCEEDED)
         self._stream: ShardRowStream | None = None
-        self._hold_requested = self._is_paused = False  # told to stop reading; not reading
-        self._pending = b""  # received data of a large result, not read yet
-        self._cancel_open = False  # a late CancelRequest would cancel the next statement
-        self._grace = None
-        self._unsent: Attempt | None = None  # its request was written, and no byte of it has left
+        self._hold_requested = self._is_paused = False  # requested by the stream; applied
+        self._pending = b""  # received bytes of a large result, not parsed yet
+        self._cancel_in_flight = False  # a late CancelRequest would cancel the next statement
+        self._grace_timer = None
+        # Its request is in the transport's buffer, and no byte of it has been sent.
+        self._unsent_attempt: Attempt | None = None
 
     # --- Twisted ----------------------------------------------------------------------
 
     def connectionMade(self) -> None:
-        """Log in, unless the connection was given up meanwhile."""
+        """Log in, unless the connection was closed meanwhile."""
         self.setRawMode()
-        if self.state is ConnectionState.CLOSED:  # given up while it was connecting
+        if self.state is ConnectionState.CLOSED:  # closed while connecting
             self.transport.abortConnection()
             return
         self.transport.setTcpNoDelay(True)
-        self.transport.bufferSize = (
-            READ_AT_ONCE  # a block is a stretch of work: 64 kB would be long
-        )
+        # Bounds the work per read; with 64 kB blocks a read would hold up the event loop too long.
+        self.transport.bufferSize = READ_BUFFER_BYTES
         self.transport.write(pg.startup(self.parameters))
 
     def rawDataReceived(self, data: bytes) -> None:
-        """Read at once, or buffer data of a large result for the worker."""
+        """Parse data at once, or buffer data of a large result for the worker."""
         is_large = (
             self.state is ConnectionState.BUSY
             and self._stream is not None
@@ -172,7 +178,7 @@
             self._read(data)
 
     def step(self) -> bool:
-        """Read buffered data of a large result; called by the worker of large results."""
+        """Parse buffered data; called by the worker of large results."""
         data, self._pending = self._pending, b""
         if self.state is not ConnectionState.CLOSED:
             self._read(data)
@@ -183,20 +189,20 @@
         try:
             for kind, message, count in self.frames.feed(data):
                 if kind == DATA_ROW:
-                    self._rows(message, count)
+                    self._on_rows(message, count)
                 else:
-                    self._message(kind, message)
+                    self._on_message(kind, message)
                 if self.state is ConnectionState.CLOSED:
                     return
         except PgError as problem:
-            self._lost(problem if isinstance(problem, ProtocolError) else None)
+            self._on_lost(problem if isinstance(problem, ProtocolError) else None)
             self.transport.abortConnection()
 
     def connectionLost(self, reason=None) -> None:
         """Report the loss to the running request and to the pool."""
-        if self._pending:  # it may hold the end of the result, which is then no loss
+        if self._pending:  # it may hold the end of the result
             self.step()
-        self._lost(None)
+        self._on_lost(None)
 
     # --- for the pool -----------------------------------------------------------------
 
@@ -207,95 +213,96 @@
         done: Callable[[AttemptResult], None],
         attempt: Attempt,
     ) -> None:
-        """Send a shard request; its rows go to the stream. From here on it may have run, unless it
-        ends as not sent.
+        """Send a shard request; its rows go to the stream. From now on it may have been
+        executed, unless it ends as not sent.
         """
         assert self.state is ConnectionState.IDLE
-        self.state, self._unsent = ConnectionState.BUSY, attempt
-        self._done, self._ended = done, AttemptResult(Outcome.SUCCEEDED)
-        self._stream, stream.hold = stream, self._hold
+        self.state, self._unsent_attempt = ConnectionState.BUSY, attempt
+        self._done, self._result = done, AttemptResult(Outcome.SUCCEEDED)
+        self._stream, stream.hold = stream, self._set_hold
         self.transport.write(request.encode())
 
     def may_write(self) -> bool:
-        """Whether what was written may leave now; a shard request is asked about once more."""
-        if self._unsent is None:
+        """Whether written data may be sent now; checks again that a shard request may start."""
+        if self._unsent_attempt is None:
             return True
         self._notifications.ensure_read()  # may end the request, or close this connection
         if self.state is ConnectionState.BUSY:
-            if self._unsent.may_still_start(self.reactor.seconds() * 1000):
+            if self._unsent_attempt.may_still_start(self.reactor.seconds() * 1000):
                 return True
-            self._take_back_request()
+            self._withdraw_request()
         elif self.state is ConnectionState.CANCELLING:
-            self._unsent = None
-            self._settle()
+            self._unsent_attempt = None
+            self._on_cancelled()
         return False
 
     def on_bytes_written(self) -> None:
-        """Note that the shard request has begun to leave."""
-        self._unsent = None
+        """Note that the first bytes of the shard request were sent."""
+        self._unsent_attempt = None
 
-    def _take_back_request(self) -> None:
-        """End a shard request of which nothing has left; the connection is idle again."""
-        self._unsent.undo_start()
-        self._unsent = None
+    def _withdraw_request(self) -> None:
+        """End a shard request of which no byte was sent; the connection is idle again."""
+        self._unsent_attempt.undo_start()
+        self._unsent_attempt = None
         self.state = ConnectionState.IDLE
         self._finish(AttemptResult(Outcome.NOT_SENT))
         if self.state is ConnectionState.IDLE:
             self.on_ready(self)
 
-    def give_up(self, outcome: Outcome) -> None:
-        """Stop waiting (cancelled, or timed out): report at once, ask the node to stop, settle or
-        close.
+    def abandon(self, outcome: Outcome) -> None:
+        """End the running request with `outcome` at once and ask the node to cancel it.
+
+        The connection is closed if the node does not finish within `cancel_grace`.
         """
         if self.state is not ConnectionState.BUSY:
             return
         self.state = ConnectionState.CANCELLING
         self._finish(AttemptResult(outcome))
-        self._hold(False)  # what is on its way is read and dropped
-        self._grace = self.reactor.callLater(self.cancel_grace, self.abort)
-        if self.key is not None:
-            self._cancel_open = True
+        self._set_hold(False)  # the remaining rows are read and discarded
+        self._grace_timer = self.reactor.callLater(self.cancel_grace, self.abort)
+        if self.cancel_key is not None:
+            self._cancel_in_flight = True
             peer = self.transport.getPeer()
-            canceller = _Canceller(self.key, self._cancel_closed)
-            factory = SingleConnectionFactory(canceller, canceller.connectionLost)
+            cancel_connection = _CancelConnection(self.cancel_key, self._on_cancel_closed)
+            factory = SingleConnectionFactory(cancel_connection, cancel_connection.connectionLost)
             self.reactor.connectTCP(peer.host, peer.port, factory, timeout=self.cancel_grace)
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection at once."""
         if self.state is not ConnectionState.CLOSED:
-            self._lost(None)
+            self._on_lost(None)
             if self.transport is not None:
                 self.transport.abortConnection()
 
-    def leave(self) -> None:
+    def close(self) -> None:
         """Close an idle connection with Terminate, any other at once."""
         if self.state is ConnectionState.IDLE:
             self.transport.write(pg.TERMINATE_FRAME)
-            self._lost(None)
+            self._on_lost(None)
             self.transport.loseConnection()
         else:
             self.abort()
 
-    # --- inside -----------------------------------------------------------------------
+    # --- internal -----------------------------------------------------------------------
 
-    def _cancel_closed(self) -> None:
-        self._cancel_open = False
+    def _on_cancel_closed(self) -> None:
+        self._cancel_in_flight = False
         if self.state is ConnectionState.AWAITING_CANCEL:
             self._become_idle()
 
-    def _settle(self) -> None:
+    def _on_cancelled(self) -> None:
         self.state = ConnectionState.AWAITING_CANCEL
-        if not self._cancel_open:
+        if not self._cancel_in_flight:
             self._become_idle()
 
     def _become_idle(self) -> None:
-        if self._grace is not None and self._grace.active():
-            self._grace.cancel()
+        if self._grace_timer is not None and self._grace_timer.active():
+            self._grace_timer.cancel()
         self.state = ConnectionState.IDLE
         self.on_ready(self)
 
-    def _hold(self, stop: bool) -> None:
-        """Pause reading, so that TCP applies back pressure to the node; or resume."""
+    def _set_hold(self, stop: bool) -> None:
+        """Pause reading, so that TCP applies backpressure to the node, or resume."""
         if self.state in (ConnectionState.BUSY, ConnectionState.CANCELLING):
             self._hold_requested = stop
             self._set_reading()
@@ -311,43 +318,42 @@
             else:
                 self.transport.resumeProducing()
 
-    def _rows(self, block: bytes, count: int) -> None:
+    def _on_rows(self, block: bytes, count: int) -> None:
         if self.state is not ConnectionState.BUSY:
             return
         try:
             self._stream.add(block, count)
-        except PgError as problem:  # they can't be held: the query ends, the node is healthy
+        except PgError as problem:  # no memory for the rows, which is no fault of the node
             self.state = ConnectionState.CANCELLING
             self._finish(AttemptResult(Outcome.SUCCEEDED, problem))
             self.abort()
 
     def _finish(self, ended: AttemptResult) -> None:
-        self._hold_requested = (
-            False  # paused by its last block, the connection would never read again
-        )
+        # If the last block paused the connection, nothing else would resume it.
+        self._hold_requested = False
         self._set_reading()
         done, self._done, self._stream = self._done, None, None
         if done is not None:
             done(ended)
 
     def on_connect_failed(self, reason) -> None:
-        """The connection could not be made."""
+        """Report a failed connect to the pool."""
         if not reason.check(error.UserError) or self.state is ConnectionState.STARTING:
-            self._lost(None)
+            self._on_lost(None)
 
-    def _lost(self, problem: PgError | None) -> None:
+    def _on_lost(self, problem: PgError | None) -> None:
         if self.state is ConnectionState.CLOSED:
             return
         previous, self.state = self.state, ConnectionState.CLOSED
-        if self._grace is not None and self._grace.active():
-            self._grace.cancel()
+        if self._grace_timer is not None and self._grace_timer.active():
+            self._grace_timer.cancel()
         if previous is ConnectionState.BUSY:
             self._finish(AttemptResult(Outcome.CONNECTION_LOST, error=problem))
-        self.on_lost(self, self.refusal)
+        self.on_lost(self, self.login_error)
 
-    def _message(self, kind: int, message: bytes) -> None:
+    def _on_message(self, kind: int, message: bytes) -> None:
         if kind == READY_FOR_QUERY:
-            self._ready()
+            self._on_ready_for_query()
         elif kind == COMMAND_COMPLETE:
             if self._stream is not None:
                 self._stream.tag = message[5:-1].decode("utf-8", "replace")
@@ -355,33 +361,33 @@
             if self._stream is not None:
                 self._stream.fields = pg.read_row_description(message)
         elif kind == ERROR_RESPONSE:
-            self._error(pg.read_error(message))
+            self._on_error_response(pg.read_error(message))
         elif kind == PARAMETER_DESCRIPTION:
-            self._ended.oids = pg.read_parameter_description(message)
+            self._result.oids = pg.read_parameter_description(message)
         elif kind == AUTHENTICATION:
             if pg.Reader(message, 5).int32() != 0:
-                self.refusal = PgError(FEATURE_NOT_SUPPORTED, "the node asks for a password")
+                self.login_error = PgError(FEATURE_NOT_SUPPORTED, "the node asks for a password")
                 self.abort()
         elif kind == BACKEND_KEY_DATA:
             reader = pg.Reader(message, 5)
-            self.key = reader.int32(), reader.int32()
-        elif kind in COPY_RESPONSES:  # copy modes are never asked for
+            self.cancel_key = reader.int32(), reader.int32()
+        elif kind in COPY_RESPONSES:  # the router never requests COPY
             raise ProtocolError("the node went into a copy mode")
 
-    def _error(self, problem: PgError) -> None:
+    def _on_error_response(self, problem: PgError) -> None:
         if self.state is ConnectionState.STARTING:
-            self.refusal = problem
-        elif self._ended.error is None:
-            self._ended.error = problem
+            self.login_error = problem
+        elif self._result.error is None:
+            self._result.error = problem
 
-    def _ready(self) -> None:
+    def _on_ready_for_query(self) -> None:
         if self.state is ConnectionState.STARTING:
             self.state = ConnectionState.IDLE
             self.on_ready(self)
         elif self.state is ConnectionState.CANCELLING:
-            self._settle()
+            self._on_cancelled()
         elif self.state is ConnectionState.BUSY:
-            ended, self.state = self._ended, ConnectionState.IDLE
+            ended, self.state = self._result, ConnectionState.IDLE
             problem = ended.error
             if problem is not None and not problem.is_query_fault:
                 ended.outcome = Outcome.ERROR
@@ -390,16 +396,16 @@
                 self.on_ready(self)
 
 
-def refused_outcome(refusal: PgError | None) -> Outcome:
-    """The outcome of a connection that never became ready: rejected, or not connected."""
+def login_failure_outcome(login_error: PgError | None) -> Outcome:
+    """Return the outcome of a call whose connection never became ready."""
     return (
         Outcome.REJECTED
-        if refusal is not None and refusal.state in REJECTED_BEFORE_RUN
+        if login_error is not None and login_error.state in REJECTED_BEFORE_RUN
         else Outcome.CONNECT_FAILED
     )
 
 
-class _Canceller(Protocol):
+class _CancelConnection(Protocol):
     def __init__(self, key: tuple[int, int], done: Callable[[], None]) -> None:
         self.key, self.done = key, done
 
@@ -410,4 +416,4 @@
         self.done()
 
 
-__all__ = ["AttemptResult", "NodeConnection", "ShardStatement", "refused_outcome"]
+__all__ = ["AttemptResult", "NodeConnection", "ShardStatement", "login_failure_outcome"]
--- a/tansycrank/sql_router/parameters.py
+++ b/tansycrank/sql_router/parameters.py
@@ -1,4 +1,4 @@
-"""Parameters of a statement as values, and hashes of a statement with and without them."""
+"""Decoding of statement parameters, and hashes of statements with and without parameters."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def decode_parameters(prepared: Prepared, values, formats) -> list[object]:
-    """The parameters of a statement as values. Raises PgError 08P01, 22P02, 22P03."""
+    """Decode the parameters of a statement. Raises PgError 08P01, 22P02, 22P03."""
     if len(values) != len(prepared.oids):
         raise PgError(
             "08P01",
@@ -34,7 +34,7 @@
 
 
 def query_hash(caller_id: CallerIdentity, sql: str, values: tuple[bytes | None, ...]) -> int:
-    """A hash that identifies a query among those of its client; never 0."""
+    """Return a hash that identifies a query among those of its client; never 0."""
     digest = xxhash.xxh3_64(f"{caller_id.tenant}|{caller_id.client}|{sql.rstrip('; ')}".encode())
     for value in values:
         digest.update(b"-" if value is None else b"+" + value)
@@ -42,5 +42,8 @@
 
 
 def statement_hash(sql: str) -> int:
-    """A hash of a statement without its literals; statements of one hash cost alike."""
+    """Return a hash of a statement without its literals.
+
+    Statements with the same hash are assumed to have similar costs.
+    """
     return xxhash.xxh3_64_intdigest(LITERAL.sub("?", sql).encode())
--- a/tansycrank/sql_router/service.py
+++ b/tansycrank/sql_router/service.py
@@ -1,8 +1,8 @@
-"""What the fronts ask for: statements prepared, described and run. It joins planner, coordinator
-and merge.
+"""Prepares, describes and runs statements for the PostgreSQL server.
 
-Class, deadline, key and tenant come from session settings, `statement_timeout`, patterns of
-statements.
+It connects the planner, admission control, the coordinator and the merge. A query's class,
+deadline, idempotency key and tenant come from session settings, `statement_timeout` and statement
+patterns.
 """
 
 from __future__ import annotations
@@ -37,13 +37,11 @@
     remaining_ms,
 )
 
-STORE_STATEMENT = re.compile(
-    r"\s*(?:select|insert|update|delete|with)\b[^;]*;?\s*$", re.I
-)  # one, for the store
-UNKNOWN_CALLER = Caller("", "", "")  # who asks where no session does
-MERGE_AT_ONCE_BYTES = (
-    192 * 1024
-)  # bytes of parts that are merged in one go; more is merged in slices
+# A text of exactly one statement that goes to data nodes
+SINGLE_STATEMENT = re.compile(r"\s*(?:select|insert|update|delete|with)\b[^;]*;?\s*$", re.I)
+UNKNOWN_CALLER = Caller("", "", "")  # for requests without a session
+# Up to this total size, shard results are merged at once; larger ones in cooperative tasks.
+INLINE_MERGE_MAX_BYTES = 192 * 1024
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,13 +59,13 @@
 
 @dataclass(slots=True)
 class RunningStatement:
-    """A handle to cancel by."""
+    """A handle to cancel a running statement."""
 
     entry: AdmissionEntry
 
 
 class Service:
-    """One core under all fronts."""
+    """Runs the statements of all sessions of a router."""
 
     def __init__(self, config: Config, coordinator: Coordinator, log=None) -> None:
         self.config, self.coordinator, self.log = config, coordinator, log
@@ -90,13 +88,13 @@
         self.admission = AdmissionController(reactor, admission_policy(config), self.log)
 
     def prepare(self, sql: str, oids: tuple[int, ...] = ()) -> tuple[Prepared, ...]:
-        """Understand a text of statements, or raise PgError."""
+        """Parse and plan a text of statements. Raises PgError."""
         return self.planner.statements(sql, oids)
 
-    # --- who may enter, and what operators see ---------------------------------------------
+    # --- access control and operators' views ---------------------------------------------
 
     def connection_error(self, caller: Caller) -> PgError | None:
-        """Why a client may not have a session, if so."""
+        """Return the error for a client that may not connect, or None."""
         if self.identity.may_connect(caller.address):
             return None
         return PgError(
@@ -110,7 +108,10 @@
     def view(
         self, name: str, caller: Caller
     ) -> tuple[tuple[str, ...], list[tuple[str, ...]]] | None:
-        """(columns, rows) of an operators' view, None for other names. Raises PgError 42501."""
+        """Return (columns, rows) of an operators' view, None for other names.
+
+        Raises PgError 42501 for other callers.
+        """
         if name not in ("tansycrank.tenants", "tansycrank.admission"):
             return None
         self._check_operator(caller, name)
@@ -119,14 +120,17 @@
         return views.TENANT_COLUMNS, views.tenant_rows(self.admission)
 
     def change_limits(self, caller: Caller, text: str) -> None:
-        """Other limits for a tenant, while the router runs. Raises PgError 42501, 22023."""
+        """Change the limits of a tenant at run time. Raises PgError 42501, 22023."""
         self._check_operator(caller, "tansycrank.limits")
         views.change_limits(self.admission, text)
 
     # --- class and deadline -------------------------------------------------------------
 
     def check_setting(self, name: str, value: str) -> str:
-        """A value for a setting of the router. Raises PgError 22023 with what is allowed."""
+        """Validate a session setting and return its value.
+
+        Raises PgError 22023 naming the allowed values, or 42704 for an unknown setting.
+        """
         return check_setting(self.config.classes, name, value)
 
     def _remaining_ms(self, index: int, settings: Mapping[str, str]) -> float:
@@ -135,14 +139,15 @@
     # --- running ------------------------------------------------------------------------
 
     def decode_values(self, prepared: Prepared, values, formats) -> list[object]:
-        """The parameters of a statement as values. Raises PgError 08P01, 22P02, 22P03."""
+        """Decode the parameters of a statement. Raises PgError 08P01, 22P02, 22P03."""
         return decode_parameters(prepared, values, formats)
 
     def run(
         self, request: Request, done: Callable[[Result | PgError], None]
     ) -> RunningStatement | None:
-        """Run a statement; `done` hears exactly one Result or PgError. None where it was answered
-        at once.
+        """Run a statement; `done` is called once with a Result or PgError.
+
+        Returns None if it was answered at once.
         """
         prepared, settings = request.prepared, request.settings or {}
         try:
@@ -176,18 +181,20 @@
             )
             for p in shard_requests.shard_requests
         ]
-        began = self.coordinator.now
-        streams = form == QueryForm.IDEMPOTENT and prepared.returns_rows and pipeline.streams(plan)
-        repeat = is_repeat(settings)
+        arrived_at = self.coordinator.now
+        streams_rows = (
+            form == QueryForm.IDEMPOTENT and prepared.returns_rows and pipeline.streams(plan)
+        )
+        is_retry = is_repeat(settings)
 
         def start(remaining: float, ended: Callable[[Result | PgError], None]) -> RoutedQuery:
             def finished(answer: list[ShardRequest] | PgError) -> None:
                 outcome = self._result(request, plan, values, answer, routed_query)
-                self._log_query(request, index, form, routed_query, outcome, began)
+                self._log_query(request, index, form, routed_query, outcome, arrived_at)
                 ended(outcome)
 
             routed_query = self.coordinator.submit(
-                3 * index + form, remaining, requests, finished, repeat, streams
+                3 * index + form, remaining, requests, finished, is_retry, streams_rows
             )
             return routed_query
 
@@ -203,23 +210,26 @@
         settings: Mapping[str, str],
         values: tuple[bytes | None, ...] = (),
     ) -> PgError | None:
-        """Reject a statement before it is planned, if its tenant's turn is too far off anyway.
+        """Reject a statement before planning, if its tenant's queue is too long for its deadline.
 
-        `values` are its parameters, by which a reservation knows it. Under a flood, planning what
-        is rejected in the end would take all of the router's time.
+        `values` are its parameters, which identify it to a reservation. Under overload, planning
+        queries that are rejected in the end would take all of the router's CPU time.
         """
-        if not STORE_STATEMENT.match(sql):
+        if not SINGLE_STATEMENT.match(sql):
             return None
         caller_id = self.identity.identify(caller, settings.get("tansycrank.tenant", ""))
         if not self.admission.may_reject(caller_id.tenant):
             return None
         index = class_index(self.config.classes, sql, settings)
-        mark, remaining = query_hash(caller_id, sql, values), self._remaining_ms(index, settings)
+        fingerprint, remaining = (
+            query_hash(caller_id, sql, values),
+            self._remaining_ms(index, settings),
+        )
         return self.admission.reject_early(
             caller_id,
             3 * index + QueryForm.IDEMPOTENT,
             remaining,
-            mark,
+            fingerprint,
             is_repeat(settings),
             caller.session,
         )
@@ -234,7 +244,7 @@
         start,
         done,
     ) -> RunningStatement:
-        """Pass a query to admission control."""
+        """Submit a query to admission control."""
         caller_id = self.identity.identify(request.caller, settings.get("tansycrank.tenant", ""))
         sql = request.prepared.sql
         size = len(sql) + sum(len(value) for value in request.values if value is not None)
@@ -267,8 +277,8 @@
         shard_requests = [shard_request.answer for shard_request in answer]
         prepared = request.prepared
         try:
-            at_once = all(p.state == "whole" and p.run is None for p in shard_requests)
-            if at_once and sum(p.size for p in shard_requests) <= MERGE_AT_ONCE_BYTES:
+            is_in_memory = all(p.state == "whole" and p.run is None for p in shard_requests)
+            if is_in_memory and sum(p.size for p in shard_requests) <= INLINE_MERGE_MAX_BYTES:
                 frames = [
                     [f for block in p.blocks for f in frames_of(block)] for p in shard_requests
                 ]
@@ -298,7 +308,7 @@
             return Result(fields, (), "SELECT", stream, routed_query.memory)
         except PgError as problem:
             result = problem
-        except Exception as problem:  # a fault of the merge ends this query alone
+        except Exception as problem:  # a bug in the merge fails this query alone
             if self.log:
                 self.log.error("merge_failed", error=repr(problem), sql=prepared.sql[:500])
             result = PgError(INTERNAL, f"merging the parts failed: {type(problem).__name__}")
@@ -306,7 +316,7 @@
         return result
 
     def release(self, result: Result) -> None:
-        """The answer has been written out, or nobody wants it: its rows are held no longer."""
+        """Free the rows of a result that was sent or is no longer needed."""
         if result.stream is not None:
             result.stream.close()
         if result.memory is not None:
@@ -320,7 +330,7 @@
         )
 
     def cancel(self, running: RunningStatement, left: bool = False) -> None:
-        """The client cancels, or has left."""
+        """Cancel a statement whose client cancelled it or disconnected."""
         self.admission.cancel(running.entry, self.coordinator.abandon)
 
     def describe(
@@ -330,7 +340,10 @@
         done: Callable[[tuple[tuple[int, ...], tuple[Field, ...] | None] | PgError], None],
         caller: Caller = UNKNOWN_CALLER,
     ) -> RunningStatement | None:
-        """(types of parameters, columns or None) of a statement, asked of a node once and kept."""
+        """Pass (parameter types, columns or None) of a statement to `done`.
+
+        A data node is asked once per prepared statement.
+        """
         target = prepared.explain or prepared
         if prepared.local is not None:
             done((prepared.oids, prepared.fields if prepared.returns_rows else None))
@@ -349,7 +362,8 @@
             described, fields = answer[0].oids, answer[0].answer.fields
             if len(described) >= len(target.oids):
                 target.oids = tuple(
-                    mine or theirs for mine, theirs in zip(target.oids, described, strict=False)
+                    known or reported
+                    for known, reported in zip(target.oids, described, strict=False)
                 )
             if target.returns_rows:
                 target.fields = fields or ()
@@ -365,10 +379,16 @@
             )
             return routed_query
 
-        asked = Request(prepared, caller=caller)
+        admission_request = Request(prepared, caller=caller)
         remaining = self._remaining_ms(index, settings)
         return self._enter(
-            asked, settings, 3 * index + QueryForm.IDEMPOTENT, 1, remaining, start, finished
+            admission_request,
+            settings,
+            3 * index + QueryForm.IDEMPOTENT,
+            1,
+            remaining,
+            start,
+            finished,
         )
 
     def _log_query(
@@ -378,7 +398,7 @@
         form: QueryForm,
         routed_query: RoutedQuery,
         outcome,
-        began: float,
+        arrived_at: float,
     ) -> None:
         if self.log is None or not self.config.log.queries:
             return
@@ -397,5 +417,5 @@
             bytes=sum(p.answer.size for p in routed_query.shard_requests if p.answer is not None),
             spilled=routed_query.memory.spilled,
             peak=routed_query.memory.peak,
-            ms=round(self.coordinator.now - began, 2),
+            ms=round(self.coordinator.now - arrived_at, 2),
         )
--- a/tansycrank/sql_router/session_settings.py
+++ b/tansycrank/sql_router/session_settings.py
@@ -1,4 +1,4 @@
-"""What session settings say about a query: its class, deadline, idempotency, and repeats."""
+"""Derives a query's class, deadline, idempotency and retry flag from session settings."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 MAX_TEXT_LENGTH = 128  # characters of a request key or a tenant
 Classes = tuple[QueryClassConfig, ...]
 
-FORM_LABELS = ("safe", "keyed", "unsafe")  # in EXPLAIN and in the log
+FORM_LABELS = ("safe", "keyed", "unsafe")  # by `QueryForm`, in EXPLAIN and in the log
 
 
 class QueryForm(IntEnum):
-    """The position among the three query classes that each class of the settings becomes."""
+    """Idempotency of a query, as the offset among the three query classes of a configured class."""
 
     IDEMPOTENT = 0
     WITH_KEY = 1
@@ -24,7 +24,10 @@
 
 
 def check_setting(classes: Classes, name: str, value: str) -> str:
-    """A value for a setting of the router. Raises PgError 22023 with what is allowed."""
+    """Validate a session setting and return its value.
+
+    Raises PgError 22023 naming the allowed values, or 42704 for an unknown setting.
+    """
     if name == "tansycrank.class":
         if value and value not in _names(classes):
             raise PgError(
@@ -54,7 +57,7 @@
 
 
 def class_index(classes: Classes, sql: str, settings: Mapping[str, str]) -> int:
-    """The position of a query's class: by session setting, else by pattern, else the first."""
+    """Return the index of a query's class: by session setting, else by pattern, else the first."""
     name = settings.get("tansycrank.class", "")
     if name:
         return _names(classes).index(name)
@@ -65,7 +68,7 @@
 
 
 def query_form(section: ClassSection, prepared: Prepared, settings: Mapping[str, str]) -> QueryForm:
-    """Whether a query may be repeated: a read, a write with a request key, or another write."""
+    """Classify a query as a read, a write with an idempotency key, or another write."""
     if not prepared.writes and not prepared.volatile:
         return QueryForm.IDEMPOTENT
     keyed = settings.get("tansycrank.request_key") and section.dedup_window_ms > 0
@@ -73,7 +76,7 @@
 
 
 def remaining_ms(section: ClassSection, settings: Mapping[str, str]) -> float:
-    """Time until the deadline of a query that arrives now, in ms."""
+    """Return the time until the deadline of a query that arrives now, in ms."""
     bounds = [section.give_up_ms]
     if settings.get("tansycrank.deadline"):
         bounds.append(float(settings["tansycrank.deadline"]))
@@ -84,7 +87,7 @@
 
 
 def is_repeat(settings: Mapping[str, str]) -> bool:
-    """Whether the client says that it asks again."""
+    """Whether the client marks its queries as retries."""
     return settings.get("tansycrank.repeat") in ("on", "true")
 
 
