--- a/tansycrank/discovery/__init__.py
+++ b/tansycrank/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Which nodes there are, as an outside list tells, late and at times wrong."""
+"""Endpoint discovery of the SQL router, from a feed or a file whose lists may be late or wrong."""
--- a/tansycrank/discovery/endpoint_file.py
+++ b/tansycrank/discovery/endpoint_file.py
@@ -1,4 +1,4 @@
-"""An endpoint list in a file, for small sites; it is read again when it changes."""
+"""An endpoint list in a file, for small sites; it is reread when it changes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import msgspec
 
 from tansycrank.config import Config
-from tansycrank.discovery.endpoint_source import EndpointSource, Publish
+from tansycrank.discovery.endpoint_source import EndpointSource, UpdateCallback
 from tansycrank.discovery.feed_lines import FeedLine, LineKind, NodeLine
 from tansycrank.discovery.view_messages import LineReceived
 from tansycrank.errors import TansycrankError
@@ -19,13 +19,13 @@
 
 
 class EndpointFileError(TansycrankError):
-    """The file holds something else than nodes; the message names section and key."""
+    """The file has an invalid section or key, which the message names."""
 
 
 class EndpointFile(EndpointSource):
     """A file of `[node ID]` sections with the keys host, port, cell, zone and status."""
 
-    def __init__(self, reactor, config: Config, pools, publish: Publish, log=None) -> None:
+    def __init__(self, reactor, config: Config, pools, publish: UpdateCallback, log=None) -> None:
         super().__init__(reactor, config, pools, publish, log)
         self.path = Path(config.roster.file)
         self._modified_ns: int | None = None  # of the file as it was last read
@@ -59,7 +59,7 @@
 
     def _on_unreadable(self, error: Exception) -> None:
         """Keep the last list; where there is none yet, the policy requests a watch again."""
-        self.log_problem(f"{self.path}: {error}; the last list stays")
+        self.log_problem(f"{self.path}: {error}; keeping the last list")
         if self._modified_ns is None:
             self.publish(EndpointListUpdate(EndpointListKind.FAILED))
             self._poll_timer.cancel()
@@ -74,10 +74,10 @@
 
 
 def _read_node(parser: configparser.ConfigParser, section: str) -> NodeLine:
-    word, _, number = section.partition(" ")
-    if word != "node":
+    section_type, _, node_id = section.partition(" ")
+    if section_type != "node":
         raise EndpointFileError(f"[{section}]: only sections [node ID] are allowed")
-    fields = dict(parser[section]) | {"id": number}
+    fields = dict(parser[section]) | {"id": node_id}
     try:
         return msgspec.convert(fields, NodeLine, strict=False)
     except msgspec.ValidationError as error:
--- a/tansycrank/discovery/endpoint_source.py
+++ b/tansycrank/discovery/endpoint_source.py
@@ -1,4 +1,4 @@
-"""The common base of all sources of an endpoint list."""
+"""The base class of the sources of an endpoint list."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from tansycrank.discovery.view_messages import Action, PublishUpdate, RemoveEndpoint, SetAddress
 from tansycrank.routing import EndpointListUpdate
 
-Publish = Callable[[EndpointListUpdate], None]
+UpdateCallback = Callable[[EndpointListUpdate], None]
 
 
 class EndpointSource:
     """Carries out the view's actions that do not depend on where the list comes from."""
 
-    def __init__(self, reactor, config: Config, pools, publish: Publish, log=None) -> None:
-        """`pools` is given the addresses, `publish` the updates."""
+    def __init__(self, reactor, config: Config, pools, publish: UpdateCallback, log=None) -> None:
+        """`pools` receives the addresses, `publish` the updates."""
         section = config.roster
         self.reactor, self.pools, self.publish, self.log = reactor, pools, publish, log
         self.view = EndpointView(
@@ -38,7 +38,7 @@
                 self.pools.remove_endpoint(endpoint)
 
     def read_available(self) -> None:
-        """Read what has arrived of changes; a source that is polled has nothing waiting."""
+        """Handle changes that have arrived; a polled source has none pending."""
 
     def log_problem(self, text: str) -> None:
         """Log something unexpected about the list."""
--- a/tansycrank/discovery/endpoint_view.py
+++ b/tansycrank/discovery/endpoint_view.py
@@ -30,8 +30,8 @@
 from tansycrank.routing import EndpointEntry, EndpointListKind, EndpointListUpdate
 from tansycrank.routing.start_times import Start, StartTimes
 
-POLL_SHARE = 1 / 2  # of the silence limit, after which the feed is polled
-CHECK_SHARE = 1 / 4  # of the silence limit, between two checks of it
+POLL_AFTER_FRACTION = 1 / 2  # of the silence limit; a feed silent for longer is polled
+CHECK_INTERVAL_FRACTION = 1 / 4  # of the silence limit, between two checks
 MAX_PORT = 65535
 MAX_ENDPOINT_ID = 2**32 - 1
 
@@ -45,20 +45,22 @@
 
 
 class EndpointView:
-    """What a router knows of the endpoints of a feed."""
+    """The endpoints of a feed, as far as the router knows them."""
 
-    def __init__(self, zones: tuple[str, ...], cells: int, silence: float, max_nodes: int) -> None:
-        """`silence` is the ms without a line after which the connection counts as failed."""
+    def __init__(
+        self, zones: tuple[str, ...], cells: int, silence_limit_ms: float, max_nodes: int
+    ) -> None:
+        """The connection counts as failed after `silence_limit_ms` without a line."""
         self.nodes: dict[int, NodeLine] = {}
         self.version = -1
         self.epoch: int | None = None
         self._zones, self._cells = zones, cells
-        self._silence_limit, self._max_nodes = silence, max_nodes
+        self._silence_limit_ms, self._max_nodes = silence_limit_ms, max_nodes
         self._state = FeedState.DISCONNECTED
         self._starts = StartTimes()
         self._last_received = 0.0
         self._awaits_snapshot = False  # after a gap in the versions
-        self._silence_polled = False
+        self._polled_on_silence = False
         self._timer_is_set = False
 
     def step(self, now: float, events: Iterable[Event]) -> list[Action]:
@@ -78,9 +80,9 @@
                 self._state, self._last_received = FeedState.CONNECTED, now
                 actions.append(self._watch_request())
             case ConnectionLost():
-                self._fail(actions)
+                self._on_feed_lost(actions)
             case LineReceived(None):
-                actions.append(LogProblem("a line of the feed can't be read"))
+                actions.append(LogProblem("a feed line could not be decoded"))
                 self._request_snapshot(actions)
             case LineReceived(line):
                 self._last_received = now
@@ -101,24 +103,32 @@
         elif self._state is FeedState.CONNECTED:
             actions.append(self._watch_request())
 
-    def _fail(self, actions: list[Action]) -> None:
+    def _on_feed_lost(self, actions: list[Action]) -> None:
         """Keep the last list; the policy decides when to request a watch again."""
         if self._state is not FeedState.DISCONNECTED:
             self._state = FeedState.DISCONNECTED
             actions.append(PublishUpdate(EndpointListUpdate(EndpointListKind.FAILED)))
 
     def _check_silence(self, now: float, actions: list[Action]) -> None:
-        silent = now - self._last_received
-        if silent >= self._silence_limit:
-            actions += [LogProblem(f"the feed is silent for {silent:.0f} ms"), Disconnect()]
-            self._fail(actions)
+        silence_ms = now - self._last_received
+        if silence_ms >= self._silence_limit_ms:
+            actions += [
+                LogProblem(
+                    f"no line from the feed for {silence_ms:.0f} ms; closing the connection"
+                ),
+                Disconnect(),
+            ]
+            self._on_feed_lost(actions)
             return
-        if silent >= self._silence_limit * POLL_SHARE and not self._silence_polled:
-            self._silence_polled = True
+        if (
+            silence_ms >= self._silence_limit_ms * POLL_AFTER_FRACTION
+            and not self._polled_on_silence
+        ):
+            self._polled_on_silence = True
             actions.append(SendRequest(Operation.LIST))
         if not self._timer_is_set:
             self._timer_is_set = True
-            actions.append(SetTimer(self._silence_limit * CHECK_SHARE))
+            actions.append(SetTimer(self._silence_limit_ms * CHECK_INTERVAL_FRACTION))
 
     def _request_snapshot(self, actions: list[Action]) -> None:
         if not self._awaits_snapshot:
@@ -128,7 +138,7 @@
     # --- lines ----------------------------------------------------------------------------
 
     def _on_line(self, now: float, line: FeedLine, actions: list[Action]) -> None:
-        self._silence_polled = False
+        self._polled_on_silence = False
         if line.kind == LineKind.SNAPSHOT:
             self._on_snapshot(now, line, actions)
         elif line.kind == LineKind.DELTA:
@@ -136,12 +146,12 @@
         elif line.kind == LineKind.HEARTBEAT:
             self._on_heartbeat(now, line, actions)
         else:
-            actions.append(LogProblem(f"unknown kind of line {line.kind!r}"))
+            actions.append(LogProblem(f"feed line of unknown kind {line.kind!r}"))
 
     def _on_snapshot(self, now: float, line: FeedLine, actions: list[Action]) -> None:
         if line.epoch == self.epoch and line.version < self.version:
-            # An old list would restore removed endpoints.
-            text = f"whole list of version {line.version} is older than {self.version}"
+            # An older snapshot would restore removed endpoints.
+            text = f"ignored snapshot of version {line.version}, older than {self.version}"
             actions.append(LogProblem(text))
             return
         nodes = {node.id: node for node in self._valid_nodes(line.nodes, actions)}
@@ -188,16 +198,18 @@
         """Return the nodes that can be used; log the others."""
         valid = []
         for node in nodes[: self._max_nodes]:
-            problem = self._problem_of(node)
+            problem = self._validation_error(node)
             if problem is None:
                 valid.append(node)
             else:
                 actions.append(LogProblem(f"node {node.id}: {problem}"))
         if len(nodes) > self._max_nodes:
-            actions.append(LogProblem(f"{len(nodes)} nodes told; the bound is {self._max_nodes}"))
+            actions.append(
+                LogProblem(f"{len(nodes)} nodes listed; only the first {self._max_nodes} are used")
+            )
         return valid
 
-    def _problem_of(self, node: NodeLine) -> str | None:
+    def _validation_error(self, node: NodeLine) -> str | None:
         if node.status not in STATUSES:
             return f"unknown status {node.status!r}"
         has_valid_cell = 0 <= node.cell < self._cells
@@ -208,11 +220,11 @@
     def _update(
         self, kind: EndpointListKind, nodes: list[NodeLine], now: float
     ) -> EndpointListUpdate:
-        """Return the update for these nodes, and for others whose start is known better now."""
+        """Return an update of these nodes and of others whose start time was corrected."""
         starts = self._starts.update({node.id: node.started for node in nodes}, now)
         listed = {node.id for node in nodes}
-        redated = [self.nodes[id] for id in starts if id not in listed and id in self.nodes]
-        entries = [self._to_entry(node, starts[node.id]) for node in (*redated, *nodes)]
+        corrected = [self.nodes[id] for id in starts if id not in listed and id in self.nodes]
+        entries = [self._to_entry(node, starts[node.id]) for node in (*corrected, *nodes)]
         return EndpointListUpdate(kind, tuple(entries))
 
     def _to_entry(self, node: NodeLine, start: Start) -> EndpointEntry:
--- a/tansycrank/discovery/feed_client.py
+++ b/tansycrank/discovery/feed_client.py
@@ -7,7 +7,7 @@
 from twisted.protocols.basic import LineOnlyReceiver
 
 from tansycrank.config import Config
-from tansycrank.discovery.endpoint_source import EndpointSource, Publish
+from tansycrank.discovery.endpoint_source import EndpointSource, UpdateCallback
 from tansycrank.discovery.feed_lines import FeedLine
 from tansycrank.discovery.view_messages import (
     Action,
@@ -40,7 +40,7 @@
         self.chunks_received = 0
 
     def dataReceived(self, data: bytes) -> None:
-        """Split what came into lines."""
+        """Split received data into lines."""
         self.chunks_received += 1
         super().dataReceived(data)
 
@@ -84,7 +84,7 @@
 class FeedClient(EndpointSource):
     """A feed over TCP. It owns the connection and the view's timer."""
 
-    def __init__(self, reactor, config: Config, pools, publish: Publish, log=None) -> None:
+    def __init__(self, reactor, config: Config, pools, publish: UpdateCallback, log=None) -> None:
         super().__init__(reactor, config, pools, publish, log)
         section = config.roster
         self.host, _, port = section.feed.partition(":")
@@ -104,7 +104,7 @@
         self._disconnect()
 
     def read_available(self) -> None:
-        """Read what has arrived on the feed."""
+        """Handle lines that have arrived on the feed."""
         if self.protocol is not None:
             read_available(self.protocol)
 
--- a/tansycrank/discovery/feed_lines.py
+++ b/tansycrank/discovery/feed_lines.py
@@ -1,4 +1,4 @@
-"""The lines of an endpoint feed, as they are on the wire, and the meaning of their words."""
+"""The wire format of an endpoint feed, and the meaning of its status words."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class LineKind(StrEnum):
-    """What a line of the feed is."""
+    """The kind of a line of the feed."""
 
     SNAPSHOT = "full"
     DELTA = "changes"
@@ -24,14 +24,14 @@
 
 
 class Operation(StrEnum):
-    """What a router asks of the feed."""
+    """A request to the feed."""
 
-    WATCH = "watch"  # the changes since a version
-    LIST = "list"  # the whole list
+    WATCH = "watch"  # deltas since a version
+    LIST = "list"  # a snapshot
 
 
 class NodeLine(msgspec.Struct, frozen=True):
-    """One node as the feed names it; `started` is Unix time in ms, 0 for long ago."""
+    """One node as the feed names it; `started` is Unix time in ms, 0 for a start long ago."""
 
     id: int
     host: str
