--- a/tansycrank/testbed/node/batch.py
+++ b/tansycrank/testbed/node/batch.py
@@ -11,14 +11,14 @@
 from tansycrank.postgres.errors import SYNTAX_ERROR, PgError
 from tansycrank.sql.infer import parameter_types
 from tansycrank.sql.planner import split_comment
-from tansycrank.sql_router.node_connection import REQUEST_KEY
+from tansycrank.sql_router.node_connection import REQUEST_KEY_SETTING
 from tansycrank.testbed.engine import Rows, to_engine
 from tansycrank.testbed.node.interfaces import JournaledSession
 from tansycrank.testbed.node.node import Node
 
 MAX_CACHED_ANSWERS = 1000
 WRITE_VERBS = ("INSERT", "UPDATE", "DELETE")
-SET_KEY_PREFIX = f"SET LOCAL {REQUEST_KEY} = "
+SET_KEY_PREFIX = f"SET LOCAL {REQUEST_KEY_SETTING} = "
 JOURNAL_SQL_CHARACTERS = 300
 JOURNAL_VALUES = 9
 
