--- a/tests/e2e/test_many_clients.py
+++ b/tests/e2e/test_many_clients.py
@@ -1,4 +1,4 @@
-"""Two hundred clients of three kinds: each query exactly one final answer in time, none in part."""
+"""Two hundred clients with three drivers: each query gets one final answer in time, none partial."""
 
 import asyncio
 import concurrent.futures
@@ -11,91 +11,100 @@
 
 from tansycrank.testbed.load import questions, same_rows
 
-PSYCOPG, ASYNCPG, ALCHEMY, EACH = 100, 70, 36, 6
-DEADLINE = 4.0
-TRIES = 20  # of one question, before its client gives up
-PULSE = 0.01  # s
-STOOD = [0.0]  # s that this process came late, in all
-THREADS = concurrent.futures.ThreadPoolExecutor(ALCHEMY)
+PSYCOPG_CLIENTS, ASYNCPG_CLIENTS, SQLALCHEMY_CLIENTS, QUERIES_PER_CLIENT = 100, 70, 36, 6
+DEADLINE_SECONDS = 4.0
+MAX_REJECTIONS = 20  # of one query, before its client stops
+TICK_SECONDS = 0.01
+DELAY_SECONDS = [0.0]  # total event loop delay of this test process
+EXECUTOR = concurrent.futures.ThreadPoolExecutor(SQLALCHEMY_CLIENTS)
 
 
 def test_two_hundred_clients(site, reference):
-    asked = questions(reference, site.layout.shards)
-    heard = asyncio.run(_all(site, asked))
-    assert len(heard) >= (PSYCOPG + ASYNCPG + ALCHEMY) * EACH
-    assert {kind for kind, *_ in heard} == {"psycopg", "asyncpg", "sqlalchemy"}
-    # What these clients stood still themselves, all in one process, is not the router's.
-    assert max(took - own for _, _, took, own in heard) < DEADLINE + 1.0
-    finals = [outcome for _, outcome, *_ in heard]
-    assert set(finals) <= {
+    candidates = questions(reference, site.layout.shards)
+    results = asyncio.run(_run_all_clients(site, candidates))
+    assert (
+        len(results)
+        >= (PSYCOPG_CLIENTS + ASYNCPG_CLIENTS + SQLALCHEMY_CLIENTS) * QUERIES_PER_CLIENT
+    )
+    assert {driver for driver, *_ in results} == {"psycopg", "asyncpg", "sqlalchemy"}
+    # Delays of the test process itself, which runs all clients, are not the router's.
+    assert max(seconds - delay for _, _, seconds, delay in results) < DEADLINE_SECONDS + 1.0
+    outcomes = [outcome for _, outcome, *_ in results]
+    assert set(outcomes) <= {
         "right",
         "53T01",
-    }  # a refusal is a final answer; a wrong or partial one is not
-    # Each refused one was asked again until it was served, however little this machine does at
-    # once.
-    assert finals.count("right") == (PSYCOPG + ASYNCPG + ALCHEMY) * EACH
+    }  # a rejection is a final answer; a wrong or partial answer is not
+    # Each rejected query was retried until it was answered, however slow the machine is.
+    assert (
+        outcomes.count("right")
+        == (PSYCOPG_CLIENTS + ASYNCPG_CLIENTS + SQLALCHEMY_CLIENTS) * QUERIES_PER_CLIENT
+    )
 
 
-async def _all(site, asked):
-    heard = []
-    jobs = [_psycopg(site, asked, n, heard) for n in range(PSYCOPG)]
-    jobs += [_asyncpg(site, asked, n, heard) for n in range(ASYNCPG)]
-    jobs += [_alchemy(site, asked, n, heard) for n in range(ALCHEMY)]
-    pulse = asyncio.create_task(_pulse())
-    await asyncio.gather(*jobs)
-    pulse.cancel()
-    return heard
+async def _run_all_clients(site, candidates):
+    results = []
+    clients = [_psycopg(site, candidates, n, results) for n in range(PSYCOPG_CLIENTS)]
+    clients += [_asyncpg(site, candidates, n, results) for n in range(ASYNCPG_CLIENTS)]
+    clients += [_sqlalchemy(site, candidates, n, results) for n in range(SQLALCHEMY_CLIENTS)]
+    delay_task = asyncio.create_task(_measure_delay())
+    await asyncio.gather(*clients)
+    delay_task.cancel()
+    return results
 
 
-async def _pulse():
-    """Adds up how long this process came late to what was due."""
+async def _measure_delay():
+    """Add up the event loop delay of this process."""
     while True:
-        due = time.monotonic() + PULSE
-        await asyncio.sleep(PULSE)
-        STOOD[0] += max(time.monotonic() - due, 0.0)
+        due = time.monotonic() + TICK_SECONDS
+        await asyncio.sleep(TICK_SECONDS)
+        DELAY_SECONDS[0] += max(time.monotonic() - due, 0.0)
 
 
-async def _play(kind, asked, number, heard, ask):
-    rng = random.Random(f"{kind}{number}")
+async def _run_client(driver, candidates, number, results, fetch_rows):
+    rng = random.Random(f"{driver}{number}")
     await asyncio.sleep(rng.random())
-    left, question, tries = EACH, rng.choice(asked), 0
-    while left and tries < TRIES:
-        began, stood = time.monotonic(), STOOD[0]
+    remaining, question, rejections = QUERIES_PER_CLIENT, rng.choice(candidates), 0
+    while remaining and rejections < MAX_REJECTIONS:
+        started_at, delay_before = time.monotonic(), DELAY_SECONDS[0]
         try:
-            rows = await ask(question.sql)
+            rows = await fetch_rows(question.sql)
             outcome = "right" if same_rows([tuple(r) for r in rows], question.rows) else "wrong"
-        except (psycopg.Error, asyncpg.PostgresError) as refusal:
-            outcome = refusal.sqlstate
-        heard.append((kind, outcome, time.monotonic() - began, STOOD[0] - stood))
+        except (psycopg.Error, asyncpg.PostgresError) as error:
+            outcome = error.sqlstate
+        results.append(
+            (driver, outcome, time.monotonic() - started_at, DELAY_SECONDS[0] - delay_before)
+        )
         if outcome == "53T01":
-            tries += 1
+            rejections += 1
         else:
-            left, question, tries = left - 1, rng.choice(asked), 0
-        await asyncio.sleep(rng.random() * 0.3 * (1 + tries))
+            remaining, question, rejections = remaining - 1, rng.choice(candidates), 0
+        await asyncio.sleep(rng.random() * 0.3 * (1 + rejections))
 
 
-async def _psycopg(site, asked, number, heard):
-    async with await psycopg.AsyncConnection.connect(site.dsn(), autocommit=True) as link:
+async def _psycopg(site, candidates, number, results):
+    async with await psycopg.AsyncConnection.connect(site.dsn(), autocommit=True) as connection:
 
-        async def ask(sql):
-            # simple and extended, text and binary
-            cursor = await link.execute(sql, None if number % 2 else (), binary=number % 3 == 0)
+        async def fetch_rows(sql):
+            # Simple and extended protocol, text and binary format
+            cursor = await connection.execute(
+                sql, None if number % 2 else (), binary=number % 3 == 0
+            )
             return await cursor.fetchall()
 
-        await _play("psycopg", asked, number, heard, ask)
+        await _run_client("psycopg", candidates, number, results, fetch_rows)
 
 
-async def _asyncpg(site, asked, number, heard):
-    link = await asyncpg.connect(
+async def _asyncpg(site, candidates, number, results):
+    connection = await asyncpg.connect(
         host="127.0.0.1", port=site.ports[0], user="demo", database="tansycrank"
     )
     try:
-        await _play("asyncpg", asked, number, heard, link.fetch)
+        await _run_client("asyncpg", candidates, number, results, connection.fetch)
     finally:
-        await link.close()
+        await connection.close()
 
 
-async def _alchemy(site, asked, number, heard):
+async def _sqlalchemy(site, candidates, number, results):
     loop, url = (
         asyncio.get_running_loop(),
         f"postgresql+psycopg://demo@127.0.0.1:{site.ports[0]}/tansycrank",
@@ -103,16 +112,16 @@
     engine = sa.create_engine(url, pool_size=1)
 
     def fetch(sql):
-        with engine.connect() as link:
-            return link.execute(sa.text(sql)).fetchall()
+        with engine.connect() as connection:
+            return connection.execute(sa.text(sql)).fetchall()
 
-    async def ask(sql):
+    async def fetch_rows(sql):
         try:
-            return await loop.run_in_executor(THREADS, fetch, sql)
-        except sa.exc.DBAPIError as problem:
-            raise problem.orig from None
+            return await loop.run_in_executor(EXECUTOR, fetch, sql)
+        except sa.exc.DBAPIError as error:
+            raise error.orig from None
 
     try:
-        await _play("sqlalchemy", asked, number, heard, ask)
+        await _run_client("sqlalchemy", candidates, number, results, fetch_rows)
     finally:
         engine.dispose()
--- a/tests/e2e/test_sql_router_stalls.py
+++ b/tests/e2e/test_sql_router_stalls.py
@@ -1,6 +1,7 @@
-"""The SQL router, stopped at several instants, sends nothing to a node that drained meanwhile.
+"""A SQL router that was stopped (SIGSTOP) sends no statement to a node that drained meanwhile.
 
-The feed has told it before the router goes on, and the grace of the drain has passed.
+When the router resumes, the drain is in its receive buffer and the drain's grace has passed; a
+router that sends before reading would start a statement at a draining node.
 """
 
 import os
@@ -15,64 +16,68 @@
 from tansycrank.clock import monotonic_ms
 from tansycrank.testbed.local_cluster import Layout, LocalCluster
 
-STALLS = [0.8, 1.6]  # s; the grace of a drain is half a second
-STOPS_WITHIN = 10.0  # s
+STALL_SECONDS = [0.8, 1.6]  # the grace of a drain is half a second
+STOP_TIMEOUT_SECONDS = 10.0
 
 
 @pytest.fixture
-def stopping(tmp_path):
-    """Start a site whose router stops at a point; its trigger file."""
-    sites = []
+def start_cluster(tmp_path):
+    """Return a function that starts a cluster whose router stops at a point.
+
+    It returns the cluster and the trigger file of the stop.
+    """
+    clusters = []
 
     def make(point):
-        site = LocalCluster(Layout(nodes=1, shards=1, reach=1, scale=0.05))
-        sites.append(site)
+        cluster = LocalCluster(Layout(nodes=1, shards=1, reach=1, scale=0.05))
+        clusters.append(cluster)
         trigger = tmp_path / "stop"
-        site.serve = ("tests.stop_points", point, str(trigger), "serve")
-        site.start()
-        site.wait_ready()
-        return site, trigger
+        cluster.serve = ("tests.stop_points", point, str(trigger), "serve")
+        cluster.start()
+        cluster.wait_ready()
+        return cluster, trigger
 
     yield make
-    for site in sites:
-        site.close()
+    for cluster in clusters:
+        cluster.close()
 
 
-def ask(link, answers):
+def run_query(connection, answers):
     try:
-        answers.append(link.execute("SELECT count(*) FROM trips WHERE id > 77").fetchall())
+        answers.append(connection.execute("SELECT count(*) FROM trips WHERE id > 77").fetchall())
     except psycopg.Error as problem:
         answers.append(problem.sqlstate)
 
 
 def stop_at_point(process, trigger):
     """Wait until the router has stopped itself."""
-    until = time.monotonic() + STOPS_WITHIN
+    give_up_at = time.monotonic() + STOP_TIMEOUT_SECONDS
     while trigger.exists():
-        assert time.monotonic() < until, "the router never came to its point"
+        assert time.monotonic() < give_up_at, "the router did not reach its stop point"
         time.sleep(0.005)
     os.waitid(os.P_PID, process.pid, os.WSTOPPED | os.WNOWAIT)
 
 
-@pytest.mark.parametrize("stall", STALLS)
+@pytest.mark.parametrize("stall", STALL_SECONDS)
 @pytest.mark.parametrize("point", POINTS)
 def test_no_statement_goes_to_a_node_that_drained_while_the_router_was_stopped_at(
-    stopping, point, stall
+    start_cluster, point, stall
 ):
-    site, trigger = stopping(point)
-    router = site.routers[0]
-    with psycopg.connect(site.dsn(), autocommit=True) as link:
-        link.execute("SELECT count(*) FROM trips").fetchall()  # a connection to the node is there
+    cluster, trigger = start_cluster(point)
+    router = cluster.routers[0]
+    with psycopg.connect(cluster.dsn(), autocommit=True) as connection:
+        # Opens a connection to the node.
+        connection.execute("SELECT count(*) FROM trips").fetchall()
         answers = []
-        asking = threading.Thread(target=ask, args=(link, answers))
+        query_thread = threading.Thread(target=run_query, args=(connection, answers))
         trigger.touch()
-        asking.start()
+        query_thread.start()
         stop_at_point(router, trigger)
-        at = monotonic_ms()
-        site.tell(1, "draining")
+        stopped_at = monotonic_ms()
+        cluster.tell(1, "draining")
         time.sleep(stall)
         router.send_signal(signal.SIGCONT)
-        asking.join()
-    late = [e for e in site.journal() if e["t"] >= at and "77" in e.get("sql", "")]
-    assert not late
+        query_thread.join()
+    sent_late = [e for e in cluster.journal() if e["t"] >= stopped_at and "77" in e.get("sql", "")]
+    assert not sent_late
     assert answers == ["53T01"]
--- a/tests/test_sql_node_connection.py
+++ b/tests/test_sql_node_connection.py
@@ -1,4 +1,4 @@
-"""Links and pools: exactly one outcome a send, and what each outcome proves."""
+"""Connections and pools: exactly one outcome per call, and what each outcome proves."""
 
 import pytest
 from helpers import LifecycleHarness
@@ -14,14 +14,14 @@
 from tansycrank.sql_router.node_connection import ConnectionState, ShardStatement
 
 ADDRESS = ("10.0.0.1", 5432)
-HELLO = pg.AUTHENTICATION_OK + pg.backend_key(7, 99) + pg.ready("I")
-ASK = ShardStatement(0, "SELECT 1")
-ANSWER = (
+LOGIN_RESPONSE = pg.AUTHENTICATION_OK + pg.backend_key(7, 99) + pg.ready("I")
+STATEMENT = ShardStatement(0, "SELECT 1")
+ROW_RESPONSE = (
     pg.row_description((pg.Field("a", 23),)) + pg.data_row([b"1"]) + pg.command_complete("SELECT 1")
 )
 
 
-class Wire(StringTransport):
+class Transport(StringTransport):
     aborted = False
 
     def setTcpNoDelay(self, on):
@@ -31,8 +31,8 @@
         self.aborted = True
 
 
-class Node:
-    """A scripted node on a reactor in memory."""
+class PoolHarness:
+    """A pool with one scripted data node, on an in-memory reactor."""
 
     def __init__(self, max_row=1 << 20, **store):
         self.reactor = MemoryReactorClock()
@@ -41,46 +41,48 @@
         )
         self.pools = ConnectionPool(self.reactor, StoreSection(**store), {"user": "x"}, max_row)
         self.streams = []
-        self.lives = LifecycleHarness()
+        self.lifecycle = LifecycleHarness()
         self.pools.set_address(1, *ADDRESS)
-        self.ended, self.links = [], []
+        self.ended, self.connections = [], []
 
-    def send(self, request=ASK, timeout_ms=0.0, **bounds):
+    def send(self, statement=STATEMENT, timeout_ms=0.0, **bounds):
         stream = ShardRowStream(self.memory_reservations.open(False))
         self.streams.append(stream)
-        attempt = self.lives.attempt(self.reactor.seconds() * 1000)
-        return self.pools.send(1, request, stream, timeout_ms, self.ended.append, attempt, **bounds)
+        attempt = self.lifecycle.attempt(self.reactor.seconds() * 1000)
+        return self.pools.send(
+            1, statement, stream, timeout_ms, self.ended.append, attempt, **bounds
+        )
 
-    def accept(self, greet=True):
-        """Let the newest connection stand."""
+    def accept(self, log_in=True):
+        """Accept the newest connection, and complete its login if `log_in` is set."""
         factory = self.reactor.tcpClients[-1][2]
-        link = factory.buildProtocol(None)
-        link.makeConnection(Wire())
-        self.links.append(link)
-        if greet:
-            link.dataReceived(HELLO)
-        return link
+        connection = factory.buildProtocol(None)
+        connection.makeConnection(Transport())
+        self.connections.append(connection)
+        if log_in:
+            connection.dataReceived(LOGIN_RESPONSE)
+        return connection
 
     @property
     def outcomes(self):
         return [e.outcome for e in self.ended]
 
 
-def ready(node=None, **store):
-    node = node or Node(**store)
-    node.send()
-    link = node.accept()
-    return node, link
+def logged_in(harness=None, **store):
+    harness = harness or PoolHarness(**store)
+    harness.send()
+    connection = harness.accept()
+    return harness, connection
 
 
 def test_rows_and_a_command_tag_are_an_answer_once_ready():
-    node, link = ready()
-    link.dataReceived(ANSWER)
-    assert not node.ended  # danger: an error at the commit may still come
-    link.dataReceived(pg.ready("I"))
-    assert node.outcomes == [Outcome.SUCCEEDED] and node.streams[0].rows == 1
-    node.send()
-    assert len(node.reactor.tcpClients) == 1  # the same link again
+    harness, connection = logged_in()
+    connection.dataReceived(ROW_RESPONSE)
+    assert not harness.ended  # the commit may still fail
+    connection.dataReceived(pg.ready("I"))
+    assert harness.outcomes == [Outcome.SUCCEEDED] and harness.streams[0].rows == 1
+    harness.send()
+    assert len(harness.reactor.tcpClients) == 1  # the connection is reused
 
 
 @pytest.mark.parametrize(
@@ -101,10 +103,10 @@
         ("57014", Outcome.ERROR),
     ],
 )
-def test_errors_after_the_statement_went_out(state, outcome):
-    node, link = ready()
-    link.dataReceived(pg.error_response(PgError(state, "x")) + pg.ready("I"))
-    assert node.outcomes == [outcome] and node.ended[0].error.state == state
+def test_errors_after_the_statement_was_sent(state, outcome):
+    harness, connection = logged_in()
+    connection.dataReceived(pg.error_response(PgError(state, "x")) + pg.ready("I"))
+    assert harness.outcomes == [outcome] and harness.ended[0].error.state == state
 
 
 @pytest.mark.parametrize(
@@ -115,20 +117,20 @@
         ("28P01", Outcome.CONNECT_FAILED),
     ],
 )
-def test_refusals_before_it_went_out_prove_that_it_never_ran(state, outcome):
-    node = Node()
-    node.send()
-    link = node.accept(greet=False)
-    link.dataReceived(pg.error_response(PgError(state, "x", severity="FATAL")))
-    link.connectionLost()
-    assert node.outcomes == [outcome] and outcome.never_executed
+def test_a_login_error_proves_that_the_request_was_never_executed(state, outcome):
+    harness = PoolHarness()
+    harness.send()
+    connection = harness.accept(log_in=False)
+    connection.dataReceived(pg.error_response(PgError(state, "x", severity="FATAL")))
+    connection.connectionLost()
+    assert harness.outcomes == [outcome] and outcome.never_executed
 
 
-def test_no_connection():
-    node = Node()
-    node.send()
-    node.reactor.tcpClients[-1][2].clientConnectionFailed(None, _Failure())
-    assert node.outcomes == [Outcome.CONNECT_FAILED]
+def test_a_failed_connect_is_never_executed():
+    harness = PoolHarness()
+    harness.send()
+    harness.reactor.tcpClients[-1][2].clientConnectionFailed(None, _Failure())
+    assert harness.outcomes == [Outcome.CONNECT_FAILED]
 
 
 class _Failure:
@@ -136,201 +138,208 @@
         return None
 
 
-def test_a_connection_that_never_greets_is_given_up():
-    node = Node(connect_timeout_ms=500)
-    node.send()
-    node.accept(greet=False)
-    node.reactor.advance(0.6)
-    assert node.outcomes == [Outcome.CONNECT_FAILED]
+def test_a_login_without_a_response_times_out():
+    harness = PoolHarness(connect_timeout_ms=500)
+    harness.send()
+    harness.accept(log_in=False)
+    harness.reactor.advance(0.6)
+    assert harness.outcomes == [Outcome.CONNECT_FAILED]
 
 
 def test_a_connection_lost_after_the_send_may_have_run():
-    node, link = ready()
-    link.dataReceived(ANSWER)
-    link.connectionLost()
-    assert node.outcomes == [Outcome.CONNECTION_LOST]
-
-
-def test_an_idle_link_that_is_lost_is_nobodys_outcome():
-    node, link = ready()
-    link.dataReceived(ANSWER + pg.ready("I"))
-    link.connectionLost()
-    node.send()
-    assert len(node.reactor.tcpClients) == 2 and len(node.ended) == 1
-
-
-def test_a_cancel_before_the_bytes_left_was_not_sent():
-    node = Node()
-    sending = node.send()
-    node.pools.cancel(sending)
-    assert node.outcomes == [Outcome.NOT_SENT]
-    link = node.accept()
+    harness, connection = logged_in()
+    connection.dataReceived(ROW_RESPONSE)
+    connection.connectionLost()
+    assert harness.outcomes == [Outcome.CONNECTION_LOST]
+
+
+def test_losing_an_idle_connection_reports_no_outcome():
+    harness, connection = logged_in()
+    connection.dataReceived(ROW_RESPONSE + pg.ready("I"))
+    connection.connectionLost()
+    harness.send()
+    assert len(harness.reactor.tcpClients) == 2 and len(harness.ended) == 1
+
+
+def test_a_call_cancelled_before_it_was_sent_ends_as_not_sent():
+    harness = PoolHarness()
+    call = harness.send()
+    harness.pools.cancel(call)
+    assert harness.outcomes == [Outcome.NOT_SENT]
+    connection = harness.accept()
     assert (
-        link.state is ConnectionState.IDLE and not list(link.transport.value().split(b"SELECT"))[1:]
+        connection.state is ConnectionState.IDLE
+        and not list(connection.transport.value().split(b"SELECT"))[1:]
     )
 
 
-def test_a_cancel_after_it_is_told_at_once_and_the_link_settles_first():
-    node = Node()
-    sending = node.send()
-    link = node.accept()
-    node.pools.cancel(sending)
-    assert node.outcomes == [Outcome.CANCELLED]
-    canceller = node.reactor.tcpClients[-1][2].buildProtocol(None)
-    canceller.makeConnection(StringTransport())
-    assert canceller.transport.value() == pg.cancel_request(7, 99)
-    link.dataReceived(pg.error_response(PgError("57014", "x")) + pg.ready("I"))
-    before = len(node.reactor.tcpClients)
-    node.send()  # danger: the cancel may still hit this link's next part
-    assert len(node.reactor.tcpClients) == before + 1
-    assert link.state is ConnectionState.AWAITING_CANCEL
-    canceller.connectionLost()
-    assert link.state is ConnectionState.BUSY  # with the part that waited for a connection
-
-
-def test_a_node_that_ignores_the_cancel_loses_the_link():
-    node = Node(cancel_grace_ms=400)
-    sending = node.send()
-    link = node.accept()
-    node.pools.cancel(sending)
-    node.reactor.advance(0.5)
-    assert link.transport.aborted and not node.pools.nodes[1].connections
-
-
-def test_a_time_out_is_one_outcome_whatever_comes_later():
-    node = Node()
-    node.send(timeout_ms=100.0)
-    link = node.accept()
-    node.reactor.advance(0.2)
-    link.dataReceived(ANSWER + pg.ready("I"))
-    link.connectionLost()
-    assert node.outcomes == [Outcome.TIMED_OUT]
-
-
-def test_a_time_out_while_connecting_never_ran():
-    node = Node()
-    node.send(timeout_ms=100.0)
-    node.reactor.advance(0.2)
-    assert node.outcomes == [Outcome.CONNECT_FAILED]
-
-
-def test_a_call_waits_no_longer_for_its_connection_than_it_may():
-    node = Node(connect_timeout_ms=5000)
-    node.send(timeout_ms=4000.0, connect_wait_ms=150.0)
-    node.reactor.advance(0.14)
-    assert not node.ended
-    node.reactor.advance(0.02)
-    assert node.outcomes == [Outcome.CONNECT_FAILED] and Outcome.CONNECT_FAILED.never_executed
+def test_a_cancel_is_reported_at_once_and_the_connection_waits_for_the_cancel_request():
+    harness = PoolHarness()
+    call = harness.send()
+    connection = harness.accept()
+    harness.pools.cancel(call)
+    assert harness.outcomes == [Outcome.CANCELLED]
+    cancel_connection = harness.reactor.tcpClients[-1][2].buildProtocol(None)
+    cancel_connection.makeConnection(StringTransport())
+    assert cancel_connection.transport.value() == pg.cancel_request(7, 99)
+    connection.dataReceived(pg.error_response(PgError("57014", "x")) + pg.ready("I"))
+    before = len(harness.reactor.tcpClients)
+    harness.send()  # the CancelRequest could still cancel its next statement
+    assert len(harness.reactor.tcpClients) == before + 1
+    assert connection.state is ConnectionState.AWAITING_CANCEL
+    cancel_connection.connectionLost()
+    assert connection.state is ConnectionState.BUSY  # with the call that waited for a connection
+
+
+def test_a_connection_whose_node_ignores_the_cancel_is_closed():
+    harness = PoolHarness(cancel_grace_ms=400)
+    call = harness.send()
+    connection = harness.accept()
+    harness.pools.cancel(call)
+    harness.reactor.advance(0.5)
+    assert connection.transport.aborted and not harness.pools.nodes[1].connections
+
+
+def test_a_timeout_is_the_only_outcome_whatever_arrives_later():
+    harness = PoolHarness()
+    harness.send(timeout_ms=100.0)
+    connection = harness.accept()
+    harness.reactor.advance(0.2)
+    connection.dataReceived(ROW_RESPONSE + pg.ready("I"))
+    connection.connectionLost()
+    assert harness.outcomes == [Outcome.TIMED_OUT]
+
+
+def test_a_timeout_while_connecting_is_never_executed():
+    harness = PoolHarness()
+    harness.send(timeout_ms=100.0)
+    harness.reactor.advance(0.2)
+    assert harness.outcomes == [Outcome.CONNECT_FAILED]
+
+
+def test_a_call_waits_for_its_connection_for_a_limited_time():
+    harness = PoolHarness(connect_timeout_ms=5000)
+    harness.send(timeout_ms=4000.0, connect_wait_ms=150.0)
+    harness.reactor.advance(0.14)
+    assert not harness.ended
+    harness.reactor.advance(0.02)
+    assert harness.outcomes == [Outcome.CONNECT_FAILED] and Outcome.CONNECT_FAILED.never_executed
 
 
 def test_the_connection_that_a_call_did_not_wait_for_serves_the_next_one():
-    node = Node(connect_timeout_ms=5000)
-    node.send(timeout_ms=4000.0, connect_wait_ms=150.0)
-    node.reactor.advance(0.2)
-    link = node.accept()
-    node.send(timeout_ms=4000.0, connect_wait_ms=150.0)
-    assert link.state is ConnectionState.BUSY and len(node.reactor.tcpClients) == 1
-    node.reactor.advance(0.2)  # it has its connection: only its time-out runs
-    link.dataReceived(ANSWER + pg.ready("I"))
-    assert node.outcomes == [Outcome.CONNECT_FAILED, Outcome.SUCCEEDED]
+    harness = PoolHarness(connect_timeout_ms=5000)
+    harness.send(timeout_ms=4000.0, connect_wait_ms=150.0)
+    harness.reactor.advance(0.2)
+    connection = harness.accept()
+    harness.send(timeout_ms=4000.0, connect_wait_ms=150.0)
+    assert connection.state is ConnectionState.BUSY and len(harness.reactor.tcpClients) == 1
+    harness.reactor.advance(0.2)  # it has its connection, so only its timeout applies
+    connection.dataReceived(ROW_RESPONSE + pg.ready("I"))
+    assert harness.outcomes == [Outcome.CONNECT_FAILED, Outcome.SUCCEEDED]
 
 
 def test_a_call_may_wait_for_a_login_as_long_as_logins_take():
-    node = Node(connect_timeout_ms=5000)
-    node.send(timeout_ms=4000.0, connect_wait_ms=500.0)
-    node.reactor.advance(0.1)
-    node.accept()  # a login takes 100 ms here
-    node.send(timeout_ms=4000.0, connect_wait_ms=1.0)
-    node.reactor.advance(0.25)
-    assert not node.ended
-    node.reactor.advance(0.1)
-    assert node.outcomes == [Outcome.CONNECT_FAILED]
-
-
-def test_links_a_node_are_bounded():
-    node = Node(max_links=2)
+    harness = PoolHarness(connect_timeout_ms=5000)
+    harness.send(timeout_ms=4000.0, connect_wait_ms=500.0)
+    harness.reactor.advance(0.1)
+    harness.accept()  # a login takes 100 ms here
+    harness.send(timeout_ms=4000.0, connect_wait_ms=1.0)
+    harness.reactor.advance(0.25)
+    assert not harness.ended
+    harness.reactor.advance(0.1)
+    assert harness.outcomes == [Outcome.CONNECT_FAILED]
+
+
+def test_connections_per_node_are_limited():
+    harness = PoolHarness(max_links=2)
     for _ in range(3):
-        node.send()
-    node.reactor.advance(0)
-    assert node.outcomes == [Outcome.REJECTED] and len(node.reactor.tcpClients) == 2
+        harness.send()
+    harness.reactor.advance(0)
+    assert harness.outcomes == [Outcome.REJECTED] and len(harness.reactor.tcpClients) == 2
 
 
-def test_a_row_too_large_breaks_the_link_before_it_is_stored():
-    node = Node(max_row=1024)
-    node.send()
-    link = node.accept()
-    link.dataReceived(b"D" + pg.INT.pack(1 << 20) + b"x" * 10)
-    assert node.outcomes == [Outcome.CONNECTION_LOST] and link.transport.aborted
+def test_an_oversized_row_closes_the_connection_before_it_is_stored():
+    harness = PoolHarness(max_row=1024)
+    harness.send()
+    connection = harness.accept()
+    connection.dataReceived(b"D" + pg.INT.pack(1 << 20) + b"x" * 10)
+    assert harness.outcomes == [Outcome.CONNECTION_LOST] and connection.transport.aborted
 
 
-def test_rows_that_cant_be_held_end_the_query_and_not_the_nodes_good_name():
-    node, link = ready()
+def test_rows_without_memory_fail_the_query_but_are_no_failure_of_the_node():
+    harness, connection = logged_in()
 
     def full(size):
         raise PgError("53100", "full")
 
-    node.streams[0].memory.grew = lambda stream, size: full(size)
-    link.dataReceived(ANSWER)
-    assert node.outcomes == [Outcome.SUCCEEDED] and node.ended[0].error.state == "53100"
-    assert link.transport.aborted
+    harness.streams[0].memory.grew = lambda stream, size: full(size)
+    connection.dataReceived(ROW_RESPONSE)
+    assert harness.outcomes == [Outcome.SUCCEEDED] and harness.ended[0].error.state == "53100"
+    assert connection.transport.aborted
 
 
-def test_a_stream_held_back_stops_the_reading_and_a_cancel_goes_on():
-    node = Node()
-    sending = node.send()
-    link = node.accept()
-    node.streams[0].set_paused(True)
-    assert link.transport.producerState == "paused"
-    node.pools.cancel(sending)
-    assert link.transport.producerState == "producing"
+def test_a_paused_stream_pauses_reading_and_a_cancel_resumes_it():
+    harness = PoolHarness()
+    call = harness.send()
+    connection = harness.accept()
+    harness.streams[0].set_paused(True)
+    assert connection.transport.producerState == "paused"
+    harness.pools.cancel(call)
+    assert connection.transport.producerState == "producing"
 
 
-def test_junk_from_a_node_breaks_its_link_alone():
-    node, link = ready()
-    link.dataReceived(b"T\x00\x00\x00\x08\x00\x09ab")
-    assert node.outcomes == [Outcome.CONNECTION_LOST] and link.transport.aborted
+def test_a_malformed_message_closes_only_its_connection():
+    harness, connection = logged_in()
+    connection.dataReceived(b"T\x00\x00\x00\x08\x00\x09ab")
+    assert harness.outcomes == [Outcome.CONNECTION_LOST] and connection.transport.aborted
 
 
-def test_close_idle_closes_the_unused_and_leaves_the_busy():
-    node, first = ready()
-    first.dataReceived(ANSWER + pg.ready("I"))
-    node.send()
-    node.send()
-    second = node.accept()
-    second.dataReceived(ANSWER + pg.ready("I"))
-    node.pools.close_idle(1)
+def test_close_idle_keeps_busy_connections():
+    harness, first = logged_in()
+    first.dataReceived(ROW_RESPONSE + pg.ready("I"))
+    harness.send()
+    harness.send()
+    second = harness.accept()
+    second.dataReceived(ROW_RESPONSE + pg.ready("I"))
+    harness.pools.close_idle(1)
     assert second.state is ConnectionState.CLOSED and first.state is ConnectionState.BUSY
 
 
-def test_links_that_nobody_uses_are_swept():
-    node, link = ready(idle_link_ms=1000)
-    link.dataReceived(ANSWER + pg.ready("I"))
-    node.pools.close_expired()
-    assert link.state is ConnectionState.IDLE
-    node.reactor.advance(2)
-    node.pools.close_expired()
-    assert link.state is ConnectionState.CLOSED
+def test_expired_idle_connections_are_closed():
+    harness, connection = logged_in(idle_link_ms=1000)
+    connection.dataReceived(ROW_RESPONSE + pg.ready("I"))
+    harness.pools.close_expired()
+    assert connection.state is ConnectionState.IDLE
+    harness.reactor.advance(2)
+    harness.pools.close_expired()
+    assert connection.state is ConnectionState.CLOSED
 
 
-def test_a_node_that_moved_gets_new_links():
-    node, link = ready()
-    link.dataReceived(ANSWER + pg.ready("I"))
-    node.pools.set_address(1, "10.0.0.2", 5432)
-    node.send()
-    assert link.state is ConnectionState.CLOSED and node.reactor.tcpClients[-1][:2] == (
+def test_a_changed_address_replaces_the_connections():
+    harness, connection = logged_in()
+    connection.dataReceived(ROW_RESPONSE + pg.ready("I"))
+    harness.pools.set_address(1, "10.0.0.2", 5432)
+    harness.send()
+    assert connection.state is ConnectionState.CLOSED and harness.reactor.tcpClients[-1][:2] == (
         "10.0.0.2",
         5432,
     )
 
 
-def test_a_request_key_goes_before_its_statement():
-    wire = ShardStatement(0, "INSERT", key="it's").encode()
-    assert b"SET LOCAL tansycrank.request_key = 'it''s'" in wire
-    assert wire.index(b"SET LOCAL") < wire.index(b"INSERT") and wire.count(pg.SYNC_FRAME) == 1
+def test_a_request_key_is_set_before_its_statement():
+    messages = ShardStatement(0, "INSERT", key="it's").encode()
+    assert b"SET LOCAL tansycrank.request_key = 'it''s'" in messages
+    assert (
+        messages.index(b"SET LOCAL") < messages.index(b"INSERT")
+        and messages.count(pg.SYNC_FRAME) == 1
+    )
 
 
-def test_a_link_held_back_by_its_last_block_reads_on_for_the_next_part():
-    node, link = ready()
-    node.streams[0].memory.grew = lambda stream, size: node.streams[0].set_paused(True)
-    link.dataReceived(ANSWER + pg.ready("I"))
-    assert node.outcomes == [Outcome.SUCCEEDED] and link.transport.producerState == "producing"
+def test_a_connection_paused_by_its_last_block_resumes_for_the_next_request():
+    harness, connection = logged_in()
+    harness.streams[0].memory.grew = lambda stream, size: harness.streams[0].set_paused(True)
+    connection.dataReceived(ROW_RESPONSE + pg.ready("I"))
+    assert (
+        harness.outcomes == [Outcome.SUCCEEDED]
+        and connection.transport.producerState == "producing"
+    )
