--- a/tansycrank/sql_router/coordinator.py
+++ b/tansycrank/sql_router/coordinator.py
@@ -188,7 +188,7 @@
         return query
 
     def abandon(self, query: RoutedQuery, error: PgError | None = None) -> None:
-        """The client disconnected or cancelled; `error` is its answer if it still reads one."""
+        """End a query whose client disconnected or cancelled; `error` is the answer to send."""
         if query.ended:
             return
         self.counts["cancelled"] += 1
--- a/tansycrank/sql_router/node_connection.py
+++ b/tansycrank/sql_router/node_connection.py
@@ -213,8 +213,9 @@
         done: Callable[[AttemptResult], None],
         attempt: Attempt,
     ) -> None:
-        """Send a shard request; its rows go to the stream. From now on it may have been
-        executed, unless it ends as not sent.
+        """Send a shard request; its rows go to the stream.
+
+        From now on it may have been executed, unless it ends as not sent.
         """
         assert self.state is ConnectionState.IDLE
         self.state, self._unsent_attempt = ConnectionState.BUSY, attempt
