--- a/tansycrank/daemon.py
+++ b/tansycrank/daemon.py
@@ -156,13 +156,13 @@
                 queries=len(self.coordinator.queries),
             )
         self.port.stopListening()
-        self.front.stop_taking()
+        self.front.drain_sessions()
         self._drain(self.reactor.seconds() + self.config.router.stop_within_ms / 1000)
 
     def _drain(self, shutdown_deadline: float) -> None:
         busy = self.coordinator.queries or any(s.is_logged_in for s in self.front.sessions)
         if busy and self.reactor.seconds() < shutdown_deadline:
-            self.front.stop_taking()
+            self.front.drain_sessions()
             self.reactor.callLater(0.02, self._drain, shutdown_deadline)
         else:
             self.stop_now()
--- a/tansycrank/postgres/server/factory.py
+++ b/tansycrank/postgres/server/factory.py
@@ -91,8 +91,8 @@
         if any(has_cursors):
             self.watch_cursors()
 
-    def stop_taking(self) -> None:
-        """End idle sessions now, busy ones after their statement."""
+    def drain_sessions(self) -> None:
+        """Reject new logins; end idle sessions now and busy ones after their statement."""
         self.stopping = True
         for session in list(self.sessions):
             if session.is_logged_in:
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -282,7 +282,7 @@
     idle.dataReceived(pg.startup({"user": "x"}))
     front.core.at_once = False
     front.send(pg.query(ONE))
-    front.factory.stop_taking()
+    front.factory.drain_sessions()
     assert transport.disconnecting and not front.transport.disconnecting
     done, result = front.core.held.pop()
     done(result)
