--- a/tansycrank/postgres/server/__init__.py
+++ b/tansycrank/postgres/server/__init__.py
@@ -1,4 +1,4 @@
-"""PostgreSQL server side: client sessions, from the startup packet to the last row."""
+"""PostgreSQL server side: client sessions, from the startup packet to the close."""
 
 from tansycrank.postgres.server.factory import PostgresServerFactory
 
--- a/tansycrank/postgres/server/context.py
+++ b/tansycrank/postgres/server/context.py
@@ -1,4 +1,4 @@
-"""What the message handlers of one session share."""
+"""State that the message handlers of a session share."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class SessionConnection(Protocol):
-    """What message handlers need of the connection of their session."""
+    """The part of a client connection that message handlers use."""
 
     @property
     def is_ready(self) -> bool:
@@ -26,13 +26,13 @@
 
     @property
     def may_write_rows(self) -> bool:
-        """Whether the client is connected and reads its answers."""
+        """Whether the client is connected and reading its responses."""
 
     def write(self, data: bytes) -> None:
-        """Send messages."""
+        """Send encoded messages to the client."""
 
     def process_messages(self) -> None:
-        """Go on with queued messages, now that an answer is complete."""
+        """Continue with queued messages after a response is complete."""
 
 
 @dataclass(slots=True)
@@ -50,12 +50,12 @@
     caller: Caller = UNKNOWN_CALLER
 
     def release_portals_and_cursors(self) -> None:
-        """Remove what ends with a transaction."""
+        """Release all portals and cursors, as at the end of a transaction."""
         self.portals.release_all()
         self.cursors.release_all()
 
     def split_statement(self, sql: str) -> tuple[str, str]:
-        """(leading comment, statements) of a text. Raises PgError 54000 where it is too long."""
+        """Return (leading comment, statements). Raises PgError 54000 if the text is too long."""
         if len(sql) > self.limits.max_statement:
             raise PgError(
                 TOO_LARGE,
@@ -63,8 +63,8 @@
             )
         return split_comment(sql)
 
-    def request(self, prepared: Prepared, comment: str) -> Request:
-        """A request without parameters, in text format."""
+    def make_request(self, prepared: Prepared, comment: str) -> Request:
+        """Build a request without parameters and with results in text format."""
         return Request(
             prepared, comment=comment, settings=self.settings.snapshot(), caller=self.caller
         )
--- a/tansycrank/postgres/server/cursors.py
+++ b/tansycrank/postgres/server/cursors.py
@@ -1,4 +1,4 @@
-"""Cursors of one session (DECLARE, FETCH, CLOSE): materialized results and positions in them."""
+"""Cursors of one session (DECLARE, FETCH, CLOSE): materialized results and read positions."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class Cursor:
-    """A declared cursor: its result, the next row to fetch, when it was last used (seconds)."""
+    """A declared cursor: result, index of the next row, time of the last use (seconds)."""
 
     result: Result
     position: int = 0
@@ -21,7 +21,7 @@
 
 
 class CursorTable:
-    """Cursors by name; it releases the results of those it removes. `clock()` returns seconds."""
+    """Cursors by name; releases the result of each removed one. `clock()` returns seconds."""
 
     def __init__(self, service: Service, clock: Callable[[], float]) -> None:
         self._service = service
@@ -32,7 +32,7 @@
         return name in self._cursors
 
     def check_declaration(self, name: str, in_block: bool) -> None:
-        """Raise PgError where DECLARE of this name is not allowed."""
+        """Raise PgError if DECLARE is not allowed for this name."""
         if not in_block:
             raise PgError(
                 NO_ACTIVE_TRANSACTION, "DECLARE CURSOR can only be used in transaction blocks"
@@ -44,11 +44,11 @@
             raise PgError(LIMIT_EXCEEDED, f"more than {max_cursors} cursors in a session")
 
     def declare(self, name: str, result: Result) -> None:
-        """Add a cursor over a result."""
+        """Add a cursor at the first row of a result."""
         self._cursors[name] = Cursor(result, last_used=self._clock())
 
     def get(self, name: str) -> Cursor:
-        """The cursor of this name. Raises PgError 34000."""
+        """Return the cursor of this name. Raises PgError 34000."""
         if name not in self._cursors:
             raise PgError(
                 NO_SUCH_PORTAL, f"cursor {name!r} does not exist, or was idle for too long"
@@ -56,7 +56,7 @@
         return self._cursors[name]
 
     def mark_used(self, cursor: Cursor) -> None:
-        """Restart the idle time of a cursor."""
+        """Restart the idle timeout of a cursor."""
         cursor.last_used = self._clock()
 
     def close(self, name: str) -> None:
@@ -64,19 +64,19 @@
         self.get(name)
         self._service.release(self._cursors.pop(name).result)
 
-    def close_each(self) -> None:
-        """Remove all cursors, one by one (CLOSE ALL)."""
+    def close_all(self) -> None:
+        """Remove all cursors on CLOSE ALL."""
         for name in list(self._cursors):
             self.close(name)
 
     def release_all(self) -> None:
-        """Remove all cursors at the end of their block or session."""
+        """Remove all cursors at the end of the transaction block or session."""
         for cursor in self._cursors.values():
             self._service.release(cursor.result)
         self._cursors.clear()
 
     def close_unused_since(self, last_used: float) -> None:
-        """Remove cursors that were last used before this time (seconds)."""
+        """Remove cursors whose last use was before this time (seconds)."""
         idle = [name for name, cursor in self._cursors.items() if cursor.last_used < last_used]
         for name in idle:
             self.close(name)
--- a/tansycrank/postgres/server/extended_query.py
+++ b/tansycrank/postgres/server/extended_query.py
@@ -1,8 +1,8 @@
 """The extended query protocol: Parse, Bind, Describe, Execute, Close, Sync.
 
-Two messages wait for the one that follows them. The description of a portal may go out with its
-rows, which saves a round trip to the store. A write runs only before a Sync, because a batch is
-not one transaction here.
+Two kinds of messages are deferred until the next message is known. Describe of a portal is answered
+together with its rows if Execute follows, which saves a round trip to the store. A write runs only
+if Sync follows, because a batch is not one transaction here.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 from tansycrank.postgres.server.message_queue import MessageQueue
 from tansycrank.postgres.server.prepared import Portal, Statement
 from tansycrank.postgres.server.result_formats import (
+    apply_formats,
+    convert_rows,
     description,
-    in_requested_formats,
-    with_formats,
 )
 from tansycrank.postgres.server.row_writer import RowTransfer, RowWriter
 from tansycrank.postgres.server.session_commands import SessionCommands
 from tansycrank.postgres.server.statement_execution import (
-    LONG_COMMANDS,
+    ASYNC_COMMANDS,
     StatementExecution,
     command_tag,
 )
@@ -36,11 +36,11 @@
 from tansycrank.sql_router.service import Request
 
 STATEMENT_KIND = "S"
-COPY_DATA_KINDS = "dcf"  # CopyData, CopyDone, CopyFail: ignored outside of a COPY
+COPY_DATA_KINDS = "dcf"  # CopyData, CopyDone, CopyFail: ignored outside COPY
 
 
 class ExtendedQuery:
-    """Answers the messages of extended batches; an error skips to the next Sync."""
+    """Handles the messages of extended-query batches; after an error, skips to the next Sync."""
 
     def __init__(
         self,
@@ -56,17 +56,17 @@
         self._row_writer = row_writer
         self._deferred_description: str | None = None  # name of a portal
         self._deferred_write: pg.Execute | None = None
-        self.is_skipping = False  # until the next Sync
+        self.is_skipping_to_sync = False  # until the next Sync
 
     def sync(self) -> None:
-        """End a batch."""
-        self.is_skipping = False
+        """Handle Sync: end the batch and send ReadyForQuery."""
+        self.is_skipping_to_sync = False
         if self._context.transaction.is_idle:
             self._context.release_portals_and_cursors()
         self._connection.write(pg.ready(self._context.transaction.status.value))
 
     def resume_deferred(self, queue: MessageQueue) -> bool:
-        """Handle what waited for the next message; False where nothing did. Raises PgError."""
+        """Handle a deferred message; return False if there is none. Raises PgError."""
         if not queue:
             return False
         if self._deferred_write is not None:
@@ -83,7 +83,7 @@
         return True
 
     def handle(self, message: object, queue: MessageQueue) -> None:
-        """Handle one message of a batch; `queue` holds those behind it. Raises PgError."""
+        """Handle one message of a batch; `queue` holds the following ones. Raises PgError."""
         match message:
             case pg.Parse():
                 self._reject_early(message, queue)
@@ -100,16 +100,16 @@
                 raise ProtocolError(f"message of type {kind!r} has no place here")
 
     def fail(self, error: PgError) -> None:
-        """Report an error and skip to the next Sync."""
+        """Send an error and skip to the next Sync."""
         self._deferred_description = None
-        self.is_skipping = True
+        self.is_skipping_to_sync = True
         self._context.transaction.fail()
         self._connection.write(pg.error_response(error))
 
     # --- Parse, Bind, Close
 
     def _reject_early(self, message: pg.Parse, queue: MessageQueue) -> None:
-        """Reject a statement before it is planned, where the Bind behind it tells its values."""
+        """Apply early rejection before planning if Bind, with the parameter values, follows."""
         following = queue.peek() if queue else None
         if not isinstance(following, pg.Bind) or following.statement != message.name:
             return
@@ -186,10 +186,10 @@
                 self.fail(outcome)
                 return
             oids, fields = outcome
-            shown = None if fields is None else with_formats(fields, ())
-            columns = description(shown)
+            formatted = None if fields is None else apply_formats(fields, ())
+            row_description = description(formatted)
             header = pg.parameter_description([oid or types.TEXT for oid in oids])
-            self._connection.write(header + columns)
+            self._connection.write(header + row_description)
 
         self._execution.describe(prepared, on_outcome)
 
@@ -203,16 +203,16 @@
         elif portal.result is not None:
             self._connection.write(description(portal.result.fields))
         else:
-            self._look_up_description(prepared, result_formats)
+            self._fetch_description(prepared, result_formats)
 
-    def _look_up_description(self, prepared: Prepared, result_formats: tuple[int, ...]) -> None:
+    def _fetch_description(self, prepared: Prepared, result_formats: tuple[int, ...]) -> None:
         def on_outcome(outcome: tuple | PgError) -> None:
             if isinstance(outcome, PgError):
                 self.fail(outcome)
                 return
             fields = outcome[1]
-            shown = None if fields is None else with_formats(fields, result_formats)
-            self._connection.write(description(shown))
+            formatted = None if fields is None else apply_formats(fields, result_formats)
+            self._connection.write(description(formatted))
 
         self._execution.describe(prepared, on_outcome)
 
@@ -228,10 +228,10 @@
             self._connection.write(header + pg.EMPTY_QUERY)
             return
         self._context.transaction.check_statement(prepared)
-        if prepared.local is not None and prepared.local.command in LONG_COMMANDS:
-            self._execute_long_command(portal, with_description)
+        if prepared.local is not None and prepared.local.command in ASYNC_COMMANDS:
+            self._execute_async_command(portal, with_description)
         elif prepared.local is not None:
-            self._execute_command(portal, with_description)
+            self._execute_sync_command(portal, with_description)
         elif portal.result is not None:
             self._write_portal(portal, message.limit, with_description)
         elif (prepared.writes or prepared.volatile) and self._deferred_write is None:
@@ -240,7 +240,7 @@
         else:
             self._run_portal(portal, message.limit, with_description)
 
-    def _execute_long_command(self, portal: Portal, with_description: bool) -> None:
+    def _execute_async_command(self, portal: Portal, with_description: bool) -> None:
         is_fetch = portal.statement.prepared.local.command == "fetch"
 
         def on_finished(tag: str | None, error: PgError | None) -> None:
@@ -251,9 +251,9 @@
 
         if with_description and not is_fetch:
             self._connection.write(pg.NO_DATA)
-        self._execution.answer(self._request(portal), with_description and is_fetch, on_finished)
+        self._execution.execute(self._request(portal), with_description and is_fetch, on_finished)
 
-    def _execute_command(self, portal: Portal, with_description: bool) -> None:
+    def _execute_sync_command(self, portal: Portal, with_description: bool) -> None:
         prepared, bind = portal.statement.prepared, portal.bind
         fields = self._commands.fields(prepared, bind.results)
         local = prepared.local
@@ -263,7 +263,7 @@
         header = description(fields) if with_description else b""
         answer = self._commands.run(local)
         if fields is not None and any(field.format for field in fields):
-            answer = in_requested_formats(fields, answer)
+            answer = convert_rows(fields, answer)
         self._connection.write(header + b"".join(answer))
 
     def _run_portal(self, portal: Portal, row_limit: int, with_description: bool) -> None:
@@ -294,7 +294,7 @@
         )
 
     def _resume_write(self, queue: MessageQueue) -> None:
-        """Run a deferred write before its Sync; any other message in its batch is an error."""
+        """Run a deferred write if Sync follows; any message but Flush or Sync is an error."""
         message = self._deferred_write
         following = queue.peek()
         if isinstance(following, pg.Flush):
--- a/tansycrank/postgres/server/factory.py
+++ b/tansycrank/postgres/server/factory.py
@@ -1,4 +1,4 @@
-"""All sessions of one listening socket: their number, cancel keys, idle cursors and end."""
+"""Sessions of one listening socket: limits, cancel keys, idle cursors and shutdown."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from tansycrank.postgres.server.session import ClientSession
 from tansycrank.sql_router.service import Service
 
-CONNECTIONS_PER_SESSION = 2  # bounds connections that never log in
-CURSOR_CHECKS_PER_IDLE_TIME = 4
+MAX_CONNECTIONS_PER_SESSION = 2  # factor on `max_sessions`; bounds connections not logged in
+CURSOR_CHECKS_PER_IDLE_TIMEOUT = 4
 SECRET_BITS = 32
 SECRET_MASK = 0xFFFFFFFF
 
 
 class PostgresServerFactory(ServerFactory):
-    """Makes the sessions of one listening socket and keeps track of them."""
+    """Creates and tracks the sessions of one listening socket."""
 
     noisy = False
 
@@ -30,30 +30,32 @@
         self.sessions: set[ClientSession] = set()
         self.stopping = False
         self.accepted = 0  # connections
-        self.turns = ReaderScheduler(lambda call: reactor.callLater(0, call), reactor.seconds)
+        self.reader_scheduler = ReaderScheduler(
+            lambda call: reactor.callLater(0, call), reactor.seconds
+        )
         self._sessions_by_pid: dict[int, ClientSession] = {}
         self._random = random.Random(seed)
         self._last_pid = 0
         self._cursor_check = None
 
     def buildProtocol(self, addr) -> ClientSession:
-        """A session for a new connection."""
+        """Create the session of a new connection."""
         return ClientSession(self)
 
-    def opened(self, session: ClientSession) -> None:
-        """A connection was accepted."""
+    def add_session(self, session: ClientSession) -> None:
+        """Track an accepted connection; abort it if there are too many."""
         self.accepted += 1
         self.sessions.add(session)
-        if len(self.sessions) > CONNECTIONS_PER_SESSION * self.limits.max_sessions:
+        if len(self.sessions) > MAX_CONNECTIONS_PER_SESSION * self.limits.max_sessions:
             session.transport.abortConnection()
 
-    def closed(self, session: ClientSession) -> None:
-        """A connection ended."""
+    def remove_session(self, session: ClientSession) -> None:
+        """Remove a session whose connection has ended."""
         self.sessions.discard(session)
         self._sessions_by_pid.pop(session.pid, None)
 
-    def admission(self, session: ClientSession) -> PgError | None:
-        """The reason why this client can't log in now, if there is one."""
+    def login_error(self, session: ClientSession) -> PgError | None:
+        """Return the error that prevents a login now, or None."""
         if self.stopping:
             return PgError(CANNOT_CONNECT_NOW, "the router is shutting down", severity="FATAL")
         if len(self._sessions_by_pid) >= self.limits.max_sessions:
@@ -64,32 +66,34 @@
             )
         return None
 
-    def key(self, session: ClientSession) -> tuple[int, int]:
-        """A new cancel key: (pid, secret)."""
+    def assign_cancel_key(self, session: ClientSession) -> tuple[int, int]:
+        """Register a session that logs in; return its cancel key (pid, secret)."""
         self._last_pid += 1
         self._sessions_by_pid[self._last_pid] = session
         return self._last_pid, self._random.getrandbits(SECRET_BITS)
 
     def cancel(self, pid: int, secret: int) -> None:
-        """Honour a CancelRequest with the right key; others are ignored, as by PostgreSQL."""
+        """Handle a CancelRequest; a wrong key is ignored, as in PostgreSQL."""
         session = self._sessions_by_pid.get(pid)
         if session is not None and session.secret & SECRET_MASK == secret & SECRET_MASK:
             session.cancel()
 
-    def watch_cursors(self) -> None:
-        """Check for unused cursors until none is left."""
+    def schedule_cursor_check(self) -> None:
+        """Start periodic checks for idle cursors; they stop when no cursor is left."""
         if self._cursor_check is None:
-            idle_seconds = self.service.config.merge.cursor_idle_ms / 1000
+            idle_timeout_seconds = self.service.config.merge.cursor_idle_ms / 1000
             self._cursor_check = self.reactor.callLater(
-                idle_seconds / CURSOR_CHECKS_PER_IDLE_TIME, self._check_cursors, idle_seconds
+                idle_timeout_seconds / CURSOR_CHECKS_PER_IDLE_TIMEOUT,
+                self._check_cursors,
+                idle_timeout_seconds,
             )
 
-    def _check_cursors(self, idle_seconds: float) -> None:
+    def _check_cursors(self, idle_timeout_seconds: float) -> None:
         self._cursor_check = None
-        last_used = self.reactor.seconds() - idle_seconds
-        has_cursors = [session.close_unused_cursors(last_used) for session in list(self.sessions)]
-        if any(has_cursors):
-            self.watch_cursors()
+        last_used = self.reactor.seconds() - idle_timeout_seconds
+        have_cursors = [session.close_unused_cursors(last_used) for session in list(self.sessions)]
+        if any(have_cursors):
+            self.schedule_cursor_check()
 
     def drain_sessions(self) -> None:
         """Reject new logins; end idle sessions now and busy ones after their statement."""
@@ -98,4 +102,4 @@
             if session.is_logged_in:
                 session.process_messages()
             else:
-                session.hang_up()
+                session.close_connection()
--- a/tansycrank/postgres/server/interfaces.py
+++ b/tansycrank/postgres/server/interfaces.py
@@ -1,4 +1,4 @@
-"""What a client session needs of the factory that made it."""
+"""Interface of the session factory that a client session uses."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 
 
 class SessionOwner(Protocol):
-    """The owner of all sessions of a listening socket, as one session sees it."""
+    """The factory that tracks all sessions of a listening socket."""
 
     service: Service
     limits: ListenSection
     reactor: object
     log: object
     stopping: bool
-    turns: ReaderScheduler
+    reader_scheduler: ReaderScheduler
 
-    def opened(self, session: object) -> None:
-        """Count an accepted connection; close it if there are too many."""
+    def add_session(self, session: object) -> None:
+        """Track an accepted connection; abort it if there are too many."""
 
-    def closed(self, session: object) -> None:
-        """Forget a connection that ended."""
+    def remove_session(self, session: object) -> None:
+        """Remove a session whose connection has ended."""
 
-    def admission(self, session: object) -> PgError | None:
-        """Return why this client cannot log in now, or None if it can."""
+    def login_error(self, session: object) -> PgError | None:
+        """Return the error that prevents a login now, or None."""
 
-    def key(self, session: object) -> tuple[int, int]:
-        """Return a new cancel key: (pid, secret)."""
+    def assign_cancel_key(self, session: object) -> tuple[int, int]:
+        """Register a session that logs in; return its cancel key (pid, secret)."""
 
     def cancel(self, pid: int, secret: int) -> None:
         """Cancel the statement of the session with this key, if there is one."""
 
-    def watch_cursors(self) -> None:
-        """Check for unused cursors until none is left."""
+    def schedule_cursor_check(self) -> None:
+        """Start periodic checks for idle cursors; they stop when no cursor is left."""
--- a/tansycrank/postgres/server/message_queue.py
+++ b/tansycrank/postgres/server/message_queue.py
@@ -1,4 +1,4 @@
-"""Messages of a client that wait for the statement before them."""
+"""Queue of client messages that wait for the preceding statement."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class MessageQueue:
-    """Decoded messages in order, with the size of their frames."""
+    """FIFO queue of decoded messages; `size_bytes` is the total size of their frames."""
 
     def __init__(self) -> None:
         self._messages: deque[tuple[object, int]] = deque()
@@ -16,12 +16,12 @@
         return bool(self._messages)
 
     def append(self, message: object, size_bytes: int) -> None:
-        """Add a message."""
+        """Add a message with the size of its frame."""
         self._messages.append((message, size_bytes))
         self.size_bytes += size_bytes
 
     def peek(self) -> object:
-        """The next message, which stays in the queue."""
+        """Return the next message without removing it."""
         return self._messages[0][0]
 
     def pop(self) -> object:
@@ -31,6 +31,6 @@
         return message
 
     def clear(self) -> None:
-        """Drop all messages."""
+        """Discard all messages."""
         self._messages.clear()
         self.size_bytes = 0
--- a/tansycrank/postgres/server/pending_operation.py
+++ b/tansycrank/postgres/server/pending_operation.py
@@ -1,4 +1,4 @@
-"""The one asynchronous operation that a session may wait for."""
+"""The asynchronous operation of a session; at most one is pending."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class PendingOperation:
-    """Starts an operation of the service, delivers its outcome once, cancels it on request."""
+    """Starts a service operation, delivers its outcome once and cancels it on request."""
 
     def __init__(self, service: Service, connection: SessionConnection) -> None:
         self._service = service
@@ -23,7 +23,7 @@
         begin: Callable[[Callable[[object], None]], Running | None],
         on_outcome: Callable[[object], None],
     ) -> None:
-        """Call `begin` with a completion callback. An ended session gets no `on_outcome`."""
+        """Call `begin` with a completion callback; `on_outcome` is not called after the end."""
         self.is_active = True
         has_finished = False
 
@@ -44,14 +44,14 @@
             self._running = running
 
     def cancel(self) -> bool:
-        """Cancel for a CancelRequest; False where nothing runs."""
+        """Cancel the operation for a CancelRequest; return False if none is running."""
         if self._running is None:
             return False
         self._service.cancel(self._running)
         return True
 
     def abandon(self) -> None:
-        """Cancel because the session ends; the outcome goes to nobody."""
+        """Cancel the operation because the session ends."""
         if self._running is not None:
             running, self._running = self._running, None
             self._service.cancel(running, left=True)
--- a/tansycrank/postgres/server/prepared.py
+++ b/tansycrank/postgres/server/prepared.py
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class Statement:
-    """A prepared statement; `prepared` is None for an empty text."""
+    """A prepared statement; `prepared` is None for an empty query string."""
 
     prepared: Prepared | None
     comment: str
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class Portal:
-    """A bound statement: once run, its result and the position of the next row to send."""
+    """A bound statement; after it has run, its result and the index of the next row to send."""
 
     statement: Statement
     bind: pg.Bind
@@ -37,7 +37,7 @@
 
     @property
     def is_exhausted(self) -> bool:
-        """Whether all rows of its result have been sent."""
+        """Whether all rows of the result have been sent."""
         stream = self.result.stream
         return stream.ended if stream is not None else self.position >= len(self.result.rows)
 
@@ -50,7 +50,7 @@
         self._statements: dict[str, Statement] = {}
 
     def check_name(self, name: str) -> None:
-        """Raise PgError where no statement of this name may be added."""
+        """Raise PgError if a statement of this name cannot be added."""
         if name and name in self._statements:
             raise PgError(DUPLICATE_STATEMENT, f"prepared statement {name!r} already exists")
         if name not in self._statements and len(self._statements) >= self._max_statements:
@@ -63,27 +63,27 @@
         self._statements[name] = statement
 
     def get(self, name: str) -> Statement:
-        """The statement of this name. Raises PgError 26000."""
+        """Return the statement of this name. Raises PgError 26000."""
         if name not in self._statements:
             raise PgError(NO_SUCH_STATEMENT, f"prepared statement {name!r} does not exist")
         return self._statements[name]
 
     def discard(self, name: str) -> None:
-        """Remove a statement if it exists (Close)."""
+        """Remove a statement if it exists (Close message)."""
         self._statements.pop(name, None)
 
     def deallocate(self, name: str) -> None:
-        """Remove a statement. Raises PgError 26000."""
+        """Remove a statement (DEALLOCATE). Raises PgError 26000."""
         self.get(name)
         self.discard(name)
 
     def clear(self) -> None:
-        """Remove all."""
+        """Remove all statements."""
         self._statements.clear()
 
 
 class PortalTable:
-    """Portals by name; it releases the results of those it removes."""
+    """Portals by name; releases the result of each removed one."""
 
     def __init__(self, service: Service, max_portals: int) -> None:
         self._service = service
@@ -91,19 +91,19 @@
         self._portals: dict[str, Portal] = {}
 
     def check_name(self, name: str) -> None:
-        """Raise PgError where no portal of this name may be added."""
+        """Raise PgError if a portal of this name cannot be added."""
         if name and name in self._portals:
             raise PgError(DUPLICATE_PORTAL, f"portal {name!r} already exists")
         if len(self._portals) >= self._max_portals and name not in self._portals:
             raise PgError(LIMIT_EXCEEDED, f"more than {self._max_portals} portals in a session")
 
     def add(self, name: str, portal: Portal) -> None:
-        """Add a portal; the unnamed one replaces its predecessor."""
+        """Add a portal; the unnamed one replaces the previous one."""
         self.release(name)
         self._portals[name] = portal
 
     def get(self, name: str) -> Portal:
-        """The portal of this name. Raises PgError 34000."""
+        """Return the portal of this name. Raises PgError 34000."""
         if name not in self._portals:
             raise PgError(NO_SUCH_PORTAL, f"portal {name!r} does not exist")
         return self._portals[name]
--- a/tansycrank/postgres/server/result_formats.py
+++ b/tansycrank/postgres/server/result_formats.py
@@ -1,4 +1,4 @@
-"""Result columns in the formats (text or binary) that a Bind message asked for."""
+"""Conversion of result columns to the formats (text or binary) requested by Bind."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 TEXT_FORMAT = 0
 BINARY_FORMAT = 1
-DATA_ROW = b"D"
+DATA_ROW_TYPE = b"D"
 
 
-def with_formats(fields: Sequence[pg.Field], formats: tuple[int, ...]) -> tuple[pg.Field, ...]:
-    """The columns with these formats: none for all text, one for all, or one each."""
+def apply_formats(fields: Sequence[pg.Field], formats: tuple[int, ...]) -> tuple[pg.Field, ...]:
+    """Set column formats: none means all text, one applies to all, else one per column."""
     codes = formats * len(fields) if len(formats) == 1 else formats or (TEXT_FORMAT,) * len(fields)
     if len(codes) != len(fields):
         raise PgError(PROTOCOL_VIOLATION, f"{len(codes)} result formats for {len(fields)} columns")
@@ -23,18 +23,18 @@
 
 
 def description(fields: Sequence[pg.Field] | None) -> bytes:
-    """RowDescription, or NoData for a statement without rows."""
+    """Encode RowDescription, or NoData for a statement that returns no rows."""
     return pg.NO_DATA if fields is None else pg.row_description(fields)
 
 
-def in_requested_formats(fields: Sequence[pg.Field], messages: list[bytes]) -> list[bytes]:
-    """Convert text DataRow messages to the columns' formats; the last message is the tag."""
+def convert_rows(fields: Sequence[pg.Field], messages: list[bytes]) -> list[bytes]:
+    """Convert text DataRow messages to the column formats; the last message is a command tag."""
     converted = [_convert_row(fields, message) for message in messages[:-1]]
     return [*converted, messages[-1]]
 
 
 def _convert_row(fields: Sequence[pg.Field], message: bytes) -> bytes:
-    if message[:1] != DATA_ROW:
+    if message[:1] != DATA_ROW_TYPE:
         return message
     values = pg.read_row(message)
     return pg.data_row(
--- a/tansycrank/postgres/server/row_writer.py
+++ b/tansycrank/postgres/server/row_writer.py
@@ -1,4 +1,4 @@
-"""Sends the rows of a result with back-pressure: it pauses while the client reads nothing."""
+"""Sends result rows with back-pressure: pauses while the client does not read."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 from tansycrank.postgres.errors import PgError, cancelled
 from tansycrank.postgres.server.context import SessionConnection
 
-CHUNK_BYTES = 65_536  # rows written before back-pressure is checked again
+CHUNK_BYTES = 65_536  # size of rows written between two checks of back-pressure
 
 
 @dataclass(slots=True)
 class RowTransfer:
-    """Rows on their way to the client.
+    """A result being sent to the client, and how far it has been sent.
 
-    `on_finished` is called once with the number of rows sent and the error of a stream, if any.
+    `on_finished` is called once with the number of rows sent and the error of the stream, if any.
     """
 
     result: Result
     on_finished: Callable[[int, PgError | None], None]
     header: bytes = b""
-    max_rows: int | None = None  # None for all
+    max_rows: int | None = None  # None if unlimited
     position: int = 0
     convert_row: Callable[[bytes], bytes] | None = None
     rows_sent: int = 0
 
     @property
     def rows_left(self) -> int | None:
-        """How many rows may still be sent, None for all."""
+        """How many more rows may be sent; None if unlimited."""
         return None if self.max_rows is None else self.max_rows - self.rows_sent
 
 
 class RowBatch(NamedTuple):
-    """Frames to write next. `error` is that of a stream which ended early."""
+    """DataRow frames to write next; `error` is set if the stream ended early."""
 
     frames: list[bytes]
     row_count: int
@@ -44,7 +44,7 @@
 
 
 class RowWriter:
-    """Writes one transfer at a time."""
+    """Writes the rows of one transfer at a time."""
 
     def __init__(self, connection: SessionConnection) -> None:
         self._connection = connection
@@ -52,16 +52,16 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether a transfer is not finished."""
+        """Whether a transfer is in progress."""
         return self._transfer is not None
 
     def start(self, transfer: RowTransfer) -> None:
-        """Begin to write the rows of a result."""
+        """Start to write the rows of a result."""
         self._transfer = transfer
         self.write_available()
 
     def write_available(self) -> None:
-        """Write rows until none are available, the client stops reading, or all are written."""
+        """Write rows until all are written, none is available or the client stops reading."""
         transfer = self._transfer
         while transfer is not None and self._connection.may_write_rows:
             if transfer.header:
@@ -76,15 +76,15 @@
                 self._connection.process_messages()
                 return
             if not batch.frames:
-                return  # the stream calls `on_ready` when it has more
+                return  # the stream calls `on_ready` when more rows are available
 
     def cancel(self) -> None:
-        """End a streamed transfer with 57014; rows already merged are sent to the end."""
+        """End a streamed transfer with 57014; a fully merged result is still sent completely."""
         if self._transfer is not None and self._transfer.result.stream is not None:
             self._transfer.result.stream.stop(cancelled())
 
     def discard(self) -> Result | None:
-        """Drop the transfer of a lost connection; returns its result, to be released."""
+        """Discard the transfer of a lost connection; return its result for release."""
         transfer, self._transfer = self._transfer, None
         return transfer.result if transfer is not None else None
 
@@ -112,7 +112,7 @@
     def _from_stream(self, transfer: RowTransfer) -> RowBatch:
         stream, rows_left = transfer.result.stream, transfer.rows_left
         stream.on_ready = self.write_available
-        if rows_left is None and transfer.convert_row is None:  # whole blocks need no cutting
+        if rows_left is None and transfer.convert_row is None:  # whole blocks can be sent unsplit
             block = stream.take_block()
             frames, row_count = ([], 0) if block is None else ([block[0]], block[1])
         else:
--- a/tansycrank/postgres/server/session.py
+++ b/tansycrank/postgres/server/session.py
@@ -1,7 +1,8 @@
-"""One client's connection: framing, the order of messages, back-pressure, and the end.
+"""Client connection: framing, message order, back-pressure and termination.
 
-A session handles its messages one after the other. While a statement runs, or while the client
-reads no answers, further messages wait in a bounded queue and then in the client's own socket.
+A session handles its messages in order. While a statement runs, or while the client does not read
+its responses, further messages wait in a bounded queue; when it is full, reading from the socket
+pauses.
 """
 
 from __future__ import annotations
@@ -37,14 +38,14 @@
 class SessionState(Enum):
     """The phases of a session."""
 
-    STARTUP = "startup"  # no startup packet has been accepted
+    STARTUP = "startup"  # no startup packet accepted yet
     READY = "ready"  # logged in
-    ENDING = "ending"  # the last message is written, the client may still read it
-    CLOSED = "closed"  # nothing is read or written any more
+    ENDING = "ending"  # the last message is written; the client may still read it
+    CLOSED = "closed"  # nothing more is read or written
 
 
 class ClientSession(LineReceiver):
-    """Protocol of one connection, in raw mode: messages carry their own lengths."""
+    """Twisted protocol of one connection, in raw mode because messages have length fields."""
 
     def __init__(self, factory: SessionOwner) -> None:
         self.factory = factory
@@ -57,13 +58,13 @@
         self._is_processing = False
         self._is_client_reading = True
         self._is_reading_paused = False
-        self._timer: IDelayedCall | None = None  # for the login, later for the end
+        self._timer: IDelayedCall | None = None  # login timeout, later close timeout
         self._context = self._make_context()
         self._operation = PendingOperation(self.service, self)
         self._row_writer = RowWriter(self)
         commands = SessionCommands(self._context)
         execution = StatementExecution(
-            self._context, self._operation, self._row_writer, factory.watch_cursors
+            self._context, self._operation, self._row_writer, factory.schedule_cursor_check
         )
         self._simple_query = SimpleQuery(self._context, commands, execution)
         self._extended_query = ExtendedQuery(self._context, commands, execution, self._row_writer)
@@ -80,21 +81,21 @@
             CursorTable(self.service, self.factory.reactor.seconds),
         )
 
-    # --- what others ask
+    # --- properties
 
     @property
     def settings(self) -> SessionSettings:
-        """Current settings."""
+        """Current settings of the session."""
         return self._context.settings
 
     @property
     def id(self) -> int:
-        """Identifies the session among readers."""
+        """Key of the session in the reader scheduler."""
         return self.pid
 
     @property
     def is_ready(self) -> bool:
-        """Whether messages are handled: logged in, and not about to end."""
+        """Whether the session is logged in and not about to end, so that it handles messages."""
         return self.state is SessionState.READY
 
     @property
@@ -104,25 +105,25 @@
 
     @property
     def may_write_rows(self) -> bool:
-        """Whether the client is connected and reads its answers."""
+        """Whether the client is connected and reading its responses."""
         return self._is_client_reading and self.is_logged_in
 
     @property
     def _is_busy(self) -> bool:
         return self._operation.is_active or self._row_writer.is_active
 
-    # --- Twisted
+    # --- Twisted callbacks
 
     def connectionMade(self) -> None:
-        """Begin to wait for a startup packet, for a bounded time."""
+        """Wait for a startup packet until the login timeout."""
         self.setRawMode()
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
-        self.factory.opened(self)
+        self.factory.add_session(self)
         self._start_timer(self._on_login_timeout)
 
     def rawDataReceived(self, data: bytes) -> None:
-        """Decode and queue what the client sent."""
+        """Decode and queue received messages."""
         try:
             if self.state is SessionState.STARTUP:
                 data = self._receive_startup(data)
@@ -132,11 +133,11 @@
             self._end_with(error)
 
     def connectionLost(self, reason=None) -> None:
-        """Cancel and release all that belongs to the session."""
+        """Cancel the running operation and release all resources of the session."""
         self.state = SessionState.CLOSED
         self._cancel_timer()
-        self.factory.closed(self)
-        self.factory.turns.remove(self, self._tenant())
+        self.factory.remove_session(self)
+        self.factory.reader_scheduler.remove(self, self._tenant())
         self._queue.clear()
         self._operation.abandon()
         result = self._row_writer.discard()
@@ -145,12 +146,12 @@
         self._context.release_portals_and_cursors()
 
     def pauseProducing(self) -> None:
-        """The client does not read its answers."""
+        """Stop writing rows: the send buffer is full because the client does not read."""
         self._is_client_reading = False
         self._adjust_reading()
 
     def resumeProducing(self) -> None:
-        """The client reads again."""
+        """Continue to write rows and to handle messages: the client reads again."""
         self._is_client_reading = True
         self._adjust_reading()
         if self._row_writer.is_active:
@@ -159,13 +160,13 @@
             self.process_messages()
 
     def stopProducing(self) -> None:
-        """The connection is lost."""
+        """Stop writing rows: the connection is lost."""
         self._is_client_reading = False
 
     # --- startup
 
     def _receive_startup(self, data: bytes) -> bytes:
-        """Handle startup packets; returns the bytes behind the last one, once logged in."""
+        """Handle startup packets; after the login, return the bytes that follow them."""
         self._startup.feed(data)
         while (
             self.state is SessionState.STARTUP
@@ -177,15 +178,15 @@
                 case pg.CancelRequest(pid, secret):
                     self.factory.cancel(pid, secret)
                     self.state = SessionState.CLOSED
-                    self.hang_up()
+                    self.close_connection()
                 case pg.Startup(parameters):
                     self._log_in(parameters)
-        return self._startup.take_rest() if self.is_ready else b""
+        return self._startup.take_remaining() if self.is_ready else b""
 
     def _log_in(self, parameters: dict[str, str]) -> None:
-        """Open the session. Raises PgError where it is rejected."""
+        """Log the client in. Raises PgError if the login is rejected."""
         context = self._context
-        rejection = self.factory.admission(self)
+        rejection = self.factory.login_error(self)
         if rejection is not None:
             raise rejection
         address = getattr(self.transport.getPeer(), "host", "")
@@ -200,7 +201,7 @@
             context.settings.assign(name, value, context.caller)
         self.state = SessionState.READY
         self._frames = pg.Frames(self.limits.max_message, pg.FRONTEND_TYPES)
-        self.pid, self.secret = self.factory.key(self)
+        self.pid, self.secret = self.factory.assign_cancel_key(self)
         context.caller = replace(context.caller, session=self.pid)
         answer = [
             pg.AUTHENTICATION_OK,
@@ -226,20 +227,20 @@
         for kind, frame in self._frames.feed(data):
             self._queue.append(pg.read_frontend(kind, frame), len(frame))
         self._adjust_reading()
-        if not self._is_busy:  # else the end of its statement calls `process_messages`
-            self.factory.turns.wake(self, self._tenant())
+        if not self._is_busy:  # else `process_messages` is called when the statement ends
+            self.factory.reader_scheduler.wake(self, self._tenant())
 
     def _tenant(self) -> str:
         name = self._context.settings.get("tansycrank.tenant", "")
         return self.service.identity.identify(self._context.caller, name).tenant
 
     def read_pending(self) -> None:
-        """The scheduler gives this session its turn."""
+        """Handle queued messages when the reader scheduler selects this session."""
         self.process_messages()
 
     def process_messages(self) -> None:
-        """Handle queued messages until one must be waited for."""
-        if self._is_processing:  # an answer that comes at once would recurse for each message
+        """Handle queued messages until one starts an asynchronous operation."""
+        if self._is_processing:  # an immediate response would recurse for each message
             return
         self._is_processing = True
         try:
@@ -260,10 +261,10 @@
     def _handle(self, message: object) -> None:
         if isinstance(message, pg.Terminate):
             self.state = SessionState.ENDING
-            self.hang_up()
+            self.close_connection()
         elif isinstance(message, pg.Sync):
             self._extended_query.sync()
-        elif not self._extended_query.is_skipping:
+        elif not self._extended_query.is_skipping_to_sync:
             self._handle_statement_message(message)
 
     def _handle_statement_message(self, message: object) -> None:
@@ -278,11 +279,11 @@
             self._extended_query.fail(error)
 
     def write(self, data: bytes) -> None:
-        """Send messages to the client."""
+        """Send encoded messages to the client."""
         self.transport.write(data)
 
     def _adjust_reading(self) -> None:
-        """Read on only while the queue is short and the client reads its answers."""
+        """Pause reading while the queue is full or the client does not read its responses."""
         is_queue_full = self._queue.size_bytes > self.limits.max_pending
         must_pause = not self._is_client_reading or is_queue_full
         if must_pause == self._is_reading_paused or self.state is SessionState.CLOSED:
@@ -293,21 +294,21 @@
         if change_reading is not None:
             change_reading()
 
-    # --- cancel and end
+    # --- cancellation and termination
 
     def cancel(self) -> None:
-        """A CancelRequest for this session: its running statement ends with 57014."""
+        """Handle a CancelRequest: the running statement ends with 57014."""
         if not self._operation.cancel():
             self._row_writer.cancel()
 
     def close_unused_cursors(self, last_used: float) -> bool:
-        """Close cursors last used before this time (seconds); whether any cursor is left."""
+        """Close cursors last used before this time (seconds); return whether any is left."""
         if not self._is_busy:
             self._context.cursors.close_unused_since(last_used)
         return bool(self._context.cursors)
 
     def shut_down(self) -> None:
-        """End the session at once because the router stops."""
+        """End the session immediately because the router stops."""
         self._end_with(PgError(SHUTTING_DOWN, "the router is shutting down", severity="FATAL"))
 
     def _end_with(self, error: PgError) -> None:
@@ -317,15 +318,15 @@
         self.state = SessionState.ENDING if self.is_ready else SessionState.CLOSED
         error.severity = "FATAL"
         self.write(pg.error_response(error))
-        self.hang_up()
+        self.close_connection()
         self._operation.abandon()
         if self.factory.log:
             self.factory.log.info(
                 "session_ended", pid=self.pid, state=error.state, reason=error.message
             )
 
-    def hang_up(self) -> None:
-        """Close once all is written; a client that reads nothing gets a bounded time for it."""
+    def close_connection(self) -> None:
+        """Close after all data is written; abort if that takes longer than the login timeout."""
         self.transport.unregisterProducer()
         self.transport.loseConnection()
         self._cancel_timer()
--- a/tansycrank/postgres/server/session_commands.py
+++ b/tansycrank/postgres/server/session_commands.py
@@ -1,4 +1,4 @@
-"""Commands that the router answers itself: SET, SHOW, BEGIN, SAVEPOINT, CLOSE, DEALLOCATE."""
+"""Commands that the router executes itself: SET, SHOW, BEGIN, SAVEPOINT, CLOSE, DEALLOCATE."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from tansycrank.postgres import types
 from tansycrank.postgres.errors import PgError
 from tansycrank.postgres.server.context import SessionContext
-from tansycrank.postgres.server.result_formats import with_formats
+from tansycrank.postgres.server.result_formats import apply_formats
 from tansycrank.postgres.server.sqlstates import ACTIVE_TRANSACTION, NO_ACTIVE_TRANSACTION
 from tansycrank.sql.plan import Local, Prepared
 
-END_OF_BLOCK = ("commit", "rollback")
+BLOCK_END_COMMANDS = ("commit", "rollback")
 
 
 class SessionCommands:
-    """Runs the commands of one session at once, without waiting."""
+    """Runs the session commands that complete synchronously."""
 
     def __init__(self, context: SessionContext) -> None:
         self._context = context
@@ -34,25 +34,25 @@
         }
 
     def run(self, command: Local) -> list[bytes]:
-        """The messages that answer a command, without RowDescription. Raises PgError."""
+        """Run a command; return its response without RowDescription. Raises PgError."""
         tag = command.tag
-        if command.command in END_OF_BLOCK and self._context.transaction.has_failed:
+        if command.command in BLOCK_END_COMMANDS and self._context.transaction.has_failed:
             tag = "ROLLBACK"
-        handler = self._handlers.get(command.command)  # others only have a command tag
+        handler = self._handlers.get(command.command)  # other commands only return a command tag
         messages = handler(command) if handler is not None else []
         return [*messages, pg.command_complete(tag)]
 
     def fields(
         self, prepared: Prepared, result_formats: tuple[int, ...] = ()
     ) -> tuple[pg.Field, ...] | None:
-        """The columns of a command's rows, None where it returns none. Raises PgError."""
+        """Return the result columns of a command, or None without a result. Raises PgError."""
         local = prepared.local
         if local.command == "show":
             return self._show_fields(local)
         if local.command == "fetch":
             return self._context.cursors.get(local.name).result.fields
         if local.command == "rows" and prepared.returns_rows:
-            return with_formats(local.fields, result_formats)
+            return apply_formats(local.fields, result_formats)
         return None
 
     def _show_fields(self, command: Local) -> tuple[pg.Field, ...]:
@@ -67,7 +67,7 @@
 
     def _show(self, command: Local) -> list[bytes]:
         view = self._context.service.view(command.name.lower(), self._context.caller)
-        rows = view[1] if view is not None else [(self._context.settings.shown(command.name),)]
+        rows = view[1] if view is not None else [(self._context.settings.show_value(command.name),)]
         return [pg.data_row([value.encode() for value in row]) for row in rows]
 
     def _set(self, command: Local) -> list[bytes]:
@@ -84,7 +84,7 @@
         if command.name:
             self._context.cursors.close(command.name)
         else:
-            self._context.cursors.close_each()
+            self._context.cursors.close_all()
         return []
 
     def _deallocate(self, command: Local) -> list[bytes]:
--- a/tansycrank/postgres/server/session_settings.py
+++ b/tansycrank/postgres/server/session_settings.py
@@ -1,4 +1,4 @@
-"""Settings of one session: what SET and the startup packet may change, and what SHOW returns."""
+"""Session settings, as changed by SET and the startup packet and returned by SHOW."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 from tansycrank.sql_router.service import Service
 
 MAX_VALUE_LENGTH = 1024  # characters
-OWN_PREFIX = "tansycrank."
-LIMITS_COMMAND = "tansycrank.limits"  # a command in the form of a setting; it is not stored
-MS_BY_UNIT = {"ms": 1, "min": 60_000, "s": 1000, "h": 3_600_000}  # "ms" and "min" before "s"
-KEPT_ON_RESET = ("session_authorization", "application_name")
+ROUTER_SETTING_PREFIX = "tansycrank."
+LIMITS_COMMAND = "tansycrank.limits"  # a command with the syntax of a setting; not stored
+MS_BY_UNIT = {"ms": 1, "min": 60_000, "s": 1000, "h": 3_600_000}  # "ms" must match before "s"
+PRESERVED_ON_RESET = ("session_authorization", "application_name")
 
 DEFAULTS = {
     "server_version": SERVER_VERSION,
@@ -51,7 +51,7 @@
     "lc_collate": "C",
     "lc_ctype": "C",
 }
-REPORTED_NAMES = {  # ParameterStatus is sent for these
+REPORTED_NAMES = {  # settings that are sent in ParameterStatus, by lower-case name
     "server_version": "server_version",
     "server_encoding": "server_encoding",
     "client_encoding": "client_encoding",
@@ -66,7 +66,7 @@
     "default_transaction_read_only": "default_transaction_read_only",
     "in_hot_standby": "in_hot_standby",
 }
-ACCEPTED_FIXED_VALUES = {  # settings that clients may repeat but not change
+ACCEPTED_FIXED_VALUES = {  # read-only settings: values accepted besides the default
     "client_encoding": ("utf8", "utf-8", "unicode"),
     "timezone": ("utc", "gmt", "etc/utc", "z", "zulu", "uct"),
     "standard_conforming_strings": ("on", "true", "1"),
@@ -80,7 +80,7 @@
     "lc_ctype": (),
     "session_authorization": (),
 }
-CHANGEABLE = (
+CHANGEABLE_SETTINGS = (
     "application_name",
     "extra_float_digits",
     "search_path",
@@ -96,8 +96,8 @@
 )
 
 
-def duration_ms(name: str, value: str) -> str:
-    """Milliseconds of a PostgreSQL duration: a number, or one with the unit ms, s, min or h."""
+def parse_duration_ms(name: str, value: str) -> str:
+    """Parse a PostgreSQL duration to milliseconds: a number, optional unit ms, s, min or h."""
     text = value.strip().lower()
     unit = next((unit for unit in MS_BY_UNIT if text.endswith(unit)), "")
     number = text[: len(text) - len(unit)].strip() if unit else text
@@ -111,7 +111,7 @@
 
 
 class SessionSettings(Mapping[str, str]):
-    """Current values by lower-case name."""
+    """Current values of the settings by lower-case name."""
 
     def __init__(self, service: Service) -> None:
         self._service = service
@@ -127,57 +127,58 @@
         return len(self._values)
 
     def snapshot(self) -> dict[str, str]:
-        """A copy for a statement, which later changes do not touch."""
+        """Return a copy for a statement, unaffected by later changes."""
         return dict(self._values)
 
     def set_user(self, user: str) -> None:
-        """The user named in the startup packet."""
+        """Set `session_authorization` to the user in the startup packet."""
         self._values["session_authorization"] = user
 
     def status_messages(self) -> list[bytes]:
-        """ParameterStatus of all reported settings."""
+        """Encode ParameterStatus for all reported settings."""
         return [
-            pg.parameter_status(shown, self._values[name]) for name, shown in REPORTED_NAMES.items()
+            pg.parameter_status(reported_name, self._values[name])
+            for name, reported_name in REPORTED_NAMES.items()
         ]
 
     def reset(self) -> None:
-        """RESET ALL: the defaults, but for what belongs to the connection."""
-        kept = {name: self._values[name] for name in KEPT_ON_RESET}
+        """Restore the defaults (RESET ALL), except for settings of the connection."""
+        kept = {name: self._values[name] for name in PRESERVED_ON_RESET}
         self._values = dict(DEFAULTS) | kept
 
-    def shown(self, name: str) -> str:
-        """The value that SHOW returns. Raises PgError."""
+    def show_value(self, name: str) -> str:
+        """Return the value for SHOW. Raises PgError."""
         key = name.lower()
         if key == "all":
             raise PgError(FEATURE_NOT_SUPPORTED, "SHOW ALL is not supported")
-        if key.startswith(OWN_PREFIX):
+        if key.startswith(ROUTER_SETTING_PREFIX):
             return self._values.get(key, "")
         if key not in self._values:
             raise PgError(UNDEFINED_OBJECT, f"unrecognized configuration parameter {name!r}")
         return self._values[key]
 
     def assign(self, name: str, value: str | None, caller: Caller) -> list[bytes]:
-        """Change a setting (None: its default); returns messages to send. Raises PgError."""
+        """Change a setting (None: to its default); return messages to send. Raises PgError."""
         key = name.lower()
         if value is None:
             value = DEFAULTS.get(key, "off" if key == "tansycrank.repeat" else "")
         if key == LIMITS_COMMAND:
             self._service.change_limits(caller, value)
-        elif key.startswith(OWN_PREFIX):
+        elif key.startswith(ROUTER_SETTING_PREFIX):
             self._values[key] = self._service.check_setting(key, value)
         elif key in ACCEPTED_FIXED_VALUES:
-            _check_fixed(name, value)
+            _check_fixed_value(name, value)
         elif key == "datestyle":
             _check_date_style(value)
         elif key == "statement_timeout":
-            self._values[key] = duration_ms(key, value)
+            self._values[key] = parse_duration_ms(key, value)
         else:
-            return self._assign_changeable(name, value)
+            return self._assign_changeable_setting(name, value)
         return []
 
-    def _assign_changeable(self, name: str, value: str) -> list[bytes]:
+    def _assign_changeable_setting(self, name: str, value: str) -> list[bytes]:
         key = name.lower()
-        if key not in CHANGEABLE:
+        if key not in CHANGEABLE_SETTINGS:
             raise PgError(UNDEFINED_OBJECT, f"unrecognized configuration parameter {name!r}")
         if len(value) > MAX_VALUE_LENGTH:
             raise PgError(INVALID_PARAMETER, f"{name}: at most {MAX_VALUE_LENGTH} characters")
@@ -187,7 +188,7 @@
         return [pg.parameter_status(REPORTED_NAMES[key], value)]
 
 
-def _check_fixed(name: str, value: str) -> None:
+def _check_fixed_value(name: str, value: str) -> None:
     key = name.lower()
     accepted = ACCEPTED_FIXED_VALUES[key]
     if value.strip("' ").lower() not in accepted and value != DEFAULTS[key]:
--- a/tansycrank/postgres/server/simple_query.py
+++ b/tansycrank/postgres/server/simple_query.py
@@ -1,4 +1,4 @@
-"""The simple query protocol: one message with one or several statements."""
+"""The simple query protocol: one message with one or more statements."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from tansycrank.postgres.server.context import SessionContext
 from tansycrank.postgres.server.session_commands import SessionCommands
 from tansycrank.postgres.server.sqlstates import UNDEFINED_PARAMETER
-from tansycrank.postgres.server.statement_execution import LONG_COMMANDS, StatementExecution
+from tansycrank.postgres.server.statement_execution import ASYNC_COMMANDS, StatementExecution
 from tansycrank.sql.plan import Prepared
 
 
 class SimpleQuery:
-    """Answers Query messages; an error ends the message that it occurs in."""
+    """Handles Query messages; an error skips the remaining statements of the message."""
 
     def __init__(
         self, context: SessionContext, commands: SessionCommands, execution: StatementExecution
@@ -24,7 +24,7 @@
         self._execution = execution
 
     def handle(self, sql: str) -> None:
-        """Run the statements of a Query message one after the other."""
+        """Run the statements of a Query message in order."""
         if self._context.transaction.is_idle:
             self._context.release_portals_and_cursors()
         try:
@@ -38,7 +38,7 @@
         self._run_next(iter(statements), comment)
 
     def _prepare(self, sql: str) -> tuple[str, tuple[Prepared, ...]]:
-        """(leading comment, statements). Raises PgError."""
+        """Parse and plan a message to (leading comment, statements). Raises PgError."""
         context = self._context
         comment, rest = context.split_statement(sql)
         rejection = context.service.reject_early(rest, context.caller, context.settings)
@@ -54,30 +54,32 @@
         return comment, statements
 
     def _run_next(self, remaining: Iterator[Prepared], comment: str) -> None:
-        """Run statements until one must be waited for, or all are done."""
+        """Run statements until one is asynchronous or all are done."""
         for prepared in remaining:
             try:
-                if self._run_at_once(prepared):
+                if self._run_synchronously(prepared):
                     continue
-                self._start(prepared, remaining, comment)
+                self._start_execution(prepared, remaining, comment)
             except PgError as error:
                 self._fail(error)
             return
         self._context.connection.write(self._ready_message())
 
-    def _run_at_once(self, prepared: Prepared) -> bool:
-        """Answer a session command; False for a statement that has to be waited for."""
+    def _run_synchronously(self, prepared: Prepared) -> bool:
+        """Run a synchronous session command; return False for any other statement."""
         self._context.transaction.check_statement(prepared)
         if prepared.oids:
             raise PgError(UNDEFINED_PARAMETER, "there is no parameter $1")
-        if prepared.local is None or prepared.local.command in LONG_COMMANDS:
+        if prepared.local is None or prepared.local.command in ASYNC_COMMANDS:
             return False
         fields = self._commands.fields(prepared)
         header = [pg.row_description(fields)] if fields is not None else []
         self._context.connection.write(b"".join(header + self._commands.run(prepared.local)))
         return True
 
-    def _start(self, prepared: Prepared, remaining: Iterator[Prepared], comment: str) -> None:
+    def _start_execution(
+        self, prepared: Prepared, remaining: Iterator[Prepared], comment: str
+    ) -> None:
         def on_finished(tag: str | None, error: PgError | None) -> None:
             if error is not None:
                 self._fail(error)
@@ -85,7 +87,7 @@
             self._context.connection.write(pg.command_complete(tag))
             self._run_next(remaining, comment)
 
-        self._execution.answer(self._context.request(prepared, comment), True, on_finished)
+        self._execution.execute(self._context.make_request(prepared, comment), True, on_finished)
 
     def _fail(self, error: PgError) -> None:
         self._context.transaction.fail()
--- a/tansycrank/postgres/server/sqlstates.py
+++ b/tansycrank/postgres/server/sqlstates.py
@@ -1,4 +1,4 @@
-"""SQLSTATEs that only sessions report, by the condition names of the PostgreSQL manual."""
+"""SQLSTATEs reported only by sessions, under PostgreSQL's condition names."""
 
 ACTIVE_TRANSACTION = "25001"
 NO_ACTIVE_TRANSACTION = "25P01"
--- a/tansycrank/postgres/server/startup.py
+++ b/tansycrank/postgres/server/startup.py
@@ -1,4 +1,4 @@
-"""Startup packets: their framing, and the settings that they carry."""
+"""Startup packets: framing and the settings in them."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 MIN_PACKET_BYTES = 8
 MAX_PACKET_BYTES = 10_000  # PostgreSQL's own limit
 LENGTH_BYTES = 4
-NOT_SETTINGS = ("user", "database", "options", "replication")
+NON_SETTING_PARAMETERS = ("user", "database", "options", "replication")
 PROTOCOL_OPTION_PREFIX = "_pq_."
 
 StartupPacket = pg.Startup | pg.CancelRequest | pg.EncryptionRequest
 
 
 class StartupReader:
-    """Cuts the first bytes of a connection into packets, which have no type byte."""
+    """Splits the first bytes of a connection into packets, which have no type byte."""
 
     def __init__(self) -> None:
         self._buffer = b""
 
     def feed(self, data: bytes) -> None:
-        """Add received bytes."""
+        """Append received bytes to the buffer."""
         self._buffer += data
 
     def next_packet(self) -> StartupPacket | None:
-        """The next complete packet, None where more bytes are needed. Raises ProtocolError."""
+        """Return the next complete packet, None if more bytes are needed. Raises ProtocolError."""
         if len(self._buffer) < LENGTH_BYTES:
             return None
         size = pg.INT.unpack_from(self._buffer)[0]
@@ -39,22 +39,22 @@
         body, self._buffer = self._buffer[LENGTH_BYTES:size], self._buffer[size:]
         return pg.read_startup(body)
 
-    def take_rest(self) -> bytes:
-        """Bytes behind the last packet: the first messages of the session."""
-        rest, self._buffer = self._buffer, b""
-        return rest
+    def take_remaining(self) -> bytes:
+        """Return the bytes after the last packet: the first messages of the session."""
+        remaining, self._buffer = self._buffer, b""
+        return remaining
 
 
 def startup_settings(parameters: dict[str, str]) -> Iterator[tuple[str, str]]:
-    """(name, value) of all settings in a startup packet: those of `options` first."""
+    """Yield (name, value) of all settings in a startup packet, those of `options` first."""
     yield from _command_line_settings(parameters.get("options", ""))
     for name, value in parameters.items():
-        if name not in NOT_SETTINGS and not name.startswith(PROTOCOL_OPTION_PREFIX):
+        if name not in NON_SETTING_PARAMETERS and not name.startswith(PROTOCOL_OPTION_PREFIX):
             yield name, value
 
 
 def _command_line_settings(options: str) -> Iterator[tuple[str, str]]:
-    """Settings in the forms `-c name=value`, `-cname=value` and `--name=value`."""
+    """Yield settings in the forms `-c name=value`, `-cname=value` and `--name=value`."""
     words = options.replace("\\ ", " ").split()
     for index, word in enumerate(words):
         if word == "-c" and index + 1 < len(words):
--- a/tansycrank/postgres/server/statement_execution.py
+++ b/tansycrank/postgres/server/statement_execution.py
@@ -1,4 +1,4 @@
-"""Runs statements and sends their rows, for the simple and the extended protocol alike."""
+"""Execution of statements, shared by the simple and the extended query protocol."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from tansycrank.sql.plan import Local, Prepared
 from tansycrank.sql_router.service import Request
 
-LONG_COMMANDS = ("declare", "fetch", "copy")  # session commands that run a query or write rows
+ASYNC_COMMANDS = ("declare", "fetch", "copy")  # session commands that run a query or write rows
 
 OnFinished = Callable[[str | None, PgError | None], None]  # command tag, or the error
 
 
 class StatementExecution:
-    """Executes one statement at a time. `on_cursor_declared` is called after each DECLARE."""
+    """Executes one statement at a time; calls `on_cursor_declared` after each DECLARE."""
 
     def __init__(
         self,
@@ -36,12 +36,12 @@
         self._on_cursor_declared = on_cursor_declared
 
     def run(self, request: Request, on_outcome: Callable[[Result | PgError], None]) -> None:
-        """Run a statement; its outcome is delivered once."""
+        """Run a statement; `on_outcome` is called at most once."""
         service = self._context.service
         self._operation.start(lambda finish: service.run(request, finish), on_outcome)
 
     def describe(self, prepared: Prepared, on_outcome: Callable[[tuple | PgError], None]) -> None:
-        """Look up (parameter types, columns) of a statement; the outcome is delivered once."""
+        """Fetch (parameter types, columns) of a statement; calls `on_outcome` at most once."""
         context = self._context
         settings = context.settings.snapshot()
         self._operation.start(
@@ -49,8 +49,8 @@
             on_outcome,
         )
 
-    def answer(self, request: Request, with_description: bool, on_finished: OnFinished) -> None:
-        """Run a statement and write its rows; `on_finished` is called once. Raises PgError."""
+    def execute(self, request: Request, with_description: bool, on_finished: OnFinished) -> None:
+        """Run a statement and write its rows, then call `on_finished`. Raises PgError."""
         prepared = request.prepared
         command = prepared.local.command if prepared.local is not None else ""
         if command == "fetch":
@@ -59,7 +59,7 @@
             self._declare(request, on_finished)
         else:
             copy_format = read_options(prepared.options) if command == "copy" else None
-            self._answer_query(request, copy_format, with_description, on_finished)
+            self._execute_query(request, copy_format, with_description, on_finished)
 
     def _declare(self, request: Request, on_finished: OnFinished) -> None:
         context = self._context
@@ -74,7 +74,7 @@
             self._on_cursor_declared()
             on_finished("DECLARE CURSOR", None)
 
-        self.run(_inner_request(request, request.results), on_outcome)
+        self.run(_wrapped_request(request, request.results), on_outcome)
 
     def _fetch(self, command: Local, with_description: bool, on_finished: OnFinished) -> None:
         cursors = self._context.cursors
@@ -92,7 +92,7 @@
             RowTransfer(cursor.result, on_rows_written, header, max_rows, cursor.position)
         )
 
-    def _answer_query(
+    def _execute_query(
         self,
         request: Request,
         copy_format: CopyFormat | None,
@@ -109,7 +109,7 @@
             else:
                 self._write_result(outcome, with_description, on_finished)
 
-        self.run(_inner_request(request, results), on_outcome)
+        self.run(_wrapped_request(request, results), on_outcome)
 
     def _write_copy(self, result: Result, copy_format: CopyFormat, on_finished: OnFinished) -> None:
         def on_rows_written(row_count: int, error: PgError | None) -> None:
@@ -137,12 +137,12 @@
 
 
 def command_tag(result: Result, row_count: int) -> str:
-    """The command tag of a result: SELECT with the rows sent, else as the store gave it."""
+    """Return the command tag: SELECT with the rows sent, otherwise the tag of the store."""
     return f"SELECT {row_count}" if result.tag.startswith("SELECT") else result.tag
 
 
-def _inner_request(request: Request, results: tuple[int, ...]) -> Request:
-    """The request for the query inside of DECLARE or COPY; any other request as it is."""
+def _wrapped_request(request: Request, results: tuple[int, ...]) -> Request:
+    """Return the request for the query in DECLARE or COPY; other requests unchanged."""
     if request.prepared.inner is None:
         return request
     return replace(request, prepared=request.prepared.inner, results=results)
--- a/tansycrank/postgres/server/transaction.py
+++ b/tansycrank/postgres/server/transaction.py
@@ -1,4 +1,4 @@
-"""The transaction block of a session. Blocks are read-only: there is no rollback over shards."""
+"""Transaction block of a session; read-only because shards have no common rollback."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from tansycrank.postgres.server.sqlstates import INVALID_SAVEPOINT, NO_ACTIVE_TRANSACTION
 from tansycrank.sql.plan import Local, Prepared
 
-MAX_SAVEPOINTS = 100  # names in one block
+MAX_SAVEPOINTS = 100  # per transaction block
 ALLOWED_IN_FAILED_BLOCK = ("commit", "rollback", "rollback_to")
 
 
 class TransactionStatus(Enum):
-    """The status that ReadyForQuery reports."""
+    """Transaction status as reported in ReadyForQuery."""
 
     IDLE = "I"
     IN_BLOCK = "T"
@@ -21,7 +21,7 @@
 
 
 class TransactionBlock:
-    """Status of the block and the names of its savepoints."""
+    """Status and savepoint names of a transaction block."""
 
     def __init__(self) -> None:
         self.status = TransactionStatus.IDLE
@@ -43,21 +43,21 @@
         return self.status is TransactionStatus.FAILED
 
     def begin(self) -> None:
-        """Open a block."""
+        """Open a transaction block (BEGIN)."""
         self.status = TransactionStatus.IN_BLOCK
 
     def fail(self) -> None:
-        """Abort an open block; outside of a block an error changes nothing."""
+        """Mark an open block as failed; no effect outside a block."""
         if self.is_open:
             self.status = TransactionStatus.FAILED
 
     def end(self) -> None:
-        """Close the block."""
+        """Close the block (COMMIT or ROLLBACK)."""
         self._savepoints.clear()
         self.status = TransactionStatus.IDLE
 
     def check_statement(self, prepared: Prepared) -> None:
-        """Raise PgError 25P02 or 25006 for a statement that may not run in this block."""
+        """Raise PgError 25P02 or 25006 if a statement is not allowed in this block."""
         command = prepared.local.command if prepared.local else ""
         if self.has_failed and command not in ALLOWED_IN_FAILED_BLOCK:
             raise PgError(
@@ -73,7 +73,7 @@
             )
 
     def change_savepoints(self, command: Local) -> None:
-        """Run SAVEPOINT, RELEASE or ROLLBACK TO; the last also reopens a failed block."""
+        """Run SAVEPOINT, RELEASE or ROLLBACK TO, which also recovers a failed block."""
         if self.is_idle:
             raise PgError(
                 NO_ACTIVE_TRANSACTION, f"{command.tag} can only be used in transaction blocks"
@@ -81,7 +81,7 @@
         if command.command == "savepoint":
             self._add_savepoint(command.name)
             return
-        position = self._position(command.name)
+        position = self._find_savepoint(command.name)
         if command.command == "release":
             del self._savepoints[position:]
         else:
@@ -93,8 +93,8 @@
             raise PgError(LIMIT_EXCEEDED, f"more than {MAX_SAVEPOINTS} savepoints in a block")
         self._savepoints.append(name)
 
-    def _position(self, name: str) -> int:
-        """Index of the newest savepoint of this name."""
+    def _find_savepoint(self, name: str) -> int:
+        """Return the index of the newest savepoint of this name."""
         if name not in self._savepoints:
             raise PgError(INVALID_SAVEPOINT, f"savepoint {name!r} does not exist")
         return len(self._savepoints) - 1 - self._savepoints[::-1].index(name)
