--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,4 +1,4 @@
-"""A front with a scripted core, on a clock and a transport in memory."""
+"""Client sessions on a fake service, with an in-memory clock and transport."""
 
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
@@ -11,14 +11,14 @@
 from tansycrank.sql_router.service import Running, Service
 
 
-class Core(Service):
-    """Plans for real; answers when told to, or at once."""
+class FakeService(Service):
+    """Plans with the real planner; returns generated rows immediately or when the test says so."""
 
-    def __init__(self, found):
-        self.config, self.planner = found, Planner(found)
-        self._class_index = {c.name: i for i, c in enumerate(found.classes)}
-        self.held, self.asked, self.cancelled, self.answers, self.released = [], [], [], [], 0
-        self.at_once, self.rows, self.log = True, 3, None
+    def __init__(self, parsed_config):
+        self.config, self.planner = parsed_config, Planner(parsed_config)
+        self._class_index = {c.name: i for i, c in enumerate(parsed_config.classes)}
+        self.pending, self.requests, self.cancelled, self.answers, self.released = [], [], [], [], 0
+        self.responds_immediately, self.rows, self.log = True, 3, None
         self.start_admission(Clock())
 
     def run(self, request, done):
@@ -27,19 +27,19 @@
                 request.prepared.bind(
                     self.decoded(request.prepared, request.values, request.formats)
                 )
-            except Exception as problem:
-                done(problem)
+            except Exception as error:
+                done(error)
                 return None
-        self.asked.append(request)
+        self.requests.append(request)
         fields = (pg.Field("id", 20),) if request.prepared.returns_rows else None
         frames = [pg.data_row([str(i).encode()]) for i in range(self.rows)] if fields else []
         result = Result(fields, frames, f"SELECT {len(frames)}" if fields else "INSERT 0 1")
         self.answers.append(result)
-        if self.at_once:
+        if self.responds_immediately:
             done(result)
             return None
-        self.held.append((done, result))
-        return Running(len(self.held) - 1)
+        self.pending.append((done, result))
+        return Running(len(self.pending) - 1)
 
     def describe(self, prepared, settings, done, caller=None):
         done((prepared.oids, (pg.Field("id", 20),) if prepared.returns_rows else None))
@@ -51,14 +51,14 @@
         self.released += 1
 
 
-class Front:
-    """One session."""
+class SessionHarness:
+    """A server factory with one client session; `listen` overrides settings of [listen]."""
 
     def __init__(self, text, **listen):
-        more = "\n".join(f"{k} = {v}" for k, v in listen.items())
-        found = config.parse(f"{text}\n[listen]\n{more}\n")
-        self.clock, self.core = Clock(), Core(found)
-        self.factory = PostgresServerFactory(self.core, found.listen, self.clock, 1)
+        listen_lines = "\n".join(f"{k} = {v}" for k, v in listen.items())
+        parsed_config = config.parse(f"{text}\n[listen]\n{listen_lines}\n")
+        self.clock, self.service = Clock(), FakeService(parsed_config)
+        self.factory = PostgresServerFactory(self.service, parsed_config.listen, self.clock, 1)
         self.session, self.transport = self.connect()
 
     def connect(self):
@@ -69,14 +69,14 @@
 
     def log_in(self, **parameters):
         self.session.dataReceived(pg.startup({"user": "test", **parameters}))
-        return self.heard()
+        return self.take_messages()
 
     def send(self, *frames):
         self.session.dataReceived(b"".join(frames))
-        return self.heard()
+        return self.take_messages()
 
-    def heard(self):
-        """(type, frame) of all messages since the last call."""
+    def take_messages(self):
+        """Return (type, frame) of all messages written since the last call."""
         data = self.transport.value()
         self.transport.clear()
         return [(chr(kind), frame) for kind, frame in pg.Frames(1 << 26).feed(data)]
@@ -86,7 +86,7 @@
 
 
 class Transport(StringTransport):
-    """Closes at once, as a client that reads would let it."""
+    """Completes loseConnection immediately, as with a client that reads all data."""
 
     aborted = False
 
@@ -104,6 +104,6 @@
         self.producerState = "producing"
 
 
-def error_of(messages):
-    """The first error among messages."""
+def first_error(messages):
+    """Return the first error among messages, or None."""
     return next((pg.read_error(frame) for kind, frame in messages if kind == "E"), None)
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -1,13 +1,13 @@
-"""Sessions of clients: the protocol in order, its limits, its cancels."""
+"""Client sessions: message order, limits, cancellation and shutdown."""
 
 import pytest
-from harness import Front, error_of
+from harness import SessionHarness, first_error
 from test_planner import TEXT
 
 from tansycrank.postgres import messages as pg
 from tansycrank.postgres.errors import QUERY_REJECTED, PgError
 
-ONE = "SELECT id FROM trips WHERE district = 'a'"
+SELECT_ONE_SHARD = "SELECT id FROM trips WHERE district = 'a'"
 INSERT = "INSERT INTO trips (id, district) VALUES (1, 'a')"
 
 
@@ -31,18 +31,18 @@
 
 
 @pytest.fixture
-def front():
-    made = Front(TEXT)
-    made.log_in()
-    return made
+def harness():
+    new_harness = SessionHarness(TEXT)
+    new_harness.log_in()
+    return new_harness
 
 
 def test_encryption_is_declined_and_the_startup_follows():
-    front = Front(TEXT)
-    front.session.dataReceived(pg.INT.pack(8) + pg.INT.pack(pg.SSL_CODE))
-    assert front.transport.value() == b"N"
-    front.transport.clear()
-    kinds = [kind for kind, _ in front.log_in()]
+    harness = SessionHarness(TEXT)
+    harness.session.dataReceived(pg.INT.pack(8) + pg.INT.pack(pg.SSL_CODE))
+    assert harness.transport.value() == b"N"
+    harness.transport.clear()
+    kinds = [kind for kind, _ in harness.log_in()]
     assert kinds[0] == "R" and kinds[-2:] == ["K", "Z"] and kinds.count("S") == 13
 
 
@@ -57,196 +57,219 @@
         (pg.startup({"user": "x", "nonsense": "1"}), "42704"),
     ],
 )
-def test_bad_startups_end_with_a_clear_error(packet, state):
-    front = Front(TEXT)
-    front.session.dataReceived(packet)
-    problem = error_of(front.heard())
-    assert problem.state == state and problem.is_fatal and front.transport.disconnecting
+def test_invalid_startup_packets_end_with_a_fatal_error(packet, state):
+    harness = SessionHarness(TEXT)
+    harness.session.dataReceived(packet)
+    error = first_error(harness.take_messages())
+    assert error.state == state and error.is_fatal and harness.transport.disconnecting
 
 
-def test_options_of_the_startup_are_settings():
-    front = Front(TEXT)
-    front.log_in(options="-c statement_timeout=5s -ctansycrank.class=lookup")
-    assert front.session.settings["statement_timeout"] == "5000"
-    assert front.session.settings["tansycrank.class"] == "lookup"
+def test_options_in_the_startup_packet_are_settings():
+    harness = SessionHarness(TEXT)
+    harness.log_in(options="-c statement_timeout=5s -ctansycrank.class=lookup")
+    assert harness.session.settings["statement_timeout"] == "5000"
+    assert harness.session.settings["tansycrank.class"] == "lookup"
 
 
-def test_a_client_that_never_logs_in_is_let_go():
-    front = Front(TEXT, login_timeout_ms=500)
-    front.clock.advance(0.6)
-    assert front.transport.disconnecting
+def test_a_client_that_never_logs_in_is_disconnected():
+    harness = SessionHarness(TEXT, login_timeout_ms=500)
+    harness.clock.advance(0.6)
+    assert harness.transport.disconnecting
 
 
 def test_the_number_of_sessions_is_bounded():
-    front = Front(TEXT, max_sessions=2)
-    front.log_in()
-    for wanted in ("Z", "E"):
-        session, transport = front.connect()
+    harness = SessionHarness(TEXT, max_sessions=2)
+    harness.log_in()
+    for expected in ("Z", "E"):
+        session, transport = harness.connect()
         session.dataReceived(pg.startup({"user": "x"}))
         kinds = [chr(k) for k, _ in pg.Frames(1 << 20).feed(transport.value())]
-        assert kinds[-1] == wanted
+        assert kinds[-1] == expected
 
 
-def test_the_extended_protocol_answers_in_order(front):
-    got = front.kinds(pg.parse(ONE, ()), bind(), pg.describe("P"), execute(), pg.SYNC_FRAME)
-    assert got == "12TDDDCZ"
+def test_the_extended_protocol_answers_in_order(harness):
+    received = harness.kinds(
+        pg.parse(SELECT_ONE_SHARD, ()), bind(), pg.describe("P"), execute(), pg.SYNC_FRAME
+    )
+    assert received == "12TDDDCZ"
 
 
 @pytest.fixture
-def overloaded(front, monkeypatch):
-    """A front that rejects whatever it can before planning; the parameters that it saw."""
-    seen = []
+def rejected_early(harness, monkeypatch):
+    """Makes early rejection reject each statement; returns the (sql, values) it was given."""
+    rejected_statements = []
 
-    def rejected(sql, caller, settings, values=()):
-        seen.append((sql, values))
+    def reject(sql, caller, settings, values=()):
+        rejected_statements.append((sql, values))
         return PgError(QUERY_REJECTED, "too far off")
 
-    monkeypatch.setattr(front.core, "reject_early", rejected)
-    return seen
+    monkeypatch.setattr(harness.service, "reject_early", reject)
+    return rejected_statements
 
 
-def test_an_extended_statement_is_rejected_before_it_is_planned(front, overloaded, monkeypatch):
-    """Guards against a flood that takes all of the router's time for planning."""
-    monkeypatch.setattr(front.core, "prepare", lambda *_: pytest.fail("planned"))
+def test_an_extended_statement_is_rejected_before_it_is_planned(
+    harness, rejected_early, monkeypatch
+):
+    """Guards against a flood of statements that uses up the router's CPU time for planning."""
+    monkeypatch.setattr(harness.service, "prepare", lambda *_: pytest.fail("planned"))
     sql = "SELECT id FROM trips WHERE district = $1"
-    messages = front.send(pg.parse(sql, ()), bind(values=[b"a"]), execute(), pg.SYNC_FRAME)
-    assert error_of(messages).state == QUERY_REJECTED
+    messages = harness.send(pg.parse(sql, ()), bind(values=[b"a"]), execute(), pg.SYNC_FRAME)
+    assert first_error(messages).state == QUERY_REJECTED
     assert [kind for kind, _ in messages] == ["E", "Z"]
-    assert overloaded == [(sql, (b"a",))]  # a reservation is kept for these parameters
+    assert rejected_early == [(sql, (b"a",))]  # a reservation is kept for these parameters
 
 
-def test_a_statement_that_is_prepared_alone_is_planned(front, overloaded):
-    assert front.kinds(pg.parse(ONE, ()), pg.SYNC_FRAME) == "1Z"
-    assert front.kinds(named_parse("s", ONE), bind(), pg.SYNC_FRAME) != ""
-    assert not overloaded
+def test_a_statement_without_a_matching_bind_is_planned(harness, rejected_early):
+    assert harness.kinds(pg.parse(SELECT_ONE_SHARD, ()), pg.SYNC_FRAME) == "1Z"
+    assert harness.kinds(named_parse("s", SELECT_ONE_SHARD), bind(), pg.SYNC_FRAME) != ""
+    assert not rejected_early
 
 
-def test_a_portal_is_described_alone_where_no_execute_follows(front):
-    assert front.kinds(pg.parse(ONE, ()), bind(), pg.describe("P"), pg.SYNC_FRAME) == "12TZ"
+def test_a_portal_is_described_separately_if_no_execute_follows(harness):
+    assert (
+        harness.kinds(pg.parse(SELECT_ONE_SHARD, ()), bind(), pg.describe("P"), pg.SYNC_FRAME)
+        == "12TZ"
+    )
 
 
-def test_row_limits_suspend_and_resume_a_portal(front):
-    front.core.rows = 5
-    got = front.kinds(pg.parse(ONE, ()), bind(), *[execute(limit=2)] * 3, pg.SYNC_FRAME)
-    assert got == "12DDsDDsDCZ"
-    assert len(front.core.asked) == 1
+def test_row_limits_suspend_and_resume_a_portal(harness):
+    harness.service.rows = 5
+    received = harness.kinds(
+        pg.parse(SELECT_ONE_SHARD, ()), bind(), *[execute(limit=2)] * 3, pg.SYNC_FRAME
+    )
+    assert received == "12DDsDDsDCZ"
+    assert len(harness.service.requests) == 1
 
 
-def test_a_block_keeps_portals_over_a_sync(front):
-    front.core.rows = 3
-    front.kinds(pg.query("BEGIN"))
-    assert front.kinds(pg.parse(ONE, ()), bind("p"), execute("p", 2), pg.SYNC_FRAME) == "12DDsZ"
-    assert front.kinds(execute("p", 2), pg.SYNC_FRAME) == "DCZ"
-    front.kinds(pg.query("COMMIT"))
-    assert error_of(front.send(execute("p"), pg.SYNC_FRAME)).state == "34000"
+def test_a_block_keeps_portals_over_a_sync(harness):
+    harness.service.rows = 3
+    harness.kinds(pg.query("BEGIN"))
+    assert (
+        harness.kinds(pg.parse(SELECT_ONE_SHARD, ()), bind("p"), execute("p", 2), pg.SYNC_FRAME)
+        == "12DDsZ"
+    )
+    assert harness.kinds(execute("p", 2), pg.SYNC_FRAME) == "DCZ"
+    harness.kinds(pg.query("COMMIT"))
+    assert first_error(harness.send(execute("p"), pg.SYNC_FRAME)).state == "34000"
 
 
-def test_an_error_skips_to_the_sync(front):
+def test_an_error_skips_to_the_sync(harness):
     bad = pg.parse("SELECT x FROM none", ())
-    got = front.send(bad, bind(), execute(), pg.SYNC_FRAME, pg.query("SELECT 1"))
-    assert "".join(k for k, _ in got) == "EZTDCZ"
+    received = harness.send(bad, bind(), execute(), pg.SYNC_FRAME, pg.query("SELECT 1"))
+    assert "".join(k for k, _ in received) == "EZTDCZ"
 
 
-def test_messages_behind_a_running_statement_wait_in_order(front):
-    front.core.at_once = False
+def test_messages_after_a_running_statement_are_queued_in_order(harness):
+    harness.service.responds_immediately = False
     assert (
-        front.kinds(pg.parse(ONE, ()), bind(), execute(), pg.SYNC_FRAME, pg.query("SELECT 1"))
+        harness.kinds(
+            pg.parse(SELECT_ONE_SHARD, ()), bind(), execute(), pg.SYNC_FRAME, pg.query("SELECT 1")
+        )
         == "12"
     )
-    done, result = front.core.held.pop()
+    done, result = harness.service.pending.pop()
     done(result)
-    assert "".join(k for k, _ in front.heard()) == "DDDCZTDCZ"
+    assert "".join(k for k, _ in harness.take_messages()) == "DDDCZTDCZ"
 
 
-def test_a_cancel_with_the_right_key_reaches_the_statement_and_no_other_does(front):
-    front.core.at_once = False
-    front.send(pg.query(ONE))
-    pid, secret = front.session.pid, front.session.secret
+def test_a_cancel_with_the_right_key_reaches_the_statement_and_no_other_does(harness):
+    harness.service.responds_immediately = False
+    harness.send(pg.query(SELECT_ONE_SHARD))
+    pid, secret = harness.session.pid, harness.session.secret
     for number, key in ((0, secret ^ 1), (1, secret)):
-        session, _ = front.connect()
+        session, _ = harness.connect()
         session.dataReceived(pg.cancel_request(pid, key))
-        assert len(front.core.cancelled) == number
+        assert len(harness.service.cancelled) == number
 
 
-def test_a_client_that_leaves_cancels_and_its_late_answer_goes_nowhere(front):
-    front.core.at_once = False
-    front.send(pg.query(ONE))
-    front.session.connectionLost()
-    assert front.core.cancelled == [True] and not front.factory.sessions
-    done, result = front.core.held.pop()
+def test_a_lost_connection_cancels_the_statement_and_its_late_result_is_released(harness):
+    harness.service.responds_immediately = False
+    harness.send(pg.query(SELECT_ONE_SHARD))
+    harness.session.connectionLost()
+    assert harness.service.cancelled == [True] and not harness.factory.sessions
+    done, result = harness.service.pending.pop()
     done(result)
-    assert front.core.released == 1 and not front.heard()
+    assert harness.service.released == 1 and not harness.take_messages()
 
 
-def test_a_client_that_does_not_read_gets_no_more_and_sends_no_more(front):
-    front.core.rows = 50_000
-    front.session.pauseProducing()
-    front.send(pg.query(ONE), pg.query(ONE))
-    assert not front.core.asked and front.transport.producerState == "paused"
-    front.session.resumeProducing()
-    assert len(front.core.asked) == 2 and len(front.heard()) == 2 * 50_003
+def test_a_client_that_does_not_read_pauses_writing_and_reading(harness):
+    harness.service.rows = 50_000
+    harness.session.pauseProducing()
+    harness.send(pg.query(SELECT_ONE_SHARD), pg.query(SELECT_ONE_SHARD))
+    assert not harness.service.requests and harness.transport.producerState == "paused"
+    harness.session.resumeProducing()
+    assert len(harness.service.requests) == 2 and len(harness.take_messages()) == 2 * 50_003
 
 
-def test_rows_stop_while_the_client_does_not_read(front):
-    front.core.rows = 50_000
-    written = front.transport.write
+def test_rows_stop_while_the_client_does_not_read(harness):
+    harness.service.rows = 50_000
+    original_write = harness.transport.write
 
     def write(data):
-        written(data)
-        if len(front.transport.value()) > 200_000:
-            front.session.pauseProducing()
-
-    front.transport.write = write
-    front.session.dataReceived(pg.query(ONE))
-    assert 200_000 < len(front.transport.value()) < 300_000
-    front.transport.write = written
-    front.session.resumeProducing()
-    kinds = [k for k, _ in front.heard()]
+        original_write(data)
+        if len(harness.transport.value()) > 200_000:
+            harness.session.pauseProducing()
+
+    harness.transport.write = write
+    harness.session.dataReceived(pg.query(SELECT_ONE_SHARD))
+    assert 200_000 < len(harness.transport.value()) < 300_000
+    harness.transport.write = original_write
+    harness.session.resumeProducing()
+    kinds = [k for k, _ in harness.take_messages()]
     assert kinds.count("D") == 50_000 and kinds[-2:] == ["C", "Z"]
 
 
-def test_the_line_of_messages_is_bounded_by_the_clients_own_socket():
-    front = Front(TEXT, max_pending=2000)
-    front.log_in()
-    front.core.at_once = False
+def test_a_full_message_queue_pauses_reading_from_the_socket():
+    harness = SessionHarness(TEXT, max_pending=2000)
+    harness.log_in()
+    harness.service.responds_immediately = False
     for _ in range(60):
-        front.send(pg.query(ONE))
-    assert front.transport.producerState == "paused"
+        harness.send(pg.query(SELECT_ONE_SHARD))
+    assert harness.transport.producerState == "paused"
 
 
-def test_a_write_runs_only_before_its_sync(front):
-    assert front.kinds(pg.parse(INSERT, ()), bind(), execute()) == "12" and not front.core.asked
-    assert front.kinds(pg.SYNC_FRAME) == "CZ" and len(front.core.asked) == 1
-    got = front.send(pg.parse(INSERT, ()), bind(), execute(), pg.parse(ONE, ()), pg.SYNC_FRAME)
-    assert error_of(got).state == "0A000" and len(front.core.asked) == 1
+def test_a_write_runs_only_before_its_sync(harness):
+    assert (
+        harness.kinds(pg.parse(INSERT, ()), bind(), execute()) == "12"
+        and not harness.service.requests
+    )
+    assert harness.kinds(pg.SYNC_FRAME) == "CZ" and len(harness.service.requests) == 1
+    received = harness.send(
+        pg.parse(INSERT, ()), bind(), execute(), pg.parse(SELECT_ONE_SHARD, ()), pg.SYNC_FRAME
+    )
+    assert first_error(received).state == "0A000" and len(harness.service.requests) == 1
 
 
-def test_writes_in_a_block_are_refused_and_the_block_fails(front):
-    front.send(pg.query("BEGIN"))
-    got = front.send(pg.query(INSERT))
-    assert error_of(got).state == "25006" and got[-1][1][-1:] == b"E"
-    assert error_of(front.send(pg.query(ONE))).state == "25P02"
-    assert front.send(pg.query("COMMIT"))[0][1][5:-1] == b"ROLLBACK"
+def test_writes_in_a_block_are_rejected_and_the_block_fails(harness):
+    harness.send(pg.query("BEGIN"))
+    received = harness.send(pg.query(INSERT))
+    assert first_error(received).state == "25006" and received[-1][1][-1:] == b"E"
+    assert first_error(harness.send(pg.query(SELECT_ONE_SHARD))).state == "25P02"
+    assert harness.send(pg.query("COMMIT"))[0][1][5:-1] == b"ROLLBACK"
 
 
-def test_savepoints_lead_out_of_a_failed_block(front):
-    front.send(pg.query("BEGIN; SAVEPOINT a"))
-    front.send(pg.query("SELECT nothing FROM none"))
-    assert front.send(pg.query("ROLLBACK TO a"))[-1][1][-1:] == b"T"
-    assert error_of(front.send(pg.query("RELEASE b"))).state == "3B001"
+def test_rollback_to_a_savepoint_recovers_a_failed_block(harness):
+    harness.send(pg.query("BEGIN; SAVEPOINT a"))
+    harness.send(pg.query("SELECT nothing FROM none"))
+    assert harness.send(pg.query("ROLLBACK TO a"))[-1][1][-1:] == b"T"
+    assert first_error(harness.send(pg.query("RELEASE b"))).state == "3B001"
 
 
 @pytest.mark.parametrize(
     "listen, frames, state",
     [
         ({"max_statement": 64}, [pg.query("SELECT 1 -- " + "x" * 80)], "54000"),
-        ({"max_prepared": 2}, [named_parse(f"s{i}", ONE) for i in range(3)], "53400"),
-        ({"max_portals": 2}, [pg.parse(ONE, ()), *(bind(f"p{i}") for i in range(3))], "53400"),
-        ({}, [named_parse("s", ONE), named_parse("s", ONE)], "42P05"),
-        ({}, [pg.parse(ONE, ()), bind("p"), bind("p")], "42P03"),
+        ({"max_prepared": 2}, [named_parse(f"s{i}", SELECT_ONE_SHARD) for i in range(3)], "53400"),
+        (
+            {"max_portals": 2},
+            [pg.parse(SELECT_ONE_SHARD, ()), *(bind(f"p{i}") for i in range(3))],
+            "53400",
+        ),
+        ({}, [named_parse("s", SELECT_ONE_SHARD), named_parse("s", SELECT_ONE_SHARD)], "42P05"),
+        ({}, [pg.parse(SELECT_ONE_SHARD, ()), bind("p"), bind("p")], "42P03"),
         ({}, [bind("", "none")], "26000"),
         ({}, [execute("none")], "34000"),
-        ({}, [pg.parse(ONE, ()), bind("", "", (b"1",))], "08P01"),
+        ({}, [pg.parse(SELECT_ONE_SHARD, ()), bind("", "", (b"1",))], "08P01"),
         ({}, [pg.parse("SELECT 1; SELECT 2", ())], "42601"),
         ({}, [pg.query("SET tansycrank.class = 'none'")], "22023"),
         ({}, [pg.query("SET tansycrank.nonsense = 1")], "42704"),
@@ -256,42 +279,42 @@
         ({}, [pg.query("SAVEPOINT a")], "25P01"),
     ],
 )
-def test_limits_and_errors_are_clear_and_the_session_goes_on(listen, frames, state):
-    front = Front(TEXT, **listen)
-    front.log_in()
-    assert error_of(front.send(*frames, pg.SYNC_FRAME)).state == state
-    assert front.kinds(pg.query("SELECT 1")) == "TDCZ"
+def test_limits_and_errors_have_their_sqlstate_and_the_session_continues(listen, frames, state):
+    harness = SessionHarness(TEXT, **listen)
+    harness.log_in()
+    assert first_error(harness.send(*frames, pg.SYNC_FRAME)).state == state
+    assert harness.kinds(pg.query("SELECT 1")) == "TDCZ"
 
 
 def test_a_message_over_the_limit_ends_the_session_before_it_is_stored():
-    front = Front(TEXT, max_message=2048)
-    front.log_in()
-    problem = error_of(front.send(b"Q" + pg.INT.pack(1 << 30) + b"x" * 100))
-    assert problem.state == "08P01" and problem.is_fatal and front.transport.disconnecting
+    harness = SessionHarness(TEXT, max_message=2048)
+    harness.log_in()
+    error = first_error(harness.send(b"Q" + pg.INT.pack(1 << 30) + b"x" * 100))
+    assert error.state == "08P01" and error.is_fatal and harness.transport.disconnecting
 
 
-def test_settings_are_shown_and_reset(front):
-    front.send(pg.query("SET tansycrank.class = 'lookup'; SET application_name = 'x'"))
-    assert b"lookup" in front.send(pg.query("SHOW tansycrank.class"))[1][1]
-    front.send(pg.query("RESET ALL"))
-    assert b"lookup" not in front.send(pg.query("SHOW tansycrank.class"))[1][1]
+def test_settings_are_shown_and_reset(harness):
+    harness.send(pg.query("SET tansycrank.class = 'lookup'; SET application_name = 'x'"))
+    assert b"lookup" in harness.send(pg.query("SHOW tansycrank.class"))[1][1]
+    harness.send(pg.query("RESET ALL"))
+    assert b"lookup" not in harness.send(pg.query("SHOW tansycrank.class"))[1][1]
 
 
-def test_a_router_that_stops_ends_idle_sessions_and_lets_busy_ones_finish(front):
-    idle, transport = front.connect()
+def test_draining_ends_idle_sessions_and_lets_busy_ones_finish(harness):
+    idle, transport = harness.connect()
     idle.dataReceived(pg.startup({"user": "x"}))
-    front.core.at_once = False
-    front.send(pg.query(ONE))
-    front.factory.drain_sessions()
-    assert transport.disconnecting and not front.transport.disconnecting
-    done, result = front.core.held.pop()
+    harness.service.responds_immediately = False
+    harness.send(pg.query(SELECT_ONE_SHARD))
+    harness.factory.drain_sessions()
+    assert transport.disconnecting and not harness.transport.disconnecting
+    done, result = harness.service.pending.pop()
     done(result)
-    got = front.heard()
-    assert "".join(k for k, _ in got) == "TDDDCZE" and error_of(got).state == "57P01"
+    received = harness.take_messages()
+    assert "".join(k for k, _ in received) == "TDDDCZE" and first_error(received).state == "57P01"
 
 
-def test_a_pooler_resetting_its_session(front):
+def test_the_reset_statements_of_connection_poolers(harness):
     sql = "SELECT pg_advisory_unlock_all(); CLOSE ALL; UNLISTEN *; RESET ALL;"
-    assert front.kinds(pg.query(sql)) == "TDCCCCZ"
-    assert front.kinds(pg.query("DISCARD ALL")) == "CZ"
-    assert front.kinds(pg.query("")) == "IZ"
+    assert harness.kinds(pg.query(sql)) == "TDCCCCZ"
+    assert harness.kinds(pg.query("DISCARD ALL")) == "CZ"
+    assert harness.kinds(pg.query("")) == "IZ"
--- a/tests/test_session_fuzz.py
+++ b/tests/test_session_fuzz.py
@@ -1,17 +1,17 @@
-"""Malformed messages in every state: the session ends with an error, or it goes on."""
+"""Malformed messages in every state: the session ends with an error or keeps working."""
 
-from harness import Front, error_of
+from harness import SessionHarness, first_error
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from test_planner import TEXT
-from test_session import INSERT, ONE, bind, close, execute, named_parse
+from test_session import INSERT, SELECT_ONE_SHARD, bind, close, execute, named_parse
 
 from tansycrank.postgres import messages as pg
 from tansycrank.postgres.server.session import SessionState
 
 STARTUP = pg.startup({"user": "x"})
-GOOD = [
-    pg.query(ONE),
+VALID_FRAMES = [
+    pg.query(SELECT_ONE_SHARD),
     pg.query("SELECT 1"),
     pg.query(""),
     pg.query("BEGIN"),
@@ -19,7 +19,7 @@
     pg.query(INSERT),
     pg.query("SET tansycrank.class = 'lookup'"),
     pg.query("SELECT 1; SELECT 2"),
-    pg.parse(ONE, ()),
+    pg.parse(SELECT_ONE_SHARD, ()),
     pg.parse(INSERT, ()),
     named_parse("s", "SELECT id FROM trips WHERE district = $1"),
     pg.parse("", ()),
@@ -36,7 +36,7 @@
     pg.SYNC_FRAME,
     pg.frame(b"d", b"junk"),
 ]
-JUNK = st.one_of(
+MALFORMED_FRAMES = st.one_of(
     st.binary(max_size=40),
     st.builds(
         lambda kind, body: pg.frame(bytes([kind]), body),
@@ -49,51 +49,55 @@
         st.integers(-(2**31), 2**31 - 1),
     ),
     st.builds(
-        lambda frame, at: frame[: at % (len(frame) + 1)], st.sampled_from(GOOD), st.integers(0, 200)
+        lambda frame, position: frame[: position % (len(frame) + 1)],
+        st.sampled_from(VALID_FRAMES),
+        st.integers(0, 200),
     ),
     st.builds(
-        lambda frame, at, value: (
-            frame[: at % len(frame)] + bytes([value]) + frame[at % len(frame) + 1 :]
+        lambda frame, position, value: (
+            frame[: position % len(frame)] + bytes([value]) + frame[position % len(frame) + 1 :]
         ),
-        st.sampled_from(GOOD),
+        st.sampled_from(VALID_FRAMES),
         st.integers(0, 200),
         st.integers(0, 255),
     ),
 )
 
 
-def judge(front):
-    """It is closed after a fatal error, or it answers still."""
-    front.core.at_once = True
-    while front.core.held:
-        done, result = front.core.held.pop(0)
+def check_session(harness):
+    """Check that the session has ended with a fatal error or still responds."""
+    harness.service.responds_immediately = True
+    while harness.service.pending:
+        done, result = harness.service.pending.pop(0)
         done(result)
-    heard = front.heard()
-    if front.transport.disconnecting:
-        problem = error_of(reversed(heard))
-        assert problem is None or problem.is_fatal or heard[-1][0] != "E"
+    messages = harness.take_messages()
+    if harness.transport.disconnecting:
+        error = first_error(reversed(messages))
+        assert error is None or error.is_fatal or messages[-1][0] != "E"
         return
-    if front.session.state is SessionState.STARTUP or front.session._frames.held:
-        return  # it waits for the rest of a message
-    assert front.kinds(pg.SYNC_FRAME)[-1:] == "Z"
-    assert front.kinds(pg.query("ROLLBACK"), pg.query("SELECT 1"))[-4:] == "TDCZ"
+    if harness.session.state is SessionState.STARTUP or harness.session._frames.held:
+        return  # the session waits for the rest of a message
+    assert harness.kinds(pg.SYNC_FRAME)[-1:] == "Z"
+    assert harness.kinds(pg.query("ROLLBACK"), pg.query("SELECT 1"))[-4:] == "TDCZ"
 
 
 @settings(max_examples=1500, deadline=None)
 @given(
-    st.lists(st.one_of(st.sampled_from(GOOD), JUNK), max_size=12),
+    st.lists(st.one_of(st.sampled_from(VALID_FRAMES), MALFORMED_FRAMES), max_size=12),
     st.integers(1, 400),
     st.booleans(),
 )
-def test_no_message_leaves_a_session_stuck_or_kills_the_daemon(frames, cut, at_once):
-    front = Front(TEXT)
-    front.log_in()
-    front.core.at_once = at_once
+def test_malformed_messages_neither_block_a_session_nor_stop_the_daemon(
+    frames, chunk_size, responds_immediately
+):
+    harness = SessionHarness(TEXT)
+    harness.log_in()
+    harness.service.responds_immediately = responds_immediately
     data = b"".join(frames)
-    for at in range(0, len(data), cut):
-        if not front.transport.disconnecting:
-            front.session.dataReceived(data[at : at + cut])
-    judge(front)
+    for position in range(0, len(data), chunk_size):
+        if not harness.transport.disconnecting:
+            harness.session.dataReceived(data[position : position + chunk_size])
+    check_session(harness)
 
 
 @settings(max_examples=600, deadline=None)
@@ -102,27 +106,27 @@
         st.binary(max_size=60),
         st.builds(lambda d: pg.INT.pack(len(d) + 4) + d, st.binary(max_size=60)),
         st.builds(
-            lambda at, v: STARTUP[:at] + bytes([v]) + STARTUP[at + 1 :],
+            lambda position, v: STARTUP[:position] + bytes([v]) + STARTUP[position + 1 :],
             st.integers(0, len(STARTUP) - 1),
             st.integers(0, 255),
         ),
     )
 )
-def test_no_startup_does(data):
-    front = Front(TEXT)
-    front.session.dataReceived(data)
-    if not front.transport.disconnecting:
-        front.clock.advance(11)
-        assert front.transport.disconnecting or front.session.state is SessionState.READY
+def test_malformed_startup_packets_neither_block_a_session_nor_stop_the_daemon(data):
+    harness = SessionHarness(TEXT)
+    harness.session.dataReceived(data)
+    if not harness.transport.disconnecting:
+        harness.clock.advance(11)
+        assert harness.transport.disconnecting or harness.session.state is SessionState.READY
 
 
 @settings(max_examples=500, deadline=None)
-@given(st.lists(st.sampled_from(GOOD), max_size=14), st.integers(1, 60))
-def test_the_cutting_of_the_stream_changes_no_answer(frames, cut):
-    whole, pieces = Front(TEXT), Front(TEXT)
+@given(st.lists(st.sampled_from(VALID_FRAMES), max_size=14), st.integers(1, 60))
+def test_responses_do_not_depend_on_how_the_stream_is_split(frames, chunk_size):
+    whole, pieces = SessionHarness(TEXT), SessionHarness(TEXT)
     whole.log_in(), pieces.log_in()
     data = b"".join(frames)
     answer = whole.send(data)
-    for at in range(0, len(data), cut):
-        pieces.session.dataReceived(data[at : at + cut])
-    assert pieces.heard() == answer
+    for position in range(0, len(data), chunk_size):
+        pieces.session.dataReceived(data[position : position + chunk_size])
+    assert pieces.take_messages() == answer
