--- a/tansycrank/daemon.py
+++ b/tansycrank/daemon.py
@@ -163,13 +163,13 @@
                 queries=len(self.coordinator.queries),
             )
         self.port.stopListening()
-        self.server.stop_taking()
+        self.server.drain_sessions()
         self._drain(self.reactor.seconds() + self.config.router.stop_within_ms / 1000)
 
     def _drain(self, shutdown_deadline: float) -> None:
         busy = self.coordinator.queries or any(s.is_logged_in for s in self.server.sessions)
         if busy and self.reactor.seconds() < shutdown_deadline:
-            self.server.stop_taking()
+            self.server.drain_sessions()
             self.reactor.callLater(0.02, self._drain, shutdown_deadline)
         else:
             self.stop_now()
