--- a/tansycrank/admission/controller.py
+++ b/tansycrank/admission/controller.py
@@ -23,8 +23,8 @@
 from tansycrank.admission.policy import Policy
 from tansycrank.admission.settings import Limits
 from tansycrank.postgres.errors import (
-    FAILED,
     QUERY_CANCELED,
+    QUERY_FAILED,
     QUERY_REJECTED,
     PgError,
     cancelled,
@@ -248,9 +248,11 @@
             return
         kind, retry_after_ms = "answered", 0.0
         if isinstance(outcome, PgError):
-            kind = {QUERY_REJECTED: "refused", FAILED: "failed", QUERY_CANCELED: "cancelled"}.get(
-                outcome.state, "failed"
-            )
+            kind = {
+                QUERY_REJECTED: "refused",
+                QUERY_FAILED: "failed",
+                QUERY_CANCELED: "cancelled",
+            }.get(outcome.state, "failed")
             if kind == "refused":
                 retry_after_ms = retry_after(outcome.detail)
         self._step(QueryEnded(entry.id, kind, self.now - entry.admitted_at, retry_after_ms))
--- a/tansycrank/postgres/errors.py
+++ b/tansycrank/postgres/errors.py
@@ -33,8 +33,8 @@
 INTERNAL = "XX000"
 
 QUERY_REJECTED = "53T01"  # own: the router rejected the query before it ran; a retry is harmless
-FAILED = "58T01"  # own: the router ended the query; it may or may not have had an effect
-ANSWER_BROKEN_OFF = "58T02"  # own: an answer ended after some of its rows were sent
+QUERY_FAILED = "58T01"  # own: the router ended the query; it may or may not have had an effect
+RESULT_INCOMPLETE = "58T02"  # own: an answer ended after some of its rows were sent
 
 QUERY_FAULT_CLASSES = ("0A", "21", "22", "23", "42", "P0")  # SQLSTATE classes: the node is healthy
 REJECTED_BEFORE_RUN = (TOO_MANY_CONNECTIONS, CANNOT_CONNECT_NOW)  # a node did not start the query
--- a/tansycrank/sql_router/coordinator.py
+++ b/tansycrank/sql_router/coordinator.py
@@ -22,10 +22,10 @@
 from tansycrank.merge.blocks import Memory, MemoryReservations, ShardRowStream
 from tansycrank.policy_event_loop import PolicyEventLoop
 from tansycrank.postgres.errors import (
-    ANSWER_BROKEN_OFF,
-    FAILED,
     INTERNAL,
+    QUERY_FAILED,
     QUERY_REJECTED,
+    RESULT_INCOMPLETE,
     PgError,
     cancelled,
 )
@@ -316,7 +316,7 @@
             stream.finish(result.error)
             return
         problem = PgError(
-            ANSWER_BROKEN_OFF,
+            RESULT_INCOMPLETE,
             "the answer broke off: the rows before this error are not the whole",
             hint="ask again; a replica was lost while its rows were on their way",
         )
@@ -408,7 +408,7 @@
 def given_up() -> PgError:
     """The answer to a query that may or may not have run."""
     return PgError(
-        FAILED,
+        QUERY_FAILED,
         "given up: it may or may not have taken effect",
         hint="look whether it did before you try again",
     )
