--- a/tansycrank/postgres/copy.py
+++ b/tansycrank/postgres/copy.py
@@ -88,7 +88,7 @@
         return b'"' + value.replace(b'"', b'""') + b'"' if quoted else value
 
 
-def read_options(options: Sequence[tuple[str, object]]) -> CopyFormat:
+def parse_copy_options(options: Sequence[tuple[str, object]]) -> CopyFormat:
     """The format for the options of a COPY statement. Raises PgError."""
     given = {name.lower(): value for name, value in options}
     kind = str(given.pop("format", "text")).lower()
--- a/tansycrank/postgres/server/statement_execution.py
+++ b/tansycrank/postgres/server/statement_execution.py
@@ -7,7 +7,7 @@
 
 from tansycrank.merge.rows import Result
 from tansycrank.postgres import messages as pg
-from tansycrank.postgres.copy import CopyFormat, read_options
+from tansycrank.postgres.copy import CopyFormat, parse_copy_options
 from tansycrank.postgres.errors import PgError
 from tansycrank.postgres.server.context import SessionContext
 from tansycrank.postgres.server.pending_operation import PendingOperation
@@ -58,7 +58,7 @@
         elif command == "declare":
             self._declare(request, on_finished)
         else:
-            copy_format = read_options(prepared.options) if command == "copy" else None
+            copy_format = parse_copy_options(prepared.options) if command == "copy" else None
             self._answer_query(request, copy_format, with_description, on_finished)
 
     def _declare(self, request: Request, on_finished: OnFinished) -> None:
