--- a/tansycrank/config/tables.py
+++ b/tansycrank/config/tables.py
@@ -31,7 +31,7 @@
 ) -> Distribution:
     """Check a distribution. Raises ConfigError."""
     where = f"distribution {name}"
-    oid = types.NAMES.get(section.type)
+    oid = types.OID_BY_NAME.get(section.type)
     if oid not in (types.INT2, types.INT4, types.INT8, types.TEXT, types.VARCHAR, types.UUID):
         raise ConfigError(
             path, where, "type", section.type, "one of int2, int4, int8, text, varchar, uuid"
@@ -92,7 +92,7 @@
     if (
         column_oid != distribution_oid
         and {column_oid, distribution_oid} - {types.TEXT, types.VARCHAR}
-        and {column_oid, distribution_oid} - types.INTEGERS
+        and {column_oid, distribution_oid} - types.INTEGER_TYPES
     ):
         raise ConfigError(
             path,
@@ -111,9 +111,9 @@
         column, _, kind = item.partition(" ")
         kind = kind.strip().lower()
         oid = (
-            types.ARRAY_OF.get(types.NAMES.get(kind[:-2], -1))
+            types.ARRAY_TYPES.get(types.OID_BY_NAME.get(kind[:-2], -1))
             if kind.endswith("[]")
-            else types.NAMES.get(kind)
+            else types.OID_BY_NAME.get(kind)
         )
         if oid is None or column in columns:
             raise ConfigError(
--- a/tansycrank/merge/collected.py
+++ b/tansycrank/merge/collected.py
@@ -165,16 +165,16 @@
             )
         raws = [raw for _, raw in rows]
     if spec.kind == "array_agg":
-        if field.oid not in types.ARRAY_OF:
+        if field.oid not in types.ARRAY_TYPES:
             raise unsupported(f"array_agg() of type {types.type_name(field.oid)}")
-        return types.ARRAY_OF[field.oid], [
+        return types.ARRAY_TYPES[field.oid], [
             None if r is None else decode(r) for r in raws
         ] if raws else None
     if spec.kind == "string_agg":
-        if field.oid not in types.TEXTUAL:
+        if field.oid not in types.TEXT_TYPES:
             raise unsupported(f"string_agg() of type {types.type_name(field.oid)}")
         return types.TEXT, str(spec.constant or "").join(decode(r) for r in raws) if raws else None
-    if spec.kind == "percentile_cont" and field.oid not in types.NUMBERS:
+    if spec.kind == "percentile_cont" and field.oid not in types.NUMERIC_TYPES:
         raise unsupported(f"percentile_cont() of type {types.type_name(field.oid)}")
     value = percentile(spec.kind, spec.constant, [decode(r) for r in raws])
     return types.FLOAT8 if spec.kind == "percentile_cont" else field.oid, value
--- a/tansycrank/merge/folds.py
+++ b/tansycrank/merge/folds.py
@@ -49,7 +49,7 @@
 def running(kind: str, column: int, oid: int, code: int) -> Fold:
     """sum, counts to be added, bool_and, bool_or; the state is the value."""
     decode = types.decoder(oid, code)
-    combine = TRUTH.get(kind) or (int.__add__ if oid in types.INTEGERS else add)
+    combine = TRUTH.get(kind) or (int.__add__ if oid in types.INTEGER_TYPES else add)
 
     def fold(state, row):
         raw = row[column]
--- a/tansycrank/merge/operators.py
+++ b/tansycrank/merge/operators.py
@@ -71,7 +71,7 @@
     column = key.column if key.column >= 0 else len(fields) + key.column
     oid, code = fields[column].oid, fields[column].format
     order, descending = types.order_key(oid, code), key.descending
-    if oid in types.INTEGERS:  # plain numbers, NULL beyond all of them
+    if oid in types.INTEGER_TYPES:  # plain numbers, NULL beyond all of them
         null = float("-inf") if key.nulls_first else float("inf")
         sign = -1 if descending else 1
 
--- a/tansycrank/merge/rows.py
+++ b/tansycrank/merge/rows.py
@@ -148,7 +148,7 @@
     column = spec.columns[0]
     oid, code = fields[column].oid, fields[column].format
     if spec.kind in ("min", "max"):
-        if oid in types.TEXTUAL and not spec.collated:
+        if oid in types.TEXT_TYPES and not spec.collated:
             raise unsupported(f"{spec.kind}() of a text expression", 'add COLLATE "C" to it')
         return folds.extreme(spec.kind, column, oid, code)
     if spec.kind == "avg":
@@ -341,6 +341,6 @@
 
 def _fields(plan: MergePlan, values: Sequence[tuple], codes: Sequence[int]) -> list[Field]:
     return [
-        Field(o.name, oid or types.TEXT, types.SIZES.get(oid, -1), format=code)
+        Field(o.name, oid or types.TEXT, types.BINARY_SIZES.get(oid, -1), format=code)
         for o, (oid, _), code in zip(plan.outputs, values, codes, strict=True)
     ]
--- a/tansycrank/merge/values.py
+++ b/tansycrank/merge/values.py
@@ -153,11 +153,11 @@
     """The value in another type, where that is exact."""
     if typed[0] == oid or oid == 0:
         return typed[1]
-    if typed[0] in types.TEXTUAL and isinstance(typed[1], str):
+    if typed[0] in types.TEXT_TYPES and isinstance(typed[1], str):
         return types.decode(oid, 0, typed[1].encode())
     if oid == types.NUMERIC and isinstance(typed[1], int):
         return Decimal(typed[1])
-    if oid in types.INTEGERS and isinstance(typed[1], int):
+    if oid in types.INTEGER_TYPES and isinstance(typed[1], int):
         return check_range(oid, typed[1])
     if oid in (types.FLOAT4, types.FLOAT8) and isinstance(typed[1], int | Decimal):
         return float(typed[1])
@@ -174,12 +174,12 @@
         return oid, typed[1]
     if oid in (types.FLOAT4, types.FLOAT8) and typed[0] in NUMBERS:
         return oid, float(typed[1])
-    if typed[0] in types.TEXTUAL and oid in types.TEXTUAL:
+    if typed[0] in types.TEXT_TYPES and oid in types.TEXT_TYPES:
         return oid, typed[1]
     return oid, _as(oid, typed)
 
 
-NUMBERS = types.NUMBERS
+NUMBERS = types.NUMERIC_TYPES
 
 
 def _compare(sign: str, left: Typed, right: Typed) -> bool | None:
@@ -194,9 +194,9 @@
         if isinstance(a, float) or isinstance(b, float):
             a, b = float(a), float(b)
         a, b = ((1, 0) if v != v else (0, v) for v in (a, b))
-    elif left[0] in types.TEXTUAL and right[0] in types.TEXTUAL:
+    elif left[0] in types.TEXT_TYPES and right[0] in types.TEXT_TYPES:
         a, b = a.encode(), b.encode()
-    elif left[0] != right[0] or left[0] not in types.ORDERED:
+    elif left[0] != right[0] or left[0] not in types.SORTABLE_TYPES:
         raise unsupported(
             f"comparing {types.type_name(left[0])} with {types.type_name(right[0])} over aggregates"
         )
--- a/tansycrank/postgres/types/codec.py
+++ b/tansycrank/postgres/types/codec.py
@@ -14,7 +14,7 @@
     encode_array,
     format_array,
 )
-from tansycrank.postgres.types.oids import ARRAYS, INTEGERS, NUMERIC, type_name
+from tansycrank.postgres.types.oids import ARRAY_ELEMENTS, INTEGER_TYPES, NUMERIC, type_name
 
 TEXT_CODE = 0
 BINARY_CODE = 1
@@ -26,7 +26,7 @@
     try:
         if code == TEXT_CODE:
             return _decode_text(oid, data.decode())
-        if oid in ARRAYS:
+        if oid in ARRAY_ELEMENTS:
             return decode_array(data, lambda element, raw: decode(element, BINARY_CODE, raw))
         return binary_format.decode_value(oid, data)
     except (ValueError, struct.error, InvalidOperation, IndexError, OverflowError):
@@ -36,15 +36,15 @@
 
 
 def _decode_text(oid: int, text: str) -> object:
-    if oid in ARRAYS:
-        element = ARRAYS[oid]
+    if oid in ARRAY_ELEMENTS:
+        element = ARRAY_ELEMENTS[oid]
         return ArrayTextParser(lambda raw: decode(element, TEXT_CODE, raw)).parse(text)
     return text_format.parse_value(oid, text)
 
 
 def decoder(oid: int, code: int) -> Callable[[bytes], object]:
     """`decode` for one type, without checks of the values: they come from the store."""
-    if code == TEXT_CODE and oid in INTEGERS:
+    if code == TEXT_CODE and oid in INTEGER_TYPES:
         return int
     if code == TEXT_CODE and oid == NUMERIC:
         return lambda data: Decimal(data.decode())
@@ -55,8 +55,8 @@
     """A value for the wire. Raises PgError 22003."""
     if code == TEXT_CODE:
         return _encode_text(oid, value)
-    if oid in ARRAYS:
-        element = ARRAYS[oid]
+    if oid in ARRAY_ELEMENTS:
+        element = ARRAY_ELEMENTS[oid]
         return encode_array(value, element, lambda inner: encode(element, BINARY_CODE, inner))
     return binary_format.encode_value(oid, value)
 
@@ -64,7 +64,7 @@
 def _encode_text(oid: int, value: object) -> bytes:
     if isinstance(value, bool):
         return b"t" if value else b"f"
-    if oid in ARRAYS:
-        element = ARRAYS[oid]
+    if oid in ARRAY_ELEMENTS:
+        element = ARRAY_ELEMENTS[oid]
         return format_array(value, lambda inner: encode(element, TEXT_CODE, inner)).encode()
     return text_format.format_value(oid, value).encode()
--- a/tansycrank/postgres/types/oids.py
+++ b/tansycrank/postgres/types/oids.py
@@ -23,7 +23,7 @@
 UUID = 2950
 JSONB = 3802
 
-NAMES = {
+OID_BY_NAME = {
     "bool": BOOL,
     "boolean": BOOL,
     "bytea": BYTEA,
@@ -51,7 +51,7 @@
     "oid": OID,
     "name": NAME,
 }
-ARRAYS = {  # element type by array type
+ARRAY_ELEMENTS = {  # element type by array type
     1000: BOOL,
     1001: BYTEA,
     1005: INT2,
@@ -70,8 +70,8 @@
     3807: JSONB,
     1028: OID,
 }
-ARRAY_OF = {element: array for array, element in ARRAYS.items()}
-SIZES = {  # bytes in binary format
+ARRAY_TYPES = {element: array for array, element in ARRAY_ELEMENTS.items()}
+BINARY_SIZES = {  # bytes in binary format
     BOOL: 1,
     INT2: 2,
     INT4: 4,
@@ -83,13 +83,13 @@
     TIMESTAMPTZ: 8,
     UUID: 16,
 }
-TEXTUAL = frozenset((TEXT, VARCHAR, NAME, BPCHAR, UNKNOWN, 0))
-INTEGERS = frozenset((INT2, INT4, INT8, OID))
-NUMBERS = INTEGERS | {NUMERIC, FLOAT4, FLOAT8}
+TEXT_TYPES = frozenset((TEXT, VARCHAR, NAME, BPCHAR, UNKNOWN, 0))
+INTEGER_TYPES = frozenset((INT2, INT4, INT8, OID))
+NUMERIC_TYPES = INTEGER_TYPES | {NUMERIC, FLOAT4, FLOAT8}
 
 
 def type_name(oid: int) -> str:
     """The short name of a type, or its OID."""
-    if oid in ARRAYS:
-        return type_name(ARRAYS[oid]) + "[]"
-    return next((name for name, known in NAMES.items() if known == oid), f"with OID {oid}")
+    if oid in ARRAY_ELEMENTS:
+        return type_name(ARRAY_ELEMENTS[oid]) + "[]"
+    return next((name for name, known in OID_BY_NAME.items() if known == oid), f"with OID {oid}")
--- a/tansycrank/postgres/types/ordering.py
+++ b/tansycrank/postgres/types/ordering.py
@@ -26,7 +26,7 @@
     type_name,
 )
 
-ORDERED = frozenset(
+SORTABLE_TYPES = frozenset(
     (
         BOOL,
         BYTEA,
@@ -53,7 +53,7 @@
 
     Raises PgError 0A000 for types whose order is not known here.
     """
-    if oid not in ORDERED:
+    if oid not in SORTABLE_TYPES:
         raise unsupported(f"ordering or grouping by type {type_name(oid)}")
     if oid in (BYTEA, UUID) and code == 0:
         return lambda data: decode(oid, 0, data)
--- a/tansycrank/sql/infer.py
+++ b/tansycrank/sql/infer.py
@@ -57,7 +57,7 @@
                 note(item, type_of(node.lexpr))
                 note(node.lexpr, type_of(item))
         elif isinstance(node, ast.A_Expr) and node.kind in ANY:
-            note(node.rexpr, types.ARRAY_OF.get(type_of(node.lexpr), 0))
+            note(node.rexpr, types.ARRAY_TYPES.get(type_of(node.lexpr), 0))
         elif isinstance(node, ast.A_Expr) and node.kind in LIKE:
             note(node.rexpr, types.TEXT)
         elif isinstance(node, ast.InsertStmt):
--- a/tansycrank/sql/local.py
+++ b/tansycrank/sql/local.py
@@ -80,7 +80,7 @@
         if found is None:
             return None
         name, oid, value = found
-        fields.append(Field(target.name or name, oid, types.SIZES.get(oid, -1)))
+        fields.append(Field(target.name or name, oid, types.BINARY_SIZES.get(oid, -1)))
         row.append(None if value is None else types.encode(oid, 0, value))
     return Local("rows", "SELECT 1", tuple(fields), (tuple(row),))
 
@@ -96,13 +96,13 @@
     fields = tuple(Field(name, oid) for name, oid in TYPE_INFO)
     found: dict[tuple[int, int], None] = {}
     for oid in oids:
-        if oid in types.ARRAYS:
-            found[oid, 0] = found[types.ARRAYS[oid], 1] = None
-        elif types.type_name(oid) in types.NAMES:
+        if oid in types.ARRAY_ELEMENTS:
+            found[oid, 0] = found[types.ARRAY_ELEMENTS[oid], 1] = None
+        elif types.type_name(oid) in types.OID_BY_NAME:
             found[oid, 0] = None
     rows = []
     for oid, depth in sorted(found, key=lambda pair: -pair[1]):
-        element = types.ARRAYS.get(oid)
+        element = types.ARRAY_ELEMENTS.get(oid)
         name = "_" + types.type_name(element) if element else types.type_name(oid)
         delimiter = "," if element else None
         values = (
--- a/tansycrank/sql/many.py
+++ b/tansycrank/sql/many.py
@@ -187,7 +187,7 @@
             keys.append((column, descending, first))
             oid = self._type(node)
             known = known and bool(oid)
-            if oid in types.TEXTUAL and oid and not isinstance(node, ast.CollateClause):
+            if oid in types.TEXT_TYPES and oid and not isinstance(node, ast.CollateClause):
                 node = ast.CollateClause(arg=node, collname=(ast.String(sval="C"),))
             part_sort.append(
                 ast.SortBy(
@@ -266,7 +266,7 @@
             left, right = self._type(node.lexpr), self._type(node.rexpr)
             return (
                 types.NUMERIC
-                if {left, right} <= types.INTEGERS | {types.NUMERIC, types.FLOAT8}
+                if {left, right} <= types.INTEGER_TYPES | {types.NUMERIC, types.FLOAT8}
                 else 0
             )
         if (
@@ -413,7 +413,11 @@
             elif name in ("min", "max"):
                 oid = self._type(call.args[0])
                 collated = bool(oid)
-                if oid in types.TEXTUAL and oid and not isinstance(call.args[0], ast.CollateClause):
+                if (
+                    oid in types.TEXT_TYPES
+                    and oid
+                    and not isinstance(call.args[0], ast.CollateClause)
+                ):
                     call = copy(call)
                     call.args = (
                         ast.CollateClause(arg=call.args[0], collname=(ast.String(sval="C"),)),
--- a/tansycrank/sql/shards.py
+++ b/tansycrank/sql/shards.py
@@ -18,7 +18,7 @@
     """The value in the distribution's type; None if no row can equal it; ValueError if that is
     unclear.
     """
-    if distribution.type_oid in types.INTEGERS:
+    if distribution.type_oid in types.INTEGER_TYPES:
         if isinstance(value, bool):
             raise ValueError(value)
         if isinstance(value, str):
--- a/tansycrank/sql/tree.py
+++ b/tansycrank/sql/tree.py
@@ -80,8 +80,8 @@
     """The OID of a type name; 0 where it is not known here."""
     if name is None or not name.names:
         return 0
-    oid = types.NAMES.get(name.names[-1].sval, 0)
-    return types.ARRAY_OF.get(oid, 0) if name.arrayBounds else oid
+    oid = types.OID_BY_NAME.get(name.names[-1].sval, 0)
+    return types.ARRAY_TYPES.get(oid, 0) if name.arrayBounds else oid
 
 
 class NotConstantError(ValueError):
@@ -98,11 +98,11 @@
         and not node.typeName.typmods
     ):
         value, oid = constant(node.arg), type_oid(node.typeName)
-        if value is None or not oid or oid in types.ARRAYS:
+        if value is None or not oid or oid in types.ARRAY_ELEMENTS:
             raise NotConstantError
-        if oid in types.TEXTUAL and isinstance(value, str):
+        if oid in types.TEXT_TYPES and isinstance(value, str):
             return value
-        if oid in types.INTEGERS and isinstance(value, int | str):
+        if oid in types.INTEGER_TYPES and isinstance(value, int | str):
             return int(value)
         if oid == types.UUID and isinstance(value, str):
             return value
--- a/tansycrank/testbed/engine.py
+++ b/tansycrank/testbed/engine.py
@@ -112,7 +112,7 @@
     """The wire type of a column of the engine."""
     text = str(name)
     if text.endswith("[]"):
-        return types.ARRAY_OF.get(oid_of(text[:-2]), types.TEXT)
+        return types.ARRAY_TYPES.get(oid_of(text[:-2]), types.TEXT)
     if text.startswith("DECIMAL"):
         return types.NUMERIC
     return ENGINE_TYPES.get(text, types.TEXT)
@@ -122,8 +122,8 @@
     """A decoded wire value as the engine takes it."""
     if value is None:
         return None
-    if oid in types.ARRAYS:
-        return [to_engine(types.ARRAYS[oid], v) for v in value]
+    if oid in types.ARRAY_ELEMENTS:
+        return [to_engine(types.ARRAY_ELEMENTS[oid], v) for v in value]
     if oid == types.DATE and not math.isinf(value):
         return dt.date(2000, 1, 1) + dt.timedelta(days=value)
     if oid in (types.TIMESTAMP, types.TIMESTAMPTZ) and not math.isinf(value):
@@ -138,7 +138,8 @@
     """A value of the engine as `pg.types` has it."""
     if isinstance(value, list):
         return [
-            None if v is None else from_engine(types.ARRAYS.get(oid, types.TEXT), v) for v in value
+            None if v is None else from_engine(types.ARRAY_ELEMENTS.get(oid, types.TEXT), v)
+            for v in value
         ]
     if isinstance(value, dt.datetime):
         if value.tzinfo is not None:
@@ -263,7 +264,7 @@
 
         def typed(match: re.Match) -> str:
             oid = oids[int(match[1]) - 1]
-            array, oid = oid in types.ARRAYS, types.ARRAYS.get(oid, oid)
+            array, oid = oid in types.ARRAY_ELEMENTS, types.ARRAY_ELEMENTS.get(oid, oid)
             return f"CAST(NULL AS {SQL_NAMES.get(oid, 'VARCHAR')}{'[]' if array else ''})"
 
         plain = re.sub(r"\$(\d+)", typed, sql)
@@ -280,7 +281,7 @@
 def _fields(columns: list[tuple[str, int]], results: tuple[int, ...]) -> tuple[Field, ...]:
     codes = results * len(columns) if len(results) == 1 else results or (0,) * len(columns)
     return tuple(
-        Field(name, oid, types.SIZES.get(oid, -1), format=code)
+        Field(name, oid, types.BINARY_SIZES.get(oid, -1), format=code)
         for (name, oid), code in zip(columns, codes, strict=False)
     )
 
