--- a/tansycrank/postgres/messages/backend.py
+++ b/tansycrank/postgres/messages/backend.py
@@ -31,7 +31,7 @@
     column: int = 0
 
 
-def ready(status: str) -> bytes:
+def ready_for_query(status: str) -> bytes:
     """ReadyForQuery: 'I' idle, 'T' in a block, 'E' in a failed block."""
     return frame(b"Z", status.encode())
 
@@ -41,7 +41,7 @@
     return frame(b"S", zero_terminated(name) + zero_terminated(value))
 
 
-def backend_key(pid: int, secret: int) -> bytes:
+def backend_key_data(pid: int, secret: int) -> bytes:
     """The key for CancelRequest."""
     return frame(b"K", INT.pack(pid) + struct.pack("!I", secret & 0xFFFFFFFF))
 
--- a/tansycrank/postgres/messages/framing.py
+++ b/tansycrank/postgres/messages/framing.py
@@ -28,7 +28,7 @@
     return text.replace("\0", "").encode() + b"\0"
 
 
-class Frames:
+class MessageSplitter:
     """Cuts a byte stream into messages. A message longer than the limit is refused before it is
     stored.
     """
@@ -72,7 +72,7 @@
             )
 
 
-class RowFrames:
+class RowBlockSplitter:
     """Cuts what a node sends: runs of whole DataRow messages stay together as one block.
 
     Only the unfinished message at the end of the data is copied, once it is whole, however long it
--- a/tansycrank/postgres/server/extended_query.py
+++ b/tansycrank/postgres/server/extended_query.py
@@ -63,7 +63,7 @@
         self.is_skipping = False
         if self._context.transaction.is_idle:
             self._context.release_portals_and_cursors()
-        self._connection.write(pg.ready(self._context.transaction.status.value))
+        self._connection.write(pg.ready_for_query(self._context.transaction.status.value))
 
     def resume_deferred(self, queue: MessageQueue) -> bool:
         """Handle what waited for the next message; False where nothing did. Raises PgError."""
--- a/tansycrank/postgres/server/session.py
+++ b/tansycrank/postgres/server/session.py
@@ -52,7 +52,7 @@
         self.state = SessionState.STARTUP
         self.pid, self.secret = 0, 0  # the key for CancelRequest
         self._startup = StartupReader()
-        self._frames: pg.Frames | None = None
+        self._frames: pg.MessageSplitter | None = None
         self._queue = MessageQueue()
         self._is_processing = False
         self._is_client_reading = True
@@ -199,14 +199,14 @@
         for name, value in startup_settings(parameters):
             context.settings.assign(name, value, context.caller)
         self.state = SessionState.READY
-        self._frames = pg.Frames(self.limits.max_message, pg.FRONTEND_TYPES)
+        self._frames = pg.MessageSplitter(self.limits.max_message, pg.FRONTEND_TYPES)
         self.pid, self.secret = self.factory.key(self)
         context.caller = replace(context.caller, session=self.pid)
         answer = [
             pg.AUTHENTICATION_OK,
             *context.settings.status_messages(),
-            pg.backend_key(self.pid, self.secret),
-            pg.ready(context.transaction.status.value),
+            pg.backend_key_data(self.pid, self.secret),
+            pg.ready_for_query(context.transaction.status.value),
         ]
         self.write(b"".join(answer))
 
--- a/tansycrank/postgres/server/simple_query.py
+++ b/tansycrank/postgres/server/simple_query.py
@@ -92,4 +92,4 @@
         self._context.connection.write(pg.error_response(error) + self._ready_message())
 
     def _ready_message(self) -> bytes:
-        return pg.ready(self._context.transaction.status.value)
+        return pg.ready_for_query(self._context.transaction.status.value)
--- a/tansycrank/sql_router/node_connection.py
+++ b/tansycrank/sql_router/node_connection.py
@@ -123,7 +123,7 @@
         self.later = (
             later  # puts the link in the line of large work; None: everything is read at once
         )
-        self.frames = pg.RowFrames(max_row)
+        self.frames = pg.RowBlockSplitter(max_row)
         self.state = ConnectionState.STARTING
         self.key: tuple[int, int] | None = None
         self.refusal: PgError | None = None
--- a/tansycrank/testbed/bulk_cluster.py
+++ b/tansycrank/testbed/bulk_cluster.py
@@ -281,7 +281,7 @@
     """Send a statement and read its answer block by block; `each(block)` sees the rows."""
     link, heard = dial(port), Heard()
     link.settimeout(timeout)
-    began, frames = time.perf_counter(), pg.RowFrames(1 << 28)
+    began, frames = time.perf_counter(), pg.RowBlockSplitter(1 << 28)
     link.sendall(pg.query(sql))
     over = False
     while not over:
--- a/tansycrank/testbed/bulk_data.py
+++ b/tansycrank/testbed/bulk_data.py
@@ -155,10 +155,10 @@
                 _cancel(pg.read_startup(body))
                 self.transport.loseConnection()
                 return
-            self.frames = pg.Frames(1 << 20)
+            self.frames = pg.MessageSplitter(1 << 20)
             SESSIONS[id(self) & 0x7FFFFFFF] = self
-            key = pg.backend_key(id(self) & 0x7FFFFFFF, 1)
-            self.transport.write(pg.AUTHENTICATION_OK + key + pg.ready("I"))
+            key = pg.backend_key_data(id(self) & 0x7FFFFFFF, 1)
+            self.transport.write(pg.AUTHENTICATION_OK + key + pg.ready_for_query("I"))
         for kind, frame in self.frames.feed(data):
             message = pg.read_frontend(kind, frame)
             if isinstance(message, pg.Parse | pg.Query):
@@ -199,7 +199,7 @@
     def _end(self, last: bytes) -> None:
         self.source = None
         self.transport.unregisterProducer()
-        self.transport.write(last + pg.ready("I"))
+        self.transport.write(last + pg.ready_for_query("I"))
 
     def cancel(self) -> None:
         """Stop the rows."""
--- a/tansycrank/testbed/node/batch.py
+++ b/tansycrank/testbed/node/batch.py
@@ -66,7 +66,7 @@
             self._messages.append(pg.error_response(error))
             self._tag = error.state
         data = b"".join(message for message in self._messages if message is not None)
-        return BatchAnswer(data + pg.ready("I"), self._row_count, self._tag)
+        return BatchAnswer(data + pg.ready_for_query("I"), self._row_count, self._tag)
 
     def _handle(self, message: object) -> None:
         match message:
--- a/tansycrank/testbed/node/session.py
+++ b/tansycrank/testbed/node/session.py
@@ -31,7 +31,7 @@
         self.node = node
         self.pid, self.secret = 0, 0
         self.application_name = ""
-        self._frames: pg.Frames | None = None
+        self._frames: pg.MessageSplitter | None = None
         self._startup_bytes = b""
         self._batch: list = []  # messages since the last Sync
         self._queue: deque[list] = deque()
@@ -112,14 +112,14 @@
         self.pid = max(node.sessions, default=node.spec.id * PIDS_PER_NODE) + 1
         self.secret = node.model.rng.randrange(1, 2**31)
         node.sessions[self.pid] = self
-        self._frames = pg.Frames(MAX_MESSAGE_BYTES)
+        self._frames = pg.MessageSplitter(MAX_MESSAGE_BYTES)
         self.transport.write(
             pg.AUTHENTICATION_OK
             + pg.parameter_status("server_version", "15.0")
             + pg.parameter_status("client_encoding", "UTF8")
             + pg.parameter_status("standard_conforming_strings", "on")
-            + pg.backend_key(self.pid, self.secret)
-            + pg.ready("I")
+            + pg.backend_key_data(self.pid, self.secret)
+            + pg.ready_for_query("I")
         )
         node.journal.record("open", self)
 
@@ -208,7 +208,7 @@
     # --- output
 
     def _send_error(self, error: PgError) -> None:
-        self._send(pg.error_response(error) + pg.ready("I"))
+        self._send(pg.error_response(error) + pg.ready_for_query("I"))
 
     def _send(self, data: bytes) -> None:
         one_way_ms = self.node.model.nature.one_way_ms
--- a/tests/e2e/test_hard_cases.py
+++ b/tests/e2e/test_hard_cases.py
@@ -270,7 +270,7 @@
     while data[-6:-1] != READY:
         data += raw.recv(65536)
     raw.close()
-    kinds = [chr(kind) for kind, _ in pg.Frames(1 << 20).feed(data)]
+    kinds = [chr(kind) for kind, _ in pg.MessageSplitter(1 << 20).feed(data)]
     assert kinds == ["T", "D", "C", "T", "D", "C", "Z"]
 
 
--- a/tests/e2e/test_large.py
+++ b/tests/e2e/test_large.py
@@ -177,7 +177,7 @@
         data = b""
         while data[-6:-1] != b"Z\x00\x00\x00\x05":
             data += raw.recv(1 << 18)
-        return [(chr(k), f) for k, f in pg.Frames(1 << 26).feed(data)]
+        return [(chr(k), f) for k, f in pg.MessageSplitter(1 << 26).feed(data)]
 
     say(pg.query("BEGIN")[:0], pg.parse("BEGIN", ()), pg.bind((), (), ()), pg.execute())
     bind = pg.frame(b"B", b"p\0\0" + bytes(6))
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -79,7 +79,7 @@
         """(type, frame) of all messages since the last call."""
         data = self.transport.value()
         self.transport.clear()
-        return [(chr(kind), frame) for kind, frame in pg.Frames(1 << 26).feed(data)]
+        return [(chr(kind), frame) for kind, frame in pg.MessageSplitter(1 << 26).feed(data)]
 
     def kinds(self, *frames):
         return "".join(kind for kind, _ in self.send(*frames))
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -14,7 +14,7 @@
 from tansycrank.merge.work import RowStream, Worker
 from tansycrank.postgres import types
 from tansycrank.postgres.errors import PgError
-from tansycrank.postgres.messages import Field, RowFrames, data_row, frame, read_row
+from tansycrank.postgres.messages import Field, RowBlockSplitter, data_row, frame, read_row
 from tansycrank.sql.plan import Aggregate, MergePlan, Output, Scalar, SortKey
 
 MIB = 1 << 20
@@ -310,7 +310,7 @@
 @given(st.lists(st.binary(max_size=300), max_size=30), st.integers(1, 200))
 def test_rows_cut_anywhere_come_out_whole(values, cut):
     data = b"".join(data_row([v]) for v in values) + frame(b"C", b"SELECT\0") + frame(b"Z", b"I")
-    frames, rows, others = RowFrames(1 << 20), [], []
+    frames, rows, others = RowBlockSplitter(1 << 20), [], []
     for at in range(0, len(data), cut):
         for kind, block, count in frames.feed(data[at : at + cut]):
             if kind == 0x44:
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -83,7 +83,7 @@
     for wanted in ("Z", "E"):
         session, transport = front.connect()
         session.dataReceived(pg.startup({"user": "x"}))
-        kinds = [chr(k) for k, _ in pg.Frames(1 << 20).feed(transport.value())]
+        kinds = [chr(k) for k, _ in pg.MessageSplitter(1 << 20).feed(transport.value())]
         assert kinds[-1] == wanted
 
 
--- a/tests/test_sql_node_connection.py
+++ b/tests/test_sql_node_connection.py
@@ -14,7 +14,7 @@
 from tansycrank.sql_router.node_connection import ConnectionState, ShardStatement
 
 ADDRESS = ("10.0.0.1", 5432)
-HELLO = pg.AUTHENTICATION_OK + pg.backend_key(7, 99) + pg.ready("I")
+HELLO = pg.AUTHENTICATION_OK + pg.backend_key_data(7, 99) + pg.ready_for_query("I")
 ASK = ShardStatement(0, "SELECT 1")
 ANSWER = (
     pg.row_description((pg.Field("a", 23),)) + pg.data_row([b"1"]) + pg.command_complete("SELECT 1")
@@ -77,7 +77,7 @@
     node, link = ready()
     link.dataReceived(ANSWER)
     assert not node.ended  # danger: an error at the commit may still come
-    link.dataReceived(pg.ready("I"))
+    link.dataReceived(pg.ready_for_query("I"))
     assert node.outcomes == [Outcome.SUCCEEDED] and node.streams[0].rows == 1
     node.send()
     assert len(node.reactor.tcpClients) == 1  # the same link again
@@ -103,7 +103,7 @@
 )
 def test_errors_after_the_statement_went_out(state, outcome):
     node, link = ready()
-    link.dataReceived(pg.error_response(PgError(state, "x")) + pg.ready("I"))
+    link.dataReceived(pg.error_response(PgError(state, "x")) + pg.ready_for_query("I"))
     assert node.outcomes == [outcome] and node.ended[0].error.state == state
 
 
@@ -153,7 +153,7 @@
 
 def test_an_idle_link_that_is_lost_is_nobodys_outcome():
     node, link = ready()
-    link.dataReceived(ANSWER + pg.ready("I"))
+    link.dataReceived(ANSWER + pg.ready_for_query("I"))
     link.connectionLost()
     node.send()
     assert len(node.reactor.tcpClients) == 2 and len(node.ended) == 1
@@ -179,7 +179,7 @@
     canceller = node.reactor.tcpClients[-1][2].buildProtocol(None)
     canceller.makeConnection(StringTransport())
     assert canceller.transport.value() == pg.cancel_request(7, 99)
-    link.dataReceived(pg.error_response(PgError("57014", "x")) + pg.ready("I"))
+    link.dataReceived(pg.error_response(PgError("57014", "x")) + pg.ready_for_query("I"))
     before = len(node.reactor.tcpClients)
     node.send()  # danger: the cancel may still hit this link's next part
     assert len(node.reactor.tcpClients) == before + 1
@@ -202,7 +202,7 @@
     node.send(time_out=100.0)
     link = node.accept()
     node.reactor.advance(0.2)
-    link.dataReceived(ANSWER + pg.ready("I"))
+    link.dataReceived(ANSWER + pg.ready_for_query("I"))
     link.connectionLost()
     assert node.outcomes == [Outcome.TIMED_OUT]
 
@@ -231,7 +231,7 @@
     node.send(time_out=4000.0, connect_within=150.0)
     assert link.state is ConnectionState.BUSY and len(node.reactor.tcpClients) == 1
     node.reactor.advance(0.2)  # it has its connection: only its time-out runs
-    link.dataReceived(ANSWER + pg.ready("I"))
+    link.dataReceived(ANSWER + pg.ready_for_query("I"))
     assert node.outcomes == [Outcome.CONNECT_FAILED, Outcome.SUCCEEDED]
 
 
@@ -293,18 +293,18 @@
 
 def test_close_idle_closes_the_unused_and_leaves_the_busy():
     node, first = ready()
-    first.dataReceived(ANSWER + pg.ready("I"))
+    first.dataReceived(ANSWER + pg.ready_for_query("I"))
     node.send()
     node.send()
     second = node.accept()
-    second.dataReceived(ANSWER + pg.ready("I"))
+    second.dataReceived(ANSWER + pg.ready_for_query("I"))
     node.pools.close_idle(1)
     assert second.state is ConnectionState.CLOSED and first.state is ConnectionState.BUSY
 
 
 def test_links_that_nobody_uses_are_swept():
     node, link = ready(idle_link_ms=1000)
-    link.dataReceived(ANSWER + pg.ready("I"))
+    link.dataReceived(ANSWER + pg.ready_for_query("I"))
     node.pools.sweep()
     assert link.state is ConnectionState.IDLE
     node.reactor.advance(2)
@@ -314,7 +314,7 @@
 
 def test_a_node_that_moved_gets_new_links():
     node, link = ready()
-    link.dataReceived(ANSWER + pg.ready("I"))
+    link.dataReceived(ANSWER + pg.ready_for_query("I"))
     node.pools.place(1, "10.0.0.2", 5432)
     node.send()
     assert link.state is ConnectionState.CLOSED and node.reactor.tcpClients[-1][:2] == (
@@ -332,5 +332,5 @@
 def test_a_link_held_back_by_its_last_block_reads_on_for_the_next_part():
     node, link = ready()
     node.streams[0].memory.grew = lambda stream, size: node.streams[0].set_paused(True)
-    link.dataReceived(ANSWER + pg.ready("I"))
+    link.dataReceived(ANSWER + pg.ready_for_query("I"))
     assert node.outcomes == [Outcome.SUCCEEDED] and link.transport.producerState == "producing"
