--- a/tansycrank/merge/blocks.py
+++ b/tansycrank/merge/blocks.py
@@ -13,7 +13,7 @@
 from tansycrank.merge import governor as gov
 from tansycrank.merge.spill import Run, SpillSpace
 from tansycrank.postgres.errors import OUT_OF_MEMORY, PgError
-from tansycrank.postgres.messages import INT, Field
+from tansycrank.postgres.messages import INT32, Field
 
 PIECE = 256 * 1024  # bytes of a block on disk
 REPORT = 64 * 1024  # bytes between two reports of a query to the governor
@@ -21,7 +21,7 @@
 
 def frames_of(block: bytes) -> list[bytes]:
     """The DataRow frames of a block."""
-    frames, at, size, unpack = [], 0, len(block), INT.unpack_from
+    frames, at, size, unpack = [], 0, len(block), INT32.unpack_from
     while at < size:
         end = at + 1 + unpack(block, at + 1)[0]
         frames.append(block[at:end])
--- a/tansycrank/merge/operators.py
+++ b/tansycrank/merge/operators.py
@@ -19,7 +19,7 @@
 from tansycrank.merge.spill import Run
 from tansycrank.postgres import types
 from tansycrank.postgres.errors import PgError
-from tansycrank.postgres.messages import HEAD, INT, SHORT, Field, read_row
+from tansycrank.postgres.messages import HEADER, INT16, INT32, Field, read_row
 from tansycrank.sql.plan import SortKey
 
 Block = tuple[bytes, int]
@@ -51,7 +51,7 @@
 
 def cell(frame: bytes, column: int) -> bytes | None:
     """One value of a row, without the others."""
-    at, unpack = 7, INT.unpack_from
+    at, unpack = 7, INT32.unpack_from
     for _ in range(column):
         size = unpack(frame, at)[0]
         at += 4 + size if size > 0 else 4
@@ -96,14 +96,14 @@
     if not hidden:
         return None
     keep = width - hidden
-    count = SHORT.pack(keep)
+    count = INT16.pack(keep)
 
     def cut(frame: bytes) -> bytes:
-        at, unpack = 7, INT.unpack_from
+        at, unpack = 7, INT32.unpack_from
         for _ in range(keep):
             size = unpack(frame, at)[0]
             at += 4 + size if size > 0 else 4
-        return HEAD.pack(b"D", at - 1) + count + frame[7:at]
+        return HEADER.pack(b"D", at - 1) + count + frame[7:at]
 
     return cut
 
--- a/tansycrank/postgres/copy.py
+++ b/tansycrank/postgres/copy.py
@@ -37,7 +37,7 @@
     header: bool = False
 
     @property
-    def results(self) -> tuple[int, ...]:
+    def result_formats(self) -> tuple[int, ...]:
         """The result formats to request from the store."""
         return (1,) if self.kind == "binary" else ()
 
--- a/tansycrank/postgres/messages/backend.py
+++ b/tansycrank/postgres/messages/backend.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 
 from tansycrank.postgres.errors import PgError
-from tansycrank.postgres.messages.framing import INT, SHORT, frame, zero_terminated
+from tansycrank.postgres.messages.framing import INT16, INT32, frame, null_terminated
 
-AUTHENTICATION_OK = frame(b"R", INT.pack(0))
+AUTHENTICATION_OK = frame(b"R", INT32.pack(0))
 PARSE_COMPLETE = frame(b"1")
 BIND_COMPLETE = frame(b"2")
 CLOSE_COMPLETE = frame(b"3")
@@ -38,20 +38,20 @@
 
 def parameter_status(name: str, value: str) -> bytes:
     """A setting that clients keep a copy of."""
-    return frame(b"S", zero_terminated(name) + zero_terminated(value))
+    return frame(b"S", null_terminated(name) + null_terminated(value))
 
 
 def backend_key_data(pid: int, secret: int) -> bytes:
     """The key for CancelRequest."""
-    return frame(b"K", INT.pack(pid) + struct.pack("!I", secret & 0xFFFFFFFF))
+    return frame(b"K", INT32.pack(pid) + struct.pack("!I", secret & 0xFFFFFFFF))
 
 
 def row_description(fields: Sequence[Field]) -> bytes:
     """The columns of an answer."""
-    body = [SHORT.pack(len(fields))]
+    body = [INT16.pack(len(fields))]
     for f in fields:
         body.append(
-            zero_terminated(f.name)
+            null_terminated(f.name)
             + struct.pack("!IhIhih", f.table, f.column, f.oid, f.size, f.modifier, f.format)
         )
     return frame(b"T", b"".join(body))
@@ -64,15 +64,15 @@
 
 def data_row(values: Sequence[bytes | None]) -> bytes:
     """One row."""
-    body = [SHORT.pack(len(values))]
+    body = [INT16.pack(len(values))]
     for value in values:
-        body.append(b"\xff\xff\xff\xff" if value is None else INT.pack(len(value)) + value)
+        body.append(b"\xff\xff\xff\xff" if value is None else INT32.pack(len(value)) + value)
     return frame(b"D", b"".join(body))
 
 
 def command_complete(tag: str) -> bytes:
     """End of one statement."""
-    return frame(b"C", zero_terminated(tag))
+    return frame(b"C", null_terminated(tag))
 
 
 def error_response(error: PgError) -> bytes:
@@ -95,6 +95,6 @@
         "H": error.hint,
     }
     return (
-        b"".join(code.encode() + zero_terminated(text) for code, text in fields.items() if text)
+        b"".join(code.encode() + null_terminated(text) for code, text in fields.items() if text)
         + b"\0"
     )
--- a/tansycrank/postgres/messages/framing.py
+++ b/tansycrank/postgres/messages/framing.py
@@ -11,19 +11,19 @@
 
 from tansycrank.postgres.errors import ProtocolError
 
-INT = struct.Struct("!i")
-SHORT = struct.Struct("!h")
-HEAD = struct.Struct("!ci")  # type and length
-HEAD_BYTES = 5
+INT32 = struct.Struct("!i")
+INT16 = struct.Struct("!h")
+HEADER = struct.Struct("!ci")  # type and length
+HEADER_BYTES = 5
 DATA_ROW_TYPE = 0x44  # b"D"
 
 
 def frame(kind: bytes, body: bytes = b"") -> bytes:
     """A message with its type and length."""
-    return HEAD.pack(kind, len(body) + 4) + body
+    return HEADER.pack(kind, len(body) + 4) + body
 
 
-def zero_terminated(text: str) -> bytes:
+def null_terminated(text: str) -> bytes:
     """A string field: UTF-8 without inner zeros, ended by one."""
     return text.replace("\0", "").encode() + b"\0"
 
@@ -38,7 +38,7 @@
         self._partial, self._need = bytearray(), 0
 
     @property
-    def held(self) -> int:
+    def buffered_bytes(self) -> int:
         """Bytes of an unfinished message."""
         return len(self._partial)
 
@@ -52,8 +52,8 @@
                 return
             data, self._partial = bytes(self._partial), bytearray()
         at, size = 0, len(data)
-        while size - at >= HEAD_BYTES:
-            kind, length = data[at], INT.unpack_from(data, at + 1)[0]
+        while size - at >= HEADER_BYTES:
+            kind, length = data[at], INT32.unpack_from(data, at + 1)[0]
             if self._types is not None and kind not in self._types:
                 raise ProtocolError(f"unknown message type {bytes([kind])!r}")
             if length < 4 or length > self._limit:
@@ -68,7 +68,9 @@
         if at < size:
             self._partial = bytearray(data[at:])
             self._need = (
-                1 + INT.unpack_from(data, at + 1)[0] if size - at >= HEAD_BYTES else HEAD_BYTES
+                1 + INT32.unpack_from(data, at + 1)[0]
+                if size - at >= HEADER_BYTES
+                else HEADER_BYTES
             )
 
 
@@ -90,11 +92,11 @@
                 return
             data = bytes(self._partial)
             self._partial = bytearray()
-        at, size, unpack = 0, len(data), INT.unpack_from
-        while size - at >= HEAD_BYTES:
+        at, size, unpack = 0, len(data), INT32.unpack_from
+        while size - at >= HEADER_BYTES:
             if data[at] == DATA_ROW_TYPE:
                 start, rows = at, 0
-                while size - at >= HEAD_BYTES and data[at] == DATA_ROW_TYPE:
+                while size - at >= HEADER_BYTES and data[at] == DATA_ROW_TYPE:
                     end = at + 1 + unpack(data, at + 1)[0]
                     if end > size or end < at + 7:
                         break
@@ -115,4 +117,4 @@
             at = end
         if at < size:
             self._partial = bytearray(data[at:])
-            self._need = 1 + unpack(data, at + 1)[0] if size - at >= HEAD_BYTES else HEAD_BYTES
+            self._need = 1 + unpack(data, at + 1)[0] if size - at >= HEADER_BYTES else HEADER_BYTES
--- a/tansycrank/postgres/messages/frontend.py
+++ b/tansycrank/postgres/messages/frontend.py
@@ -6,13 +6,13 @@
 from dataclasses import dataclass
 
 from tansycrank.postgres.errors import ProtocolError
-from tansycrank.postgres.messages.framing import HEAD_BYTES
+from tansycrank.postgres.messages.framing import HEADER_BYTES
 from tansycrank.postgres.messages.reader import Reader
 
 PROTOCOL_3 = 196608
-CANCEL_CODE = 80877102
-SSL_CODE = 80877103
-GSS_CODE = 80877104
+CANCEL_REQUEST_CODE = 80877102
+SSL_REQUEST_CODE = 80877103
+GSSENC_REQUEST_CODE = 80877104
 FRONTEND_TYPES = frozenset(b"BCDEFHPQSXcdfp")
 
 
@@ -60,7 +60,7 @@
     statement: str
     formats: tuple[int, ...]
     values: tuple[bytes | None, ...]
-    results: tuple[int, ...]
+    result_formats: tuple[int, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,10 +118,10 @@
     """The first packet of a connection, without its length."""
     reader = Reader(body)
     code = reader.int32()
-    if code in (SSL_CODE, GSS_CODE):
+    if code in (SSL_REQUEST_CODE, GSSENC_REQUEST_CODE):
         reader.end()
         return EncryptionRequest()
-    if code == CANCEL_CODE:
+    if code == CANCEL_REQUEST_CODE:
         cancel = CancelRequest(reader.int32(), reader.int32())
         reader.end()
         return cancel
@@ -150,7 +150,7 @@
 
 def read_frontend(kind: int, frame: bytes) -> FrontendMessage:
     """One message of a client after the startup. Raises ProtocolError."""
-    reader = Reader(frame, HEAD_BYTES)
+    reader = Reader(frame, HEADER_BYTES)
     letter = chr(kind)
     read_body = BODY_READERS.get(letter)
     if read_body is None:
--- a/tansycrank/postgres/messages/reader.py
+++ b/tansycrank/postgres/messages/reader.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from tansycrank.postgres.errors import ProtocolError
-from tansycrank.postgres.messages.framing import INT, SHORT
+from tansycrank.postgres.messages.framing import INT16, INT32
 
 
 class Reader:
@@ -23,7 +23,7 @@
 
     def int32(self) -> int:
         """A signed 32-bit number."""
-        return INT.unpack(self.take(4))[0]
+        return INT32.unpack(self.take(4))[0]
 
     def uint32(self) -> int:
         """An unsigned 32-bit number (an OID)."""
@@ -31,7 +31,7 @@
 
     def int16(self) -> int:
         """A signed 16-bit number."""
-        return SHORT.unpack(self.take(2))[0]
+        return INT16.unpack(self.take(2))[0]
 
     def count(self) -> int:
         """A 16-bit count: never negative (drivers send more than 32767 as unsigned)."""
--- a/tansycrank/postgres/messages/store_requests.py
+++ b/tansycrank/postgres/messages/store_requests.py
@@ -5,8 +5,8 @@
 import struct
 from collections.abc import Sequence
 
-from tansycrank.postgres.messages.framing import INT, frame, zero_terminated
-from tansycrank.postgres.messages.frontend import CANCEL_CODE, PROTOCOL_3
+from tansycrank.postgres.messages.framing import INT32, frame, null_terminated
+from tansycrank.postgres.messages.frontend import CANCEL_REQUEST_CODE, PROTOCOL_3
 
 SYNC_FRAME = b"S\x00\x00\x00\x04"
 FLUSH_FRAME = b"H\x00\x00\x00\x04"
@@ -16,34 +16,34 @@
 def startup(parameters: dict[str, str]) -> bytes:
     """A StartupMessage."""
     body = (
-        INT.pack(PROTOCOL_3)
-        + b"".join(zero_terminated(k) + zero_terminated(v) for k, v in parameters.items())
+        INT32.pack(PROTOCOL_3)
+        + b"".join(null_terminated(k) + null_terminated(v) for k, v in parameters.items())
         + b"\0"
     )
-    return INT.pack(len(body) + 4) + body
+    return INT32.pack(len(body) + 4) + body
 
 
 def cancel_request(pid: int, secret: int) -> bytes:
     """A CancelRequest, to be sent on a connection of its own."""
     return (
-        INT.pack(16)
-        + INT.pack(CANCEL_CODE)
-        + INT.pack(pid)
+        INT32.pack(16)
+        + INT32.pack(CANCEL_REQUEST_CODE)
+        + INT32.pack(pid)
         + struct.pack("!I", secret & 0xFFFFFFFF)
     )
 
 
 def query(sql: str) -> bytes:
     """A simple Query."""
-    return frame(b"Q", zero_terminated(sql))
+    return frame(b"Q", null_terminated(sql))
 
 
 def parse(sql: str, oids: Sequence[int], name: str = "") -> bytes:
     """Parse."""
     return frame(
         b"P",
-        zero_terminated(name)
-        + zero_terminated(sql)
+        null_terminated(name)
+        + null_terminated(sql)
         + struct.pack(f"!H{len(oids)}I", len(oids), *oids),
     )
 
@@ -56,7 +56,7 @@
         struct.pack("!H", len(values)),
     ]
     for value in values:
-        parts.append(b"\xff\xff\xff\xff" if value is None else INT.pack(len(value)) + value)
+        parts.append(b"\xff\xff\xff\xff" if value is None else INT32.pack(len(value)) + value)
     parts.append(struct.pack(f"!H{len(results)}h", len(results), *results))
     return frame(b"B", b"".join(parts))
 
@@ -68,4 +68,4 @@
 
 def execute(limit: int = 0) -> bytes:
     """Execute of the unnamed portal."""
-    return frame(b"E", b"\0" + INT.pack(limit))
+    return frame(b"E", b"\0" + INT32.pack(limit))
--- a/tansycrank/postgres/messages/store_responses.py
+++ b/tansycrank/postgres/messages/store_responses.py
@@ -7,7 +7,7 @@
 
 from tansycrank.postgres.errors import PgError, ProtocolError
 from tansycrank.postgres.messages.backend import Field
-from tansycrank.postgres.messages.framing import INT, SHORT
+from tansycrank.postgres.messages.framing import INT16, INT32
 from tansycrank.postgres.messages.reader import Reader
 
 
@@ -45,8 +45,8 @@
 
 def read_row(message: bytes) -> list[bytes | None]:
     """The values of a DataRow."""
-    count, at, values = SHORT.unpack_from(message, 5)[0], 7, []
-    unpack = INT.unpack_from
+    count, at, values = INT16.unpack_from(message, 5)[0], 7, []
+    unpack = INT32.unpack_from
     try:
         for _ in range(count):
             size = unpack(message, at)[0]
--- a/tansycrank/postgres/server/extended_query.py
+++ b/tansycrank/postgres/server/extended_query.py
@@ -195,7 +195,7 @@
 
     def _describe_portal(self, name: str) -> None:
         portal = self._context.portals.get(name)
-        prepared, result_formats = portal.statement.prepared, portal.bind.results
+        prepared, result_formats = portal.statement.prepared, portal.bind.result_formats
         if prepared is None:
             self._connection.write(pg.NO_DATA)
         elif prepared.local is not None:
@@ -255,7 +255,7 @@
 
     def _execute_command(self, portal: Portal, with_description: bool) -> None:
         prepared, bind = portal.statement.prepared, portal.bind
-        fields = self._commands.fields(prepared, bind.results)
+        fields = self._commands.fields(prepared, bind.result_formats)
         local = prepared.local
         if prepared.compute is not None:
             values = self._context.service.decoded(prepared, bind.values, bind.formats)
@@ -323,7 +323,7 @@
             statement.prepared,
             bind.values,
             bind.formats,
-            bind.results,
+            bind.result_formats,
             statement.comment,
             self._context.settings.snapshot(),
             self._context.caller,
--- a/tansycrank/postgres/server/startup.py
+++ b/tansycrank/postgres/server/startup.py
@@ -30,7 +30,7 @@
         """The next complete packet, None where more bytes are needed. Raises ProtocolError."""
         if len(self._buffer) < LENGTH_BYTES:
             return None
-        size = pg.INT.unpack_from(self._buffer)[0]
+        size = pg.INT32.unpack_from(self._buffer)[0]
         if not MIN_PACKET_BYTES <= size <= MAX_PACKET_BYTES:
             allowed = f"allowed {MIN_PACKET_BYTES} to {MAX_PACKET_BYTES}"
             raise ProtocolError(f"startup packet says {size} bytes; {allowed}")
--- a/tansycrank/postgres/server/statement_execution.py
+++ b/tansycrank/postgres/server/statement_execution.py
@@ -99,7 +99,7 @@
         with_description: bool,
         on_finished: OnFinished,
     ) -> None:
-        results = copy_format.results if copy_format is not None else request.results
+        results = copy_format.result_formats if copy_format is not None else request.results
 
         def on_outcome(outcome: Result | PgError) -> None:
             if isinstance(outcome, PgError):
--- a/tansycrank/postgres/types/numeric.py
+++ b/tansycrank/postgres/types/numeric.py
@@ -5,7 +5,7 @@
 import struct
 from decimal import Decimal
 
-HEAD = struct.Struct("!hhHh")  # number of digits, weight, sign, scale
+HEADER = struct.Struct("!hhHh")  # number of digits, weight, sign, scale
 DIGIT_BASE = 10000
 SIGN_NEGATIVE = 0x4000
 SIGN_NAN = 0xC000
@@ -15,12 +15,12 @@
 
 def decode_numeric(data: bytes) -> Decimal:
     """A value in binary format: base 10000 digits with weight, sign and scale."""
-    count, weight, sign, scale = HEAD.unpack_from(data)
+    count, weight, sign, scale = HEADER.unpack_from(data)
     if sign == SIGN_NAN:
         return Decimal("NaN")
     if sign in (SIGN_INFINITY, SIGN_NEGATIVE_INFINITY):
         return Decimal("Infinity" if sign == SIGN_INFINITY else "-Infinity")
-    digits = struct.unpack_from(f"!{count}h", data, HEAD.size)
+    digits = struct.unpack_from(f"!{count}h", data, HEADER.size)
     total = 0
     for digit in digits:
         total = total * DIGIT_BASE + digit
@@ -35,9 +35,9 @@
 def encode_numeric(value: Decimal) -> bytes:
     """The binary format of a value."""
     if value.is_nan():
-        return HEAD.pack(0, 0, SIGN_NAN, 0)
+        return HEADER.pack(0, 0, SIGN_NAN, 0)
     if value.is_infinite():
-        return HEAD.pack(0, 0, SIGN_INFINITY if value > 0 else SIGN_NEGATIVE_INFINITY, 0)
+        return HEADER.pack(0, 0, SIGN_INFINITY if value > 0 else SIGN_NEGATIVE_INFINITY, 0)
     sign, digits, exponent = value.as_tuple()
     scale = max(-exponent, 0)
     text = "".join(map(str, digits)) + "0" * max(exponent, 0)
@@ -51,7 +51,7 @@
         weight -= 1
     while groups and groups[-1] == 0:
         groups.pop()
-    head = HEAD.pack(
+    head = HEADER.pack(
         len(groups), weight if groups else 0, SIGN_NEGATIVE if sign and groups else 0, scale
     )
     return head + struct.pack(f"!{len(groups)}h", *groups)
--- a/tansycrank/testbed/bulk_cluster.py
+++ b/tansycrank/testbed/bulk_cluster.py
@@ -189,7 +189,7 @@
     """The values of a row of integers in text."""
     found, at = [], 7
     while at < len(frame):
-        size = pg.INT.unpack_from(frame, at)[0]
+        size = pg.INT32.unpack_from(frame, at)[0]
         found.append(int(frame[at + 4 : at + 4 + size]))
         at += 4 + size
     return tuple(found)
--- a/tansycrank/testbed/bulk_data.py
+++ b/tansycrank/testbed/bulk_data.py
@@ -63,11 +63,11 @@
         "pad": b"x" * pad,
     }
     sizes = {"id": 10, "g": 8, "v": 3, "count": 8, "sum": 11, "pad": pad}
-    body = pg.SHORT.pack(len(columns))
+    body = pg.INT16.pack(len(columns))
     for name in columns:
-        body += pg.INT.pack(sizes[name]).replace(b"%", b"%%") + widths[name]
+        body += pg.INT32.pack(sizes[name]).replace(b"%", b"%%") + widths[name]
     length = 4 + 2 + sum(4 + sizes[name] for name in columns)
-    return b"D" + pg.INT.pack(length).replace(b"%", b"%%") + body
+    return b"D" + pg.INT32.pack(length).replace(b"%", b"%%") + body
 
 
 def rows_of(spec: BulkSpec, sql: str) -> tuple[list[str], Iterator[bytes]]:
@@ -147,7 +147,7 @@
         """Read bytes from the peer."""
         if self.frames is None:
             self.started += data
-            size = pg.INT.unpack_from(self.started)[0]
+            size = pg.INT32.unpack_from(self.started)[0]
             if len(self.started) < size:
                 return
             body, data = self.started[4:size], self.started[size:]
--- a/tansycrank/testbed/node/batch.py
+++ b/tansycrank/testbed/node/batch.py
@@ -128,7 +128,9 @@
         parameters = [
             to_engine(oid or types.TEXT, value) for oid, value in zip(oids, values, strict=True)
         ]
-        return self._node.engine.run(sql, parameters, bind.results if bind is not None else ())
+        return self._node.engine.run(
+            sql, parameters, bind.result_formats if bind is not None else ()
+        )
 
     def _execute_write(self, sql: str, oids: tuple[int, ...], values: list, key: str) -> Rows:
         store = self._node.write_store
--- a/tansycrank/testbed/node/session.py
+++ b/tansycrank/testbed/node/session.py
@@ -82,11 +82,11 @@
 
     def _receive_startup(self) -> bytes:
         """Handle startup packets; returns the bytes behind them, once the session is open."""
-        while len(self._startup_bytes) >= pg.INT.size:
-            size = pg.INT.unpack_from(self._startup_bytes)[0]
+        while len(self._startup_bytes) >= pg.INT32.size:
+            size = pg.INT32.unpack_from(self._startup_bytes)[0]
             if len(self._startup_bytes) < size:
                 return b""
-            body = self._startup_bytes[pg.INT.size : size]
+            body = self._startup_bytes[pg.INT32.size : size]
             self._startup_bytes = self._startup_bytes[size:]
             match pg.read_startup(body):
                 case pg.EncryptionRequest():
--- a/tests/e2e/test_large.py
+++ b/tests/e2e/test_large.py
@@ -181,7 +181,7 @@
 
     say(pg.query("BEGIN")[:0], pg.parse("BEGIN", ()), pg.bind((), (), ()), pg.execute())
     bind = pg.frame(b"B", b"p\0\0" + bytes(6))
-    some = pg.frame(b"E", b"p\0" + pg.INT.pack(1000))
+    some = pg.frame(b"E", b"p\0" + pg.INT32.pack(1000))
     say(pg.parse("SELECT id FROM bulk ORDER BY id", ()), bind)
     ids = []
     for _ in range(5):
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -20,14 +20,14 @@
 
 
 def bind(portal="", statement="", values=()):
-    body = portal.encode() + b"\0" + statement.encode() + b"\0\0\0" + pg.SHORT.pack(len(values))
+    body = portal.encode() + b"\0" + statement.encode() + b"\0\0\0" + pg.INT16.pack(len(values))
     for value in values:
-        body += b"\xff\xff\xff\xff" if value is None else pg.INT.pack(len(value)) + value
+        body += b"\xff\xff\xff\xff" if value is None else pg.INT32.pack(len(value)) + value
     return pg.frame(b"B", body + b"\0\0")
 
 
 def execute(portal="", limit=0):
-    return pg.frame(b"E", portal.encode() + b"\0" + pg.INT.pack(limit))
+    return pg.frame(b"E", portal.encode() + b"\0" + pg.INT32.pack(limit))
 
 
 @pytest.fixture
@@ -39,7 +39,7 @@
 
 def test_encryption_is_declined_and_the_startup_follows():
     front = Front(TEXT)
-    front.session.dataReceived(pg.INT.pack(8) + pg.INT.pack(pg.SSL_CODE))
+    front.session.dataReceived(pg.INT32.pack(8) + pg.INT32.pack(pg.SSL_REQUEST_CODE))
     assert front.transport.value() == b"N"
     front.transport.clear()
     kinds = [kind for kind, _ in front.log_in()]
@@ -49,9 +49,9 @@
 @pytest.mark.parametrize(
     "packet, state",
     [
-        (pg.INT.pack(8) + pg.INT.pack(2 << 16), "0A000"),
-        (pg.INT.pack(20000), "08P01"),
-        (pg.INT.pack(4), "08P01"),
+        (pg.INT32.pack(8) + pg.INT32.pack(2 << 16), "0A000"),
+        (pg.INT32.pack(20000), "08P01"),
+        (pg.INT32.pack(4), "08P01"),
         (pg.startup({"database": "x"}), "28000"),
         (pg.startup({"user": "x", "client_encoding": "LATIN1"}), "22023"),
         (pg.startup({"user": "x", "nonsense": "1"}), "42704"),
@@ -266,7 +266,7 @@
 def test_a_message_over_the_limit_ends_the_session_before_it_is_stored():
     front = Front(TEXT, max_message=2048)
     front.log_in()
-    problem = error_of(front.send(b"Q" + pg.INT.pack(1 << 30) + b"x" * 100))
+    problem = error_of(front.send(b"Q" + pg.INT32.pack(1 << 30) + b"x" * 100))
     assert problem.state == "08P01" and problem.is_fatal and front.transport.disconnecting
 
 
--- a/tests/test_session_fuzz.py
+++ b/tests/test_session_fuzz.py
@@ -44,7 +44,7 @@
         st.binary(max_size=60),
     ),
     st.builds(
-        lambda kind, size: bytes([kind]) + pg.INT.pack(size),
+        lambda kind, size: bytes([kind]) + pg.INT32.pack(size),
         st.sampled_from(list(b"QPBDEC")),
         st.integers(-(2**31), 2**31 - 1),
     ),
@@ -73,7 +73,7 @@
         problem = error_of(reversed(heard))
         assert problem is None or problem.is_fatal or heard[-1][0] != "E"
         return
-    if front.session.state is SessionState.STARTUP or front.session._frames.held:
+    if front.session.state is SessionState.STARTUP or front.session._frames.buffered_bytes:
         return  # it waits for the rest of a message
     assert front.kinds(pg.SYNC_FRAME)[-1:] == "Z"
     assert front.kinds(pg.query("ROLLBACK"), pg.query("SELECT 1"))[-4:] == "TDCZ"
@@ -100,7 +100,7 @@
 @given(
     st.one_of(
         st.binary(max_size=60),
-        st.builds(lambda d: pg.INT.pack(len(d) + 4) + d, st.binary(max_size=60)),
+        st.builds(lambda d: pg.INT32.pack(len(d) + 4) + d, st.binary(max_size=60)),
         st.builds(
             lambda at, v: STARTUP[:at] + bytes([v]) + STARTUP[at + 1 :],
             st.integers(0, len(STARTUP) - 1),
--- a/tests/test_sql_node_connection.py
+++ b/tests/test_sql_node_connection.py
@@ -259,7 +259,7 @@
     node = Node(max_row=1024)
     node.send()
     link = node.accept()
-    link.dataReceived(b"D" + pg.INT.pack(1 << 20) + b"x" * 10)
+    link.dataReceived(b"D" + pg.INT32.pack(1 << 20) + b"x" * 10)
     assert node.outcomes == [Outcome.CONNECTION_LOST] and link.transport.aborted
 
 
