--- a/tansycrank/postgres/__init__.py
+++ b/tansycrank/postgres/__init__.py
@@ -1,1 +1,1 @@
-"""The PostgreSQL protocol: message codec, types, errors, COPY formats, and the server side."""
+"""PostgreSQL protocol: message codec, data types, errors, COPY formats and server side."""
--- a/tansycrank/postgres/copy.py
+++ b/tansycrank/postgres/copy.py
@@ -1,4 +1,4 @@
-"""COPY ... TO STDOUT: rows as text, CSV or binary, one CopyData message a row.
+"""Encodes COPY ... TO STDOUT as text, CSV or binary, with one CopyData message per row.
 
 Source: the PostgreSQL manual, "COPY", "File Formats", and "COPY Operations" of the protocol.
 """
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CopyFormat:
-    """How rows are written. `kind` is text, csv or binary."""
+    """Output format of a COPY statement. `kind` is text, csv or binary."""
 
     kind: str = "text"
     delimiter: bytes = b"\t"
@@ -38,11 +38,11 @@
 
     @property
     def result_formats(self) -> tuple[int, ...]:
-        """The result formats to request from the store."""
+        """Returns the result format codes to request from the data nodes."""
         return (1,) if self.kind == "binary" else ()
 
     def begin(self, fields: Sequence[Field]) -> bytes:
-        """CopyOutResponse, and the header before the first row."""
+        """Encodes CopyOutResponse and the header that precedes the first row."""
         binary = self.kind == "binary"
         count = len(fields)
         out = frame(b"H", struct.pack(f"!bh{count}h", binary, count, *([int(binary)] * count)))
@@ -53,13 +53,16 @@
         return out
 
     def row(self, message: bytes) -> bytes:
-        """A DataRow as CopyData. A binary tuple is the body of a DataRow as it is."""
+        """Converts a DataRow message to CopyData.
+
+        A binary COPY tuple has the same layout as the body of a DataRow.
+        """
         if self.kind == "binary":
             return frame(b"d", message[5:])
         return frame(b"d", self._line(read_row(message)))
 
     def end(self) -> bytes:
-        """The trailer after the last row, and CopyDone."""
+        """Encodes the trailer that follows the last row, and CopyDone."""
         return (frame(b"d", BINARY_TRAILER) if self.kind == "binary" else b"") + frame(b"c")
 
     def _line(self, values: Sequence[bytes | None]) -> bytes:
@@ -89,18 +92,18 @@
 
 
 def parse_copy_options(options: Sequence[tuple[str, object]]) -> CopyFormat:
-    """The format for the options of a COPY statement. Raises PgError."""
-    given = {name.lower(): value for name, value in options}
-    kind = str(given.pop("format", "text")).lower()
+    """Parses the options of a COPY statement. Raises PgError for invalid ones."""
+    remaining = {name.lower(): value for name, value in options}
+    kind = str(remaining.pop("format", "text")).lower()
     if kind not in ("text", "csv", "binary"):
         raise PgError(
             INVALID_PARAMETER, f"COPY format {kind!r} not recognized", hint="text, csv or binary"
         )
-    delimiter = str(given.pop("delimiter", "," if kind == "csv" else "\t")).encode()
-    null = str(given.pop("null", "" if kind == "csv" else "\\N")).encode()
-    header = str(given.pop("header", "false")).lower() in ("true", "on", "1", "match")
-    if given:
-        raise PgError(FEATURE_NOT_SUPPORTED, f"COPY option not supported: {', '.join(given)}")
+    delimiter = str(remaining.pop("delimiter", "," if kind == "csv" else "\t")).encode()
+    null = str(remaining.pop("null", "" if kind == "csv" else "\\N")).encode()
+    header = str(remaining.pop("header", "false")).lower() in ("true", "on", "1", "match")
+    if remaining:
+        raise PgError(FEATURE_NOT_SUPPORTED, f"COPY option not supported: {', '.join(remaining)}")
     if len(delimiter) != 1 or delimiter in b'\n\r"\\':
         raise PgError(INVALID_PARAMETER, "COPY delimiter must be a single one-byte character")
     if kind == "binary" and header:
--- a/tansycrank/postgres/errors.py
+++ b/tansycrank/postgres/errors.py
@@ -1,6 +1,6 @@
-"""Errors as PostgreSQL clients see them, and the SQLSTATEs that the router reports.
+"""Errors reported to PostgreSQL clients, and the SQLSTATE codes that the router uses.
 
-The states are those of the PostgreSQL manual, appendix A, but for three of the router's own.
+The codes are those of the PostgreSQL manual, appendix A, except for three specific to the router.
 """
 
 from __future__ import annotations
@@ -32,16 +32,18 @@
 CANNOT_CONNECT_NOW = "57P03"
 INTERNAL = "XX000"
 
-QUERY_REJECTED = "53T01"  # own: the router rejected the query before it ran; a retry is harmless
-QUERY_FAILED = "58T01"  # own: the router ended the query; it may or may not have had an effect
-RESULT_INCOMPLETE = "58T02"  # own: an answer ended after some of its rows were sent
+QUERY_REJECTED = "53T01"  # router-specific: rejected before it ran; safe to retry
+QUERY_FAILED = "58T01"  # router-specific: ended by the router; it may have taken effect
+RESULT_INCOMPLETE = "58T02"  # router-specific: failed after some rows had been sent
 
-QUERY_FAULT_CLASSES = ("0A", "21", "22", "23", "42", "P0")  # SQLSTATE classes: the node is healthy
-REJECTED_BEFORE_RUN = (TOO_MANY_CONNECTIONS, CANNOT_CONNECT_NOW)  # a node did not start the query
+# SQLSTATE classes of errors in the statement; the data node that reports them is healthy.
+QUERY_FAULT_CLASSES = ("0A", "21", "22", "23", "42", "P0")
+# SQLSTATEs with which a data node reports that it did not start the query.
+REJECTED_BEFORE_RUN = (TOO_MANY_CONNECTIONS, CANNOT_CONNECT_NOW)
 
 
 class PgError(TansycrankError):
-    """An error for a client: SQLSTATE, message, and the optional fields of ErrorResponse."""
+    """An error reported to a client: SQLSTATE, message and optional ErrorResponse fields."""
 
     def __init__(
         self, state: str, message: str, detail: str = "", hint: str = "", severity: str = "ERROR"
@@ -52,35 +54,38 @@
 
     @property
     def is_fatal(self) -> bool:
-        """Whether it ends the session."""
+        """Whether the error ends the session."""
         return self.severity in ("FATAL", "PANIC")
 
     @property
     def is_query_fault(self) -> bool:
-        """Whether the statement, not the node, is to blame (the table on the operators' page)."""
+        """Whether the statement, rather than the data node, caused the error.
+
+        The operators' page documents the SQLSTATE classes.
+        """
         return self.state[:2] in QUERY_FAULT_CLASSES
 
 
 def cancelled() -> PgError:
-    """The error of a statement that its client cancelled, in PostgreSQL's wording."""
+    """Returns the error of a statement cancelled by its client, worded as in PostgreSQL."""
     return PgError(QUERY_CANCELED, "canceling statement due to user request")
 
 
 def retry_after(detail: str) -> float:
-    """Milliseconds to wait, from the DETAIL of a rejection; 0 where it names none."""
-    found = detail.partition("retry_after_ms=")[2].split(" ")[0]
-    return float(found or 0)
+    """Returns the retry delay in ms from the DETAIL of a rejection, or 0 if it has none."""
+    value = detail.partition("retry_after_ms=")[2].split(" ")[0]
+    return float(value or 0)
 
 
 def unsupported(construct: str, hint: str = "") -> PgError:
-    """The error of a statement whose shard results can't be merged exactly; names the construct."""
+    """Returns the error for a construct whose shard results cannot be merged exactly."""
     return PgError(
         FEATURE_NOT_SUPPORTED, f"not supported over several shards: {construct}", hint=hint
     )
 
 
 class ProtocolError(PgError):
-    """A message that breaks the protocol. The session ends."""
+    """A violation of the protocol by the peer; it ends the session."""
 
     def __init__(self, message: str, state: str = PROTOCOL_VIOLATION):
         super().__init__(state, message, severity="FATAL")
--- a/tansycrank/postgres/messages/__init__.py
+++ b/tansycrank/postgres/messages/__init__.py
@@ -1,4 +1,4 @@
-"""PostgreSQL protocol 3.0 as a codec: bytes in, messages out, and back. No I/O."""
+"""Codec for PostgreSQL protocol 3.0. It decodes and encodes messages and performs no I/O."""
 
 from tansycrank.postgres.messages.backend import (
     AUTHENTICATION_OK,
--- a/tansycrank/postgres/messages/backend.py
+++ b/tansycrank/postgres/messages/backend.py
@@ -1,4 +1,4 @@
-"""Messages to clients (backend messages), encoded."""
+"""Encodes backend messages, which the router sends to clients."""
 
 from __future__ import annotations
 
@@ -20,7 +20,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Field:
-    """One column of a RowDescription. A size of -1 varies; format 0 is text, 1 binary."""
+    """One column of a RowDescription.
+
+    `size` is in bytes, -1 for variable length; `format` is 0 for text and 1 for binary.
+    """
 
     name: str
     oid: int
@@ -32,22 +35,25 @@
 
 
 def ready_for_query(status: str) -> bytes:
-    """ReadyForQuery: 'I' idle, 'T' in a block, 'E' in a failed block."""
+    """Encodes ReadyForQuery.
+
+    `status` is 'I' when idle, 'T' in a transaction block, 'E' in a failed transaction block.
+    """
     return frame(b"Z", status.encode())
 
 
 def parameter_status(name: str, value: str) -> bytes:
-    """A setting that clients keep a copy of."""
+    """Encodes ParameterStatus, which reports the value of a setting to the client."""
     return frame(b"S", null_terminated(name) + null_terminated(value))
 
 
 def backend_key_data(pid: int, secret: int) -> bytes:
-    """The key for CancelRequest."""
+    """Encodes BackendKeyData, which a client repeats in a CancelRequest."""
     return frame(b"K", INT32.pack(pid) + struct.pack("!I", secret & 0xFFFFFFFF))
 
 
 def row_description(fields: Sequence[Field]) -> bytes:
-    """The columns of an answer."""
+    """Encodes RowDescription, the columns of a result."""
     body = [INT16.pack(len(fields))]
     for f in fields:
         body.append(
@@ -58,12 +64,12 @@
 
 
 def parameter_description(oids: Sequence[int]) -> bytes:
-    """Types of a statement's parameters."""
+    """Encodes ParameterDescription, the parameter types of a statement."""
     return frame(b"t", struct.pack(f"!H{len(oids)}I", len(oids), *oids))
 
 
 def data_row(values: Sequence[bytes | None]) -> bytes:
-    """One row."""
+    """Encodes DataRow; a value of None is NULL."""
     body = [INT16.pack(len(values))]
     for value in values:
         body.append(b"\xff\xff\xff\xff" if value is None else INT32.pack(len(value)) + value)
@@ -71,17 +77,17 @@
 
 
 def command_complete(tag: str) -> bytes:
-    """End of one statement."""
+    """Encodes CommandComplete, which ends one statement."""
     return frame(b"C", null_terminated(tag))
 
 
 def error_response(error: PgError) -> bytes:
-    """ErrorResponse with severity, state, message, detail and hint."""
+    """Encodes ErrorResponse with severity, SQLSTATE, message, detail and hint."""
     return frame(b"E", _error_fields(error))
 
 
 def notice_response(error: PgError) -> bytes:
-    """NoticeResponse: a warning that ends nothing."""
+    """Encodes NoticeResponse, a warning that does not end the statement."""
     return frame(b"N", _error_fields(error))
 
 
--- a/tansycrank/postgres/messages/frontend.py
+++ b/tansycrank/postgres/messages/frontend.py
@@ -1,4 +1,4 @@
-"""Messages of clients (frontends), decoded."""
+"""Decodes frontend messages, which clients send."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Startup:
-    """Start of a session, with its parameters."""
+    """StartupMessage: starts a session with the given parameters."""
 
     parameters: dict[str, str]
 
 
 @dataclass(frozen=True, slots=True)
 class CancelRequest:
-    """A cancel for the session of this key."""
+    """CancelRequest: cancels the query of the session identified by this key."""
 
     pid: int
     secret: int
@@ -33,19 +33,19 @@
 
 @dataclass(frozen=True, slots=True)
 class EncryptionRequest:
-    """SSLRequest or GSSENCRequest: answered by one byte."""
+    """SSLRequest or GSSENCRequest; the response is a single byte."""
 
 
 @dataclass(frozen=True, slots=True)
 class Query:
-    """Simple query: one or several statements."""
+    """Simple query: one or more statements."""
 
     sql: str
 
 
 @dataclass(frozen=True, slots=True)
 class Parse:
-    """Prepare a statement; an OID of 0 leaves the type open."""
+    """Prepares a statement; a parameter OID of 0 leaves the type unspecified."""
 
     name: str
     sql: str
@@ -54,7 +54,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Bind:
-    """Make a portal of a statement. A parameter of None is NULL; formats 0 text, 1 binary."""
+    """Creates a portal from a prepared statement.
+
+    A value of None is NULL. Format codes are 0 for text and 1 for binary.
+    """
 
     portal: str
     statement: str
@@ -65,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Describe:
-    """Describe a statement ('S') or a portal ('P')."""
+    """Requests the description of a statement ('S') or a portal ('P')."""
 
     kind: str
     name: str
@@ -73,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Execute:
-    """Run a portal; a limit of 0 means all rows."""
+    """Executes a portal; a row limit of 0 returns all rows."""
 
     portal: str
     limit: int
@@ -81,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Close:
-    """Drop a statement ('S') or a portal ('P')."""
+    """Closes a statement ('S') or a portal ('P')."""
 
     kind: str
     name: str
@@ -89,22 +92,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Flush:
-    """Send what is pending."""
+    """Requests delivery of pending responses."""
 
 
 @dataclass(frozen=True, slots=True)
 class Sync:
-    """End of an extended batch; errors are skipped up to here."""
+    """Ends an extended-query batch; after an error, messages are skipped up to Sync."""
 
 
 @dataclass(frozen=True, slots=True)
 class Terminate:
-    """The client leaves."""
+    """The client ends the session."""
 
 
 @dataclass(frozen=True, slots=True)
 class Unexpected:
-    """A message that is known but has no place here (copy data, passwords, function calls)."""
+    """A known message type that is not supported (COPY data, passwords, function calls)."""
 
     kind: str
 
@@ -115,7 +118,7 @@
 
 
 def read_startup(body: bytes) -> Startup | CancelRequest | EncryptionRequest:
-    """The first packet of a connection, without its length."""
+    """Decodes the first packet of a connection, without its length field. Raises ProtocolError."""
     reader = Reader(body)
     code = reader.int32()
     if code in (SSL_REQUEST_CODE, GSSENC_REQUEST_CODE):
@@ -149,7 +152,7 @@
 
 
 def read_frontend(kind: int, frame: bytes) -> FrontendMessage:
-    """One message of a client after the startup. Raises ProtocolError."""
+    """Decodes a client message that follows the startup packet. Raises ProtocolError."""
     reader = Reader(frame, HEADER_BYTES)
     letter = chr(kind)
     read_body = BODY_READERS.get(letter)
@@ -181,7 +184,7 @@
 
 
 def _read_target(reader: Reader) -> tuple[str, str]:
-    """Kind ('S' statement, 'P' portal) and name of what is described or closed."""
+    """Reads kind ('S' statement, 'P' portal) and name of the target of Describe or Close."""
     kind = reader.take(1).decode("latin-1")
     if kind not in "SP":
         raise ProtocolError(f"neither statement nor portal: {kind!r}")
--- a/tansycrank/postgres/messages/reader.py
+++ b/tansycrank/postgres/messages/reader.py
@@ -1,4 +1,4 @@
-"""Reads the fields of a message body."""
+"""Sequential reader for the fields of a message body."""
 
 from __future__ import annotations
 
@@ -7,51 +7,52 @@
 
 
 class Reader:
-    """Reads the fields of one message body; running off its end is a ProtocolError, never an
-    IndexError.
+    """Reads the fields of one message body in sequence.
+
+    Reading past the end raises ProtocolError, never IndexError.
     """
 
-    def __init__(self, body: bytes, at: int = 0) -> None:
-        self.body, self.at = body, at
+    def __init__(self, body: bytes, position: int = 0) -> None:
+        self.body, self.position = body, position
 
     def take(self, size: int) -> bytes:
-        """The next bytes."""
-        if size < 0 or self.at + size > len(self.body):
+        """Reads the next `size` bytes."""
+        if size < 0 or self.position + size > len(self.body):
             raise ProtocolError("message ends inside a field")
-        self.at += size
-        return self.body[self.at - size : self.at]
+        self.position += size
+        return self.body[self.position - size : self.position]
 
     def int32(self) -> int:
-        """A signed 32-bit number."""
+        """Reads a signed 32-bit integer."""
         return INT32.unpack(self.take(4))[0]
 
     def uint32(self) -> int:
-        """An unsigned 32-bit number (an OID)."""
+        """Reads an unsigned 32-bit integer, such as an OID."""
         return self.int32() & 0xFFFFFFFF
 
     def int16(self) -> int:
-        """A signed 16-bit number."""
+        """Reads a signed 16-bit integer."""
         return INT16.unpack(self.take(2))[0]
 
     def count(self) -> int:
-        """A 16-bit count: never negative (drivers send more than 32767 as unsigned)."""
+        """Reads a 16-bit count as unsigned, because drivers send counts above 32767."""
         return self.int16() & 0xFFFF
 
     def text(self) -> str:
-        """A zero-ended string, UTF-8."""
-        end = self.body.find(b"\0", self.at)
+        """Reads a null-terminated UTF-8 string."""
+        end = self.body.find(b"\0", self.position)
         if end < 0:
             raise ProtocolError("string without its ending zero")
-        raw = self.body[self.at : end]
-        self.at = end + 1
+        raw = self.body[self.position : end]
+        self.position = end + 1
         try:
             return raw.decode()
         except UnicodeDecodeError:
             raise ProtocolError("string is not UTF-8", "22021") from None
 
     def end(self) -> None:
-        """Nothing may follow."""
-        if self.at != len(self.body):
+        """Raises ProtocolError if any bytes remain."""
+        if self.position != len(self.body):
             raise ProtocolError(
-                f"{len(self.body) - self.at} bytes too many at the end of a message"
+                f"{len(self.body) - self.position} bytes too many at the end of a message"
             )
--- a/tansycrank/postgres/messages/store_requests.py
+++ b/tansycrank/postgres/messages/store_requests.py
@@ -1,4 +1,4 @@
-"""Messages that a connection to the store writes: the client side of the protocol."""
+"""Encodes frontend messages, which the router sends to data nodes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def startup(parameters: dict[str, str]) -> bytes:
-    """A StartupMessage."""
+    """Encodes StartupMessage."""
     body = (
         INT32.pack(PROTOCOL_3)
         + b"".join(null_terminated(k) + null_terminated(v) for k, v in parameters.items())
@@ -24,7 +24,7 @@
 
 
 def cancel_request(pid: int, secret: int) -> bytes:
-    """A CancelRequest, to be sent on a connection of its own."""
+    """Encodes CancelRequest, which is sent on a separate connection."""
     return (
         INT32.pack(16)
         + INT32.pack(CANCEL_REQUEST_CODE)
@@ -34,12 +34,12 @@
 
 
 def query(sql: str) -> bytes:
-    """A simple Query."""
+    """Encodes a simple Query."""
     return frame(b"Q", null_terminated(sql))
 
 
 def parse(sql: str, oids: Sequence[int], name: str = "") -> bytes:
-    """Parse."""
+    """Encodes Parse; an empty name designates the unnamed statement."""
     return frame(
         b"P",
         null_terminated(name)
@@ -49,7 +49,7 @@
 
 
 def bind(values: Sequence[bytes | None], formats: Sequence[int], results: Sequence[int]) -> bytes:
-    """Bind of the unnamed statement to the unnamed portal."""
+    """Encodes Bind of the unnamed statement to the unnamed portal."""
     parts = [
         b"\0\0",
         struct.pack(f"!H{len(formats)}h", len(formats), *formats),
@@ -62,10 +62,10 @@
 
 
 def describe(kind: str) -> bytes:
-    """Describe of the unnamed statement ('S') or portal ('P')."""
+    """Encodes Describe of the unnamed statement ('S') or portal ('P')."""
     return frame(b"D", kind.encode() + b"\0")
 
 
 def execute(limit: int = 0) -> bytes:
-    """Execute of the unnamed portal."""
+    """Encodes Execute of the unnamed portal; a row limit of 0 returns all rows."""
     return frame(b"E", b"\0" + INT32.pack(limit))
--- a/tansycrank/postgres/messages/store_responses.py
+++ b/tansycrank/postgres/messages/store_responses.py
@@ -1,4 +1,4 @@
-"""Messages that a connection to the store reads: rows, columns, errors."""
+"""Decodes messages received from data nodes: rows, columns and errors."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def read_error(message: bytes) -> PgError:
-    """An ErrorResponse or NoticeResponse of a node."""
+    """Decodes an ErrorResponse or NoticeResponse."""
     reader, fields = Reader(message, 5), {}
     while (code := reader.take(1)) != b"\0":
         fields[code.decode("latin-1")] = reader.text()
@@ -25,9 +25,9 @@
     )
 
 
-@lru_cache(maxsize=1024)  # nodes describe the same columns for each shard request
+@lru_cache(maxsize=1024)  # data nodes send identical descriptions for every shard request
 def read_row_description(message: bytes) -> tuple[Field, ...]:
-    """The columns a node announces."""
+    """Decodes the columns of a RowDescription."""
     reader, fields = Reader(message, 5), []
     for _ in range(reader.count()):
         name = reader.text()
@@ -38,26 +38,26 @@
 
 
 def read_parameter_description(message: bytes) -> tuple[int, ...]:
-    """The parameter types a node inferred."""
+    """Decodes the parameter type OIDs that a data node inferred."""
     reader = Reader(message, 5)
     return tuple(reader.uint32() for _ in range(reader.count()))
 
 
 def read_row(message: bytes) -> list[bytes | None]:
-    """The values of a DataRow."""
-    count, at, values = INT16.unpack_from(message, 5)[0], 7, []
+    """Decodes the values of a DataRow; NULL is None."""
+    count, offset, values = INT16.unpack_from(message, 5)[0], 7, []
     unpack = INT32.unpack_from
     try:
         for _ in range(count):
-            size = unpack(message, at)[0]
-            at += 4
+            size = unpack(message, offset)[0]
+            offset += 4
             if size < 0:
                 values.append(None)
             else:
-                values.append(message[at : at + size])
-                at += size
+                values.append(message[offset : offset + size])
+                offset += size
     except struct.error:
         raise ProtocolError("row ends inside a field") from None
-    if at != len(message):
+    if offset != len(message):
         raise ProtocolError("row is longer or shorter than its fields")
     return values
--- a/tansycrank/postgres/types/__init__.py
+++ b/tansycrank/postgres/types/__init__.py
@@ -1,8 +1,8 @@
-"""PostgreSQL's types between wire and Python, both formats, and their order and equality.
+"""Conversion of PostgreSQL types between wire formats and Python, and their order and equality.
 
-Values: bool, int, float, Decimal, str, bytes (bytea, uuid), list (arrays); date as days and
-timestamps as microseconds since 2000-01-01 UTC (`math.inf` for infinity), so that they sort as
-numbers. json is text.
+Python values are bool, int, float, Decimal, str, bytes (bytea, uuid) and list (arrays). Dates are
+days and timestamps microseconds since 2000-01-01 UTC (`math.inf` for infinity), so that they sort
+as numbers. JSON values remain text.
 """
 
 from decimal import Decimal
--- a/tansycrank/postgres/types/arrays.py
+++ b/tansycrank/postgres/types/arrays.py
@@ -1,4 +1,4 @@
-"""Arrays in text and binary format; their elements are left to a codec that is passed in."""
+"""Array codec for text and binary format; the caller supplies the element codec."""
 
 from __future__ import annotations
 
@@ -19,11 +19,14 @@
         self._decode_element = decode_element
         self._stack: list[list] = [[]]
         self._element: list[str] = []
-        self._is_quoted = False  # inside of quotes
-        self._was_quoted = False  # the element has quotes: it is not NULL
+        self._is_quoted = False  # inside quotes
+        self._was_quoted = False  # the element has quotes, so it is not NULL
 
     def parse(self, text: str) -> list:
-        """The elements; a nested array is a list. An IndexError tells of an unfinished escape."""
+        """Returns the elements, nested arrays as lists.
+
+        Raises ValueError, or IndexError if the text ends in an incomplete escape sequence.
+        """
         if text.startswith("["):  # explicit bounds
             text = text.split("=", 1)[1]
         position = 0
@@ -75,7 +78,7 @@
 
 
 def format_array(values: list, encode_element: Callable[[object], bytes]) -> str:
-    """The text format of an array."""
+    """Encodes an array in text format."""
     parts = []
     for value in values:
         if value is None:
@@ -94,7 +97,10 @@
 
 
 def decode_array(data: bytes, decode_element: Callable[[int, bytes], object]) -> list:
-    """An array in binary format; `decode_element` gets type and bytes. Raises ValueError."""
+    """Decodes an array in binary format.
+
+    `decode_element` receives the element type OID and the bytes. Raises ValueError or struct.error.
+    """
     dimensions, _, element_oid = struct.unpack_from("!iiI", data)
     sizes = [struct.unpack_from("!ii", data, 12 + 8 * i)[0] for i in range(dimensions)]
     position = 12 + 8 * dimensions
@@ -121,7 +127,7 @@
 def encode_array(
     values: list, element_oid: int, encode_element: Callable[[object], bytes]
 ) -> bytes:
-    """The binary format of an array."""
+    """Encodes an array in binary format."""
     sizes, nested = [], values
     while isinstance(nested, list) and nested:
         sizes.append(len(nested))
--- a/tansycrank/postgres/types/binary_format.py
+++ b/tansycrank/postgres/types/binary_format.py
@@ -1,4 +1,4 @@
-"""Binary format of all types but arrays."""
+"""Binary format of all types except arrays."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def decode_value(oid: int, data: bytes) -> object:
-    """The value of binary data. Raises ValueError, struct.error."""
+    """Decodes a value in binary format. Raises ValueError or struct.error."""
     if oid in FIXED_SIZE:
         return FIXED_SIZE[oid].unpack(data)[0]
     if oid == NUMERIC:
@@ -58,7 +58,7 @@
 
 
 def encode_value(oid: int, value: object) -> bytes:
-    """The binary data of a value. Raises PgError 22003."""
+    """Encodes a value in binary format. Raises PgError 22003 if it is out of range."""
     if oid in FIXED_SIZE:
         try:
             return FIXED_SIZE[oid].pack(value)
@@ -77,7 +77,7 @@
 
 
 def _from_infinite(number: int, bits: int) -> float | int:
-    """The largest and smallest numbers stand for the infinities."""
+    """Maps the largest and smallest integers, which represent the infinities, to floats."""
     if number == 2 ** (bits - 1) - 1:
         return math.inf
     return -math.inf if number == -(2 ** (bits - 1)) else number
--- a/tansycrank/postgres/types/codec.py
+++ b/tansycrank/postgres/types/codec.py
@@ -1,4 +1,4 @@
-"""Values between the wire and Python, in both formats (code 0 text, 1 binary)."""
+"""Converts values between wire and Python in both formats (code 0 text, 1 binary)."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 TEXT_CODE = 0
 BINARY_CODE = 1
-MAX_SHOWN_BYTES = 40  # of an invalid value in its error
+MAX_SHOWN_BYTES = 40  # prefix of an invalid value shown in the error message
 
 
 def decode(oid: int, code: int, data: bytes) -> object:
-    """A value as it came on the wire. Raises PgError 22P02 or 22P03."""
+    """Decodes a value in text or binary format. Raises PgError 22P02 or 22P03."""
     try:
         if code == TEXT_CODE:
             return _decode_text(oid, data.decode())
@@ -43,7 +43,10 @@
 
 
 def decoder(oid: int, code: int) -> Callable[[bytes], object]:
-    """`decode` for one type, without checks of the values: they come from the store."""
+    """Returns a decode function for one type.
+
+    It may skip validation, because the values come from data nodes.
+    """
     if code == TEXT_CODE and oid in INTEGER_TYPES:
         return int
     if code == TEXT_CODE and oid == NUMERIC:
@@ -52,7 +55,7 @@
 
 
 def encode(oid: int, code: int, value: object) -> bytes:
-    """A value for the wire. Raises PgError 22003."""
+    """Encodes a value in text or binary format. Raises PgError 22003 if it is out of range."""
     if code == TEXT_CODE:
         return _encode_text(oid, value)
     if oid in ARRAY_ELEMENTS:
--- a/tansycrank/postgres/types/numeric.py
+++ b/tansycrank/postgres/types/numeric.py
@@ -1,4 +1,4 @@
-"""Binary format of numeric."""
+"""Binary format of the numeric type."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def decode_numeric(data: bytes) -> Decimal:
-    """A value in binary format: base 10000 digits with weight, sign and scale."""
+    """Decodes a value in binary format: base-10000 digits with weight, sign and scale."""
     count, weight, sign, scale = HEADER.unpack_from(data)
     if sign == SIGN_NAN:
         return Decimal("NaN")
@@ -33,7 +33,7 @@
 
 
 def encode_numeric(value: Decimal) -> bytes:
-    """The binary format of a value."""
+    """Encodes a value in binary format."""
     if value.is_nan():
         return HEADER.pack(0, 0, SIGN_NAN, 0)
     if value.is_infinite():
--- a/tansycrank/postgres/types/oids.py
+++ b/tansycrank/postgres/types/oids.py
@@ -1,4 +1,4 @@
-"""OIDs, names and groups of PostgreSQL's types."""
+"""OIDs, names and groups of PostgreSQL types."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
     "oid": OID,
     "name": NAME,
 }
-ARRAY_ELEMENTS = {  # element type by array type
+ARRAY_ELEMENTS = {  # array type OID to element type OID
     1000: BOOL,
     1001: BYTEA,
     1005: INT2,
@@ -71,7 +71,7 @@
     1028: OID,
 }
 ARRAY_TYPES = {element: array for array, element in ARRAY_ELEMENTS.items()}
-BINARY_SIZES = {  # bytes in binary format
+BINARY_SIZES = {  # bytes, for types of fixed length
     BOOL: 1,
     INT2: 2,
     INT4: 4,
@@ -89,7 +89,7 @@
 
 
 def type_name(oid: int) -> str:
-    """The short name of a type, or its OID."""
+    """Returns the short name of a type, or `with OID n` if the type is not known."""
     if oid in ARRAY_ELEMENTS:
         return type_name(ARRAY_ELEMENTS[oid]) + "[]"
     return next((name for name, known in OID_BY_NAME.items() if known == oid), f"with OID {oid}")
--- a/tansycrank/postgres/types/ordering.py
+++ b/tansycrank/postgres/types/ordering.py
@@ -1,4 +1,4 @@
-"""Order and equality of wire values, as PostgreSQL has them with collation "C"."""
+"""Order and equality of wire values, as in PostgreSQL with collation "C"."""
 
 from __future__ import annotations
 
@@ -49,9 +49,9 @@
 
 
 def order_key(oid: int, code: int) -> Callable[[bytes], object]:
-    """A function from wire value to a key that sorts and compares as PostgreSQL does.
+    """Returns a function that maps a wire value to a key with PostgreSQL's order and equality.
 
-    Raises PgError 0A000 for types whose order is not known here.
+    Raises PgError 0A000 for types whose order is not implemented.
     """
     if oid not in SORTABLE_TYPES:
         raise unsupported(f"ordering or grouping by type {type_name(oid)}")
@@ -68,6 +68,6 @@
     def key(data: bytes) -> tuple:
         value = decode(oid, code, data)
         is_nan = value != value
-        return (1, 0) if is_nan else (0, value)  # NaN equals itself and is the greatest
+        return (1, 0) if is_nan else (0, value)  # as in PostgreSQL, NaN equals NaN and sorts last
 
     return key
--- a/tansycrank/postgres/types/text_format.py
+++ b/tansycrank/postgres/types/text_format.py
@@ -1,4 +1,4 @@
-"""Text format of all types but arrays."""
+"""Text format of all types except arrays."""
 
 from __future__ import annotations
 
@@ -33,10 +33,14 @@
 
 
 def _parse_bool(text: str) -> bool:
-    low = text.strip().lower()
-    if low and ("true".startswith(low) or "yes".startswith(low) or low in ("on", "1")):
+    lowered = text.strip().lower()
+    if lowered and (
+        "true".startswith(lowered) or "yes".startswith(lowered) or lowered in ("on", "1")
+    ):
         return True
-    if low and ("false".startswith(low) or "no".startswith(low) or low in ("off", "0")):
+    if lowered and (
+        "false".startswith(lowered) or "no".startswith(lowered) or lowered in ("off", "0")
+    ):
         return False
     raise ValueError(text)
 
@@ -69,7 +73,7 @@
 
 
 def parse_value(oid: int, text: str) -> object:
-    """The value of a text; types without a parser stay text."""
+    """Parses a value in text format; types without a parser remain text."""
     return PARSERS[oid](text) if oid in PARSERS else text
 
 
@@ -104,5 +108,5 @@
 
 
 def format_value(oid: int, value: object) -> str:
-    """The text of a value."""
+    """Encodes a value in text format."""
     return FORMATTERS[oid](value) if oid in FORMATTERS else str(value)
--- a/tests/test_types.py
+++ b/tests/test_types.py
@@ -1,4 +1,4 @@
-"""Types on the wire: both formats, there and back, and PostgreSQL's order."""
+"""Type codec: round trips in text and binary format, and PostgreSQL's sort order."""
 
 import datetime as dt
 import math
@@ -31,13 +31,13 @@
 @pytest.mark.parametrize("oid", VALUES)
 @pytest.mark.parametrize("code", [0, 1])
 @given(data=st.data())
-def test_a_value_goes_there_and_back(oid, code, data):
+def test_values_survive_a_round_trip(oid, code, data):
     value = data.draw(VALUES[oid])
     assert types.decode(oid, code, types.encode(oid, code, value)) == value
 
 
 @given(st.lists(st.one_of(st.none(), VALUES[types.TEXT]), min_size=1), st.sampled_from([0, 1]))
-def test_arrays_go_there_and_back(values, code):
+def test_arrays_survive_a_round_trip(values, code):
     assert types.decode(1009, code, types.encode(1009, code, values)) == values
 
 
@@ -51,7 +51,7 @@
     assert types.decode(1007, 1, types.encode(1007, 1, [[1, 2], [3, 4]])) == [[1, 2], [3, 4]]
 
 
-def test_known_bytes_of_numeric():
+def test_numeric_binary_encoding():
     # numeric_send of 12345.678: 3 digits, weight 1, scale 3
     raw = struct.pack("!hhHhhhh", 3, 1, 0, 3, 1, 2345, 6780)
     assert types.encode(types.NUMERIC, 1, Decimal("12345.678")) == raw
@@ -59,7 +59,7 @@
     assert types.encode(types.NUMERIC, 1, Decimal("0.00")) == struct.pack("!hhHh", 0, 0, 0, 2)
 
 
-def test_times_as_postgresql_writes_them():
+def test_timestamps_use_the_text_format_of_postgresql():
     moment = dt.datetime(2026, 1, 2, 3, 4, 5, 60_000) - dt.datetime(2000, 1, 1)
     micros = moment // dt.timedelta(microseconds=1)
     assert types.encode(types.TIMESTAMPTZ, 0, micros) == b"2026-01-02 03:04:05.06+00"
@@ -67,7 +67,7 @@
     assert types.decode(types.DATE, 0, b"infinity") == math.inf
 
 
-def test_text_order_is_that_of_bytes():
+def test_text_sorts_by_bytes():
     key = types.order_key(types.TEXT, 0)
     words = ["zebra", "Ä", "a", "B", "ạ"]
     assert sorted((w.encode() for w in words), key=key) == [
@@ -75,7 +75,7 @@
     ]
 
 
-def test_nan_equals_itself_and_is_the_greatest_and_minus_zero_is_zero():
+def test_nan_equals_nan_and_sorts_last_and_negative_zero_equals_zero():
     for oid in (types.FLOAT8, types.NUMERIC):
         key = types.order_key(oid, 0)
         assert key(b"NaN") == key(b"NaN") > key(b"Infinity") > key(b"1e300")
@@ -86,16 +86,16 @@
 
 
 @pytest.mark.parametrize("oid", [types.JSON, 600, types.BPCHAR, 1009])
-def test_types_without_a_known_order_are_refused_by_name(oid):
-    with pytest.raises(PgError) as refusal:
+def test_types_without_a_defined_order_are_rejected(oid):
+    with pytest.raises(PgError) as raised:
         types.order_key(oid, 0)
-    assert refusal.value.state == "0A000"
+    assert raised.value.state == "0A000"
 
 
 @pytest.mark.parametrize("oid", list(VALUES))
 @given(raw=st.binary(max_size=20), code=st.sampled_from([0, 1]))
-def test_junk_is_a_clear_error(oid, raw, code):
+def test_invalid_bytes_raise_only_invalid_representation_errors(oid, raw, code):
     try:
         types.decode(oid, code, raw)
-    except PgError as problem:
-        assert problem.state in ("22P02", "22P03")
+    except PgError as error:
+        assert error.state in ("22P02", "22P03")
