--- a/tansycrank/merge/blocks.py
+++ b/tansycrank/merge/blocks.py
@@ -14,7 +14,7 @@
 from tansycrank.merge import governor as gov
 from tansycrank.merge.spill import Run, SpillSpace
 from tansycrank.postgres.errors import OUT_OF_MEMORY, PgError
-from tansycrank.postgres.messages import INT, Field
+from tansycrank.postgres.messages import INT32, Field
 
 SPILL_BLOCK_BYTES = 256 * 1024  # target size of a block on disk
 # growth after which a query reports its memory to the governor again
@@ -23,7 +23,7 @@
 
 def frames_of(block: bytes) -> list[bytes]:
     """Split a block into its DataRow frames."""
-    frames, position, size, unpack = [], 0, len(block), INT.unpack_from
+    frames, position, size, unpack = [], 0, len(block), INT32.unpack_from
     while position < size:
         end = position + 1 + unpack(block, position + 1)[0]
         frames.append(block[position:end])
--- a/tansycrank/merge/folds.py
+++ b/tansycrank/merge/folds.py
@@ -49,7 +49,7 @@
 def running_value(kind: str, column: int, oid: int, format_code: int) -> Fold:
     """Fold of sum, partial counts, bool_and and bool_or; the state is the value so far."""
     decode = types.decoder(oid, format_code)
-    combine = BOOL_COMBINERS.get(kind) or (int.__add__ if oid in types.INTEGERS else add)
+    combine = BOOL_COMBINERS.get(kind) or (int.__add__ if oid in types.INTEGER_TYPES else add)
 
     def fold(state, row):
         raw = row[column]
--- a/tansycrank/merge/operators.py
+++ b/tansycrank/merge/operators.py
@@ -20,7 +20,7 @@
 from tansycrank.merge.spill import Run
 from tansycrank.postgres import types
 from tansycrank.postgres.errors import PgError
-from tansycrank.postgres.messages import HEAD, INT, SHORT, Field, read_row
+from tansycrank.postgres.messages import HEADER, INT16, INT32, Field, read_row
 from tansycrank.sql.plan import SortKey
 
 Block = tuple[bytes, int]
@@ -52,7 +52,7 @@
 
 def column_value(frame: bytes, column: int) -> bytes | None:
     """One value of a row frame, without decoding the others."""
-    offset, unpack = 7, INT.unpack_from
+    offset, unpack = 7, INT32.unpack_from
     for _ in range(column):
         size = unpack(frame, offset)[0]
         offset += 4 + size if size > 0 else 4
@@ -74,7 +74,7 @@
     column = key.column if key.column >= 0 else len(fields) + key.column
     oid, code = fields[column].oid, fields[column].format
     order, descending = types.order_key(oid, code), key.descending
-    if oid in types.INTEGERS:  # compared as plain numbers, with NULL as an infinity
+    if oid in types.INTEGER_TYPES:  # compared as plain numbers, with NULL as an infinity
         null = float("-inf") if key.nulls_first else float("inf")
         sign = -1 if descending else 1
 
@@ -99,14 +99,14 @@
     if not hidden:
         return None
     keep = width - hidden
-    count = SHORT.pack(keep)
+    count = INT16.pack(keep)
 
     def cut(frame: bytes) -> bytes:
-        offset, unpack = 7, INT.unpack_from
+        offset, unpack = 7, INT32.unpack_from
         for _ in range(keep):
             size = unpack(frame, offset)[0]
             offset += 4 + size if size > 0 else 4
-        return HEAD.pack(b"D", offset - 1) + count + frame[7:offset]
+        return HEADER.pack(b"D", offset - 1) + count + frame[7:offset]
 
     return cut
 
--- a/tansycrank/postgres/types/__init__.py
+++ b/tansycrank/postgres/types/__init__.py
@@ -1,8 +1,8 @@
-"""PostgreSQL's types between wire and Python, both formats, and their order and equality.
+"""Conversion of PostgreSQL types between wire formats and Python, and their order and equality.
 
-Values: bool, int, float, Decimal, str, bytes (bytea, uuid), list (arrays); date as days and
-timestamps as microseconds since 2000-01-01 UTC (`math.inf` for infinity), so that they sort as
-numbers. json is text.
+Python values are bool, int, float, Decimal, str, bytes (bytea, uuid) and list (arrays). Dates are
+days and timestamps microseconds since 2000-01-01 UTC (`math.inf` for infinity), so that they sort
+as numbers. JSON values remain text.
 """
 
 from decimal import Decimal
@@ -13,8 +13,9 @@
     encode,
 )
 from tansycrank.postgres.types.oids import (
-    ARRAY_OF,
-    ARRAYS,
+    ARRAY_ELEMENTS,
+    ARRAY_TYPES,
+    BINARY_SIZES,
     BOOL,
     BPCHAR,
     BYTEA,
@@ -24,17 +25,16 @@
     INT2,
     INT4,
     INT8,
-    INTEGERS,
+    INTEGER_TYPES,
     JSON,
     JSONB,
     NAME,
-    NAMES,
-    NUMBERS,
     NUMERIC,
+    NUMERIC_TYPES,
     OID,
-    SIZES,
+    OID_BY_NAME,
     TEXT,
-    TEXTUAL,
+    TEXT_TYPES,
     TIMESTAMP,
     TIMESTAMPTZ,
     UNKNOWN,
@@ -43,13 +43,14 @@
     type_name,
 )
 from tansycrank.postgres.types.ordering import (
-    ORDERED,
+    SORTABLE_TYPES,
     order_key,
 )
 
 __all__ = [
-    "ARRAYS",
-    "ARRAY_OF",
+    "ARRAY_ELEMENTS",
+    "ARRAY_TYPES",
+    "BINARY_SIZES",
     "BOOL",
     "BPCHAR",
     "BYTEA",
@@ -59,18 +60,17 @@
     "INT2",
     "INT4",
     "INT8",
-    "INTEGERS",
+    "INTEGER_TYPES",
     "JSON",
     "JSONB",
     "NAME",
-    "NAMES",
-    "NUMBERS",
     "NUMERIC",
+    "NUMERIC_TYPES",
     "OID",
-    "ORDERED",
-    "SIZES",
+    "OID_BY_NAME",
+    "SORTABLE_TYPES",
     "TEXT",
-    "TEXTUAL",
+    "TEXT_TYPES",
     "TIMESTAMP",
     "TIMESTAMPTZ",
     "UNKNOWN",
--- a/tansycrank/postgres/types/numeric.py
+++ b/tansycrank/postgres/types/numeric.py
@@ -1,11 +1,11 @@
-"""Binary format of numeric."""
+"""Binary format of the numeric type."""
 
 from __future__ import annotations
 
 import struct
 from decimal import Decimal
 
-HEAD = struct.Struct("!hhHh")  # number of digits, weight, sign, scale
+HEADER = struct.Struct("!hhHh")  # number of digits, weight, sign, scale
 DIGIT_BASE = 10000
 SIGN_NEGATIVE = 0x4000
 SIGN_NAN = 0xC000
@@ -14,13 +14,13 @@
 
 
 def decode_numeric(data: bytes) -> Decimal:
-    """A value in binary format: base 10000 digits with weight, sign and scale."""
-    count, weight, sign, scale = HEAD.unpack_from(data)
+    """Decodes a value in binary format: base-10000 digits with weight, sign and scale."""
+    count, weight, sign, scale = HEADER.unpack_from(data)
     if sign == SIGN_NAN:
         return Decimal("NaN")
     if sign in (SIGN_INFINITY, SIGN_NEGATIVE_INFINITY):
         return Decimal("Infinity" if sign == SIGN_INFINITY else "-Infinity")
-    digits = struct.unpack_from(f"!{count}h", data, HEAD.size)
+    digits = struct.unpack_from(f"!{count}h", data, HEADER.size)
     total = 0
     for digit in digits:
         total = total * DIGIT_BASE + digit
@@ -33,11 +33,11 @@
 
 
 def encode_numeric(value: Decimal) -> bytes:
-    """The binary format of a value."""
+    """Encodes a value in binary format."""
     if value.is_nan():
-        return HEAD.pack(0, 0, SIGN_NAN, 0)
+        return HEADER.pack(0, 0, SIGN_NAN, 0)
     if value.is_infinite():
-        return HEAD.pack(0, 0, SIGN_INFINITY if value > 0 else SIGN_NEGATIVE_INFINITY, 0)
+        return HEADER.pack(0, 0, SIGN_INFINITY if value > 0 else SIGN_NEGATIVE_INFINITY, 0)
     sign, digits, exponent = value.as_tuple()
     scale = max(-exponent, 0)
     text = "".join(map(str, digits)) + "0" * max(exponent, 0)
@@ -51,7 +51,7 @@
         weight -= 1
     while groups and groups[-1] == 0:
         groups.pop()
-    head = HEAD.pack(
+    head = HEADER.pack(
         len(groups), weight if groups else 0, SIGN_NEGATIVE if sign and groups else 0, scale
     )
     return head + struct.pack(f"!{len(groups)}h", *groups)
--- a/tansycrank/sql/infer.py
+++ b/tansycrank/sql/infer.py
@@ -66,7 +66,7 @@
                 record_type(item, type_of(node.lexpr))
                 record_type(node.lexpr, type_of(item))
         elif isinstance(node, ast.A_Expr) and node.kind in ANY_AND_ALL_KINDS:
-            record_type(node.rexpr, types.ARRAY_OF.get(type_of(node.lexpr), 0))
+            record_type(node.rexpr, types.ARRAY_TYPES.get(type_of(node.lexpr), 0))
         elif isinstance(node, ast.A_Expr) and node.kind in LIKE_KINDS:
             record_type(node.rexpr, types.TEXT)
         elif isinstance(node, ast.InsertStmt):
--- a/tansycrank/sql/many.py
+++ b/tansycrank/sql/many.py
@@ -195,7 +195,7 @@
             keys.append((column, descending, first))
             oid = self._type_of(node)
             sort_types_known = sort_types_known and bool(oid)
-            if oid in types.TEXTUAL and oid and not isinstance(node, ast.CollateClause):
+            if oid in types.TEXT_TYPES and oid and not isinstance(node, ast.CollateClause):
                 node = ast.CollateClause(arg=node, collname=(ast.String(sval="C"),))
             shard_sort.append(
                 ast.SortBy(
@@ -276,7 +276,7 @@
             left, right = self._type_of(node.lexpr), self._type_of(node.rexpr)
             return (
                 types.NUMERIC
-                if {left, right} <= types.INTEGERS | {types.NUMERIC, types.FLOAT8}
+                if {left, right} <= types.INTEGER_TYPES | {types.NUMERIC, types.FLOAT8}
                 else 0
             )
         if (
@@ -436,7 +436,11 @@
             elif name in ("min", "max"):
                 oid = self._type_of(call.args[0])
                 collated = bool(oid)
-                if oid in types.TEXTUAL and oid and not isinstance(call.args[0], ast.CollateClause):
+                if (
+                    oid in types.TEXT_TYPES
+                    and oid
+                    and not isinstance(call.args[0], ast.CollateClause)
+                ):
                     call = copy(call)
                     call.args = (
                         ast.CollateClause(arg=call.args[0], collname=(ast.String(sval="C"),)),
--- a/tansycrank/sql/shards.py
+++ b/tansycrank/sql/shards.py
@@ -20,7 +20,7 @@
     Returns None if no row can have this value (a fraction for an integer column). Raises
     ValueError, ArithmeticError or PgError if the value cannot be interpreted.
     """
-    if distribution.type_oid in types.INTEGERS:
+    if distribution.type_oid in types.INTEGER_TYPES:
         if isinstance(value, bool):
             raise ValueError(value)
         if isinstance(value, str):
--- a/tansycrank/sql_router/node_connection.py
+++ b/tansycrank/sql_router/node_connection.py
@@ -129,7 +129,7 @@
         self.parameters, self.cancel_grace, self.reactor = parameters, cancel_grace, reactor
         # Queues the connection for the worker of large results; None to read immediately.
         self.defer_read = defer_read
-        self.frames = pg.RowFrames(max_row)
+        self.frames = pg.RowBlockSplitter(max_row)
         self.state = ConnectionState.STARTING
         self.cancel_key: tuple[int, int] | None = None
         self.login_error: PgError | None = None
--- a/tansycrank/testbed/bulk_cluster.py
+++ b/tansycrank/testbed/bulk_cluster.py
@@ -189,7 +189,7 @@
     """The values of a row of integers in text."""
     found, at = [], 7
     while at < len(frame):
-        size = pg.INT.unpack_from(frame, at)[0]
+        size = pg.INT32.unpack_from(frame, at)[0]
         found.append(int(frame[at + 4 : at + 4 + size]))
         at += 4 + size
     return tuple(found)
@@ -281,7 +281,7 @@
     """Send a statement and read its answer block by block; `each(block)` sees the rows."""
     link, heard = dial(port), Heard()
     link.settimeout(timeout)
-    began, frames = time.perf_counter(), pg.RowFrames(1 << 28)
+    began, frames = time.perf_counter(), pg.RowBlockSplitter(1 << 28)
     link.sendall(pg.query(sql))
     over = False
     while not over:
--- a/tansycrank/testbed/bulk_data.py
+++ b/tansycrank/testbed/bulk_data.py
@@ -63,11 +63,11 @@
         "pad": b"x" * pad,
     }
     sizes = {"id": 10, "g": 8, "v": 3, "count": 8, "sum": 11, "pad": pad}
-    body = pg.SHORT.pack(len(columns))
+    body = pg.INT16.pack(len(columns))
     for name in columns:
-        body += pg.INT.pack(sizes[name]).replace(b"%", b"%%") + widths[name]
+        body += pg.INT32.pack(sizes[name]).replace(b"%", b"%%") + widths[name]
     length = 4 + 2 + sum(4 + sizes[name] for name in columns)
-    return b"D" + pg.INT.pack(length).replace(b"%", b"%%") + body
+    return b"D" + pg.INT32.pack(length).replace(b"%", b"%%") + body
 
 
 def rows_of(spec: BulkSpec, sql: str) -> tuple[list[str], Iterator[bytes]]:
@@ -147,7 +147,7 @@
         """Read bytes from the peer."""
         if self.frames is None:
             self.started += data
-            size = pg.INT.unpack_from(self.started)[0]
+            size = pg.INT32.unpack_from(self.started)[0]
             if len(self.started) < size:
                 return
             body, data = self.started[4:size], self.started[size:]
@@ -155,10 +155,10 @@
                 _cancel(pg.read_startup(body))
                 self.transport.loseConnection()
                 return
-            self.frames = pg.Frames(1 << 20)
+            self.frames = pg.MessageSplitter(1 << 20)
             SESSIONS[id(self) & 0x7FFFFFFF] = self
-            key = pg.backend_key(id(self) & 0x7FFFFFFF, 1)
-            self.transport.write(pg.AUTHENTICATION_OK + key + pg.ready("I"))
+            key = pg.backend_key_data(id(self) & 0x7FFFFFFF, 1)
+            self.transport.write(pg.AUTHENTICATION_OK + key + pg.ready_for_query("I"))
         for kind, frame in self.frames.feed(data):
             message = pg.read_frontend(kind, frame)
             if isinstance(message, pg.Parse | pg.Query):
@@ -199,7 +199,7 @@
     def _end(self, last: bytes) -> None:
         self.source = None
         self.transport.unregisterProducer()
-        self.transport.write(last + pg.ready("I"))
+        self.transport.write(last + pg.ready_for_query("I"))
 
     def cancel(self) -> None:
         """Stop the rows."""
--- a/tansycrank/testbed/node/batch.py
+++ b/tansycrank/testbed/node/batch.py
@@ -66,7 +66,7 @@
             self._messages.append(pg.error_response(error))
             self._tag = error.state
         data = b"".join(message for message in self._messages if message is not None)
-        return BatchAnswer(data + pg.ready("I"), self._row_count, self._tag)
+        return BatchAnswer(data + pg.ready_for_query("I"), self._row_count, self._tag)
 
     def _handle(self, message: object) -> None:
         match message:
@@ -128,7 +128,9 @@
         parameters = [
             to_engine(oid or types.TEXT, value) for oid, value in zip(oids, values, strict=True)
         ]
-        return self._node.engine.run(sql, parameters, bind.results if bind is not None else ())
+        return self._node.engine.run(
+            sql, parameters, bind.result_formats if bind is not None else ()
+        )
 
     def _execute_write(self, sql: str, oids: tuple[int, ...], values: list, key: str) -> Rows:
         store = self._node.write_store
--- a/tests/e2e/test_large.py
+++ b/tests/e2e/test_large.py
@@ -181,11 +181,11 @@
         data = b""
         while data[-6:-1] != b"Z\x00\x00\x00\x05":
             data += raw.recv(1 << 18)
-        return [(chr(k), f) for k, f in pg.Frames(1 << 26).feed(data)]
+        return [(chr(k), f) for k, f in pg.MessageSplitter(1 << 26).feed(data)]
 
     send(pg.query("BEGIN")[:0], pg.parse("BEGIN", ()), pg.bind((), (), ()), pg.execute())
     bind = pg.frame(b"B", b"p\0\0" + bytes(6))
-    some = pg.frame(b"E", b"p\0" + pg.INT.pack(1000))
+    some = pg.frame(b"E", b"p\0" + pg.INT32.pack(1000))
     send(pg.parse("SELECT id FROM bulk ORDER BY id", ()), bind)
     ids = []
     for _ in range(5):
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -20,14 +20,14 @@
 
 
 def bind(portal="", statement="", values=()):
-    body = portal.encode() + b"\0" + statement.encode() + b"\0\0\0" + pg.SHORT.pack(len(values))
+    body = portal.encode() + b"\0" + statement.encode() + b"\0\0\0" + pg.INT16.pack(len(values))
     for value in values:
-        body += b"\xff\xff\xff\xff" if value is None else pg.INT.pack(len(value)) + value
+        body += b"\xff\xff\xff\xff" if value is None else pg.INT32.pack(len(value)) + value
     return pg.frame(b"B", body + b"\0\0")
 
 
 def execute(portal="", limit=0):
-    return pg.frame(b"E", portal.encode() + b"\0" + pg.INT.pack(limit))
+    return pg.frame(b"E", portal.encode() + b"\0" + pg.INT32.pack(limit))
 
 
 @pytest.fixture
@@ -39,7 +39,7 @@
 
 def test_encryption_is_declined_and_the_startup_follows():
     harness = SessionHarness(CONFIG_TEXT)
-    harness.session.dataReceived(pg.INT.pack(8) + pg.INT.pack(pg.SSL_CODE))
+    harness.session.dataReceived(pg.INT32.pack(8) + pg.INT32.pack(pg.SSL_REQUEST_CODE))
     assert harness.transport.value() == b"N"
     harness.transport.clear()
     kinds = [kind for kind, _ in harness.log_in()]
@@ -49,9 +49,9 @@
 @pytest.mark.parametrize(
     "packet, state",
     [
-        (pg.INT.pack(8) + pg.INT.pack(2 << 16), "0A000"),
-        (pg.INT.pack(20000), "08P01"),
-        (pg.INT.pack(4), "08P01"),
+        (pg.INT32.pack(8) + pg.INT32.pack(2 << 16), "0A000"),
+        (pg.INT32.pack(20000), "08P01"),
+        (pg.INT32.pack(4), "08P01"),
         (pg.startup({"database": "x"}), "28000"),
         (pg.startup({"user": "x", "client_encoding": "LATIN1"}), "22023"),
         (pg.startup({"user": "x", "nonsense": "1"}), "42704"),
@@ -83,7 +83,7 @@
     for expected in ("Z", "E"):
         session, transport = harness.connect()
         session.dataReceived(pg.startup({"user": "x"}))
-        kinds = [chr(k) for k, _ in pg.Frames(1 << 20).feed(transport.value())]
+        kinds = [chr(k) for k, _ in pg.MessageSplitter(1 << 20).feed(transport.value())]
         assert kinds[-1] == expected
 
 
@@ -289,7 +289,7 @@
 def test_a_message_over_the_limit_ends_the_session_before_it_is_stored():
     harness = SessionHarness(CONFIG_TEXT, max_message=2048)
     harness.log_in()
-    error = first_error(harness.send(b"Q" + pg.INT.pack(1 << 30) + b"x" * 100))
+    error = first_error(harness.send(b"Q" + pg.INT32.pack(1 << 30) + b"x" * 100))
     assert error.state == "08P01" and error.is_fatal and harness.transport.disconnecting
 
 
--- a/tests/test_session_fuzz.py
+++ b/tests/test_session_fuzz.py
@@ -44,7 +44,7 @@
         st.binary(max_size=60),
     ),
     st.builds(
-        lambda kind, size: bytes([kind]) + pg.INT.pack(size),
+        lambda kind, size: bytes([kind]) + pg.INT32.pack(size),
         st.sampled_from(list(b"QPBDEC")),
         st.integers(-(2**31), 2**31 - 1),
     ),
@@ -75,7 +75,7 @@
         error = first_error(reversed(messages))
         assert error is None or error.is_fatal or messages[-1][0] != "E"
         return
-    if harness.session.state is SessionState.STARTUP or harness.session._frames.held:
+    if harness.session.state is SessionState.STARTUP or harness.session._frames.buffered_bytes:
         return  # the session waits for the rest of a message
     assert harness.kinds(pg.SYNC_FRAME)[-1:] == "Z"
     assert harness.kinds(pg.query("ROLLBACK"), pg.query("SELECT 1"))[-4:] == "TDCZ"
@@ -104,7 +104,7 @@
 @given(
     st.one_of(
         st.binary(max_size=60),
-        st.builds(lambda d: pg.INT.pack(len(d) + 4) + d, st.binary(max_size=60)),
+        st.builds(lambda d: pg.INT32.pack(len(d) + 4) + d, st.binary(max_size=60)),
         st.builds(
             lambda position, v: STARTUP[:position] + bytes([v]) + STARTUP[position + 1 :],
             st.integers(0, len(STARTUP) - 1),
--- a/tests/test_sql_node_connection.py
+++ b/tests/test_sql_node_connection.py
@@ -14,7 +14,7 @@
 from tansycrank.sql_router.node_connection import ConnectionState, ShardStatement
 
 ADDRESS = ("10.0.0.1", 5432)
-LOGIN_RESPONSE = pg.AUTHENTICATION_OK + pg.backend_key(7, 99) + pg.ready("I")
+LOGIN_RESPONSE = pg.AUTHENTICATION_OK + pg.backend_key_data(7, 99) + pg.ready_for_query("I")
 STATEMENT = ShardStatement(0, "SELECT 1")
 ROW_RESPONSE = (
     pg.row_description((pg.Field("a", 23),)) + pg.data_row([b"1"]) + pg.command_complete("SELECT 1")
@@ -79,7 +79,7 @@
     harness, connection = logged_in()
     connection.dataReceived(ROW_RESPONSE)
     assert not harness.ended  # the commit may still fail
-    connection.dataReceived(pg.ready("I"))
+    connection.dataReceived(pg.ready_for_query("I"))
     assert harness.outcomes == [Outcome.SUCCEEDED] and harness.streams[0].rows == 1
     harness.send()
     assert len(harness.reactor.tcpClients) == 1  # the connection is reused
@@ -105,7 +105,7 @@
 )
 def test_errors_after_the_statement_was_sent(state, outcome):
     harness, connection = logged_in()
-    connection.dataReceived(pg.error_response(PgError(state, "x")) + pg.ready("I"))
+    connection.dataReceived(pg.error_response(PgError(state, "x")) + pg.ready_for_query("I"))
     assert harness.outcomes == [outcome] and harness.ended[0].error.state == state
 
 
@@ -155,7 +155,7 @@
 
 def test_losing_an_idle_connection_reports_no_outcome():
     harness, connection = logged_in()
-    connection.dataReceived(ROW_RESPONSE + pg.ready("I"))
+    connection.dataReceived(ROW_RESPONSE + pg.ready_for_query("I"))
     connection.connectionLost()
     harness.send()
     assert len(harness.reactor.tcpClients) == 2 and len(harness.ended) == 1
@@ -182,7 +182,7 @@
     cancel_connection = harness.reactor.tcpClients[-1][2].buildProtocol(None)
     cancel_connection.makeConnection(StringTransport())
     assert cancel_connection.transport.value() == pg.cancel_request(7, 99)
-    connection.dataReceived(pg.error_response(PgError("57014", "x")) + pg.ready("I"))
+    connection.dataReceived(pg.error_response(PgError("57014", "x")) + pg.ready_for_query("I"))
     before = len(harness.reactor.tcpClients)
     harness.send()  # the CancelRequest could still cancel its next statement
     assert len(harness.reactor.tcpClients) == before + 1
@@ -205,7 +205,7 @@
     harness.send(timeout_ms=100.0)
     connection = harness.accept()
     harness.reactor.advance(0.2)
-    connection.dataReceived(ROW_RESPONSE + pg.ready("I"))
+    connection.dataReceived(ROW_RESPONSE + pg.ready_for_query("I"))
     connection.connectionLost()
     assert harness.outcomes == [Outcome.TIMED_OUT]
 
@@ -234,7 +234,7 @@
     harness.send(timeout_ms=4000.0, connect_wait_ms=150.0)
     assert connection.state is ConnectionState.BUSY and len(harness.reactor.tcpClients) == 1
     harness.reactor.advance(0.2)  # it has its connection, so only its timeout applies
-    connection.dataReceived(ROW_RESPONSE + pg.ready("I"))
+    connection.dataReceived(ROW_RESPONSE + pg.ready_for_query("I"))
     assert harness.outcomes == [Outcome.CONNECT_FAILED, Outcome.SUCCEEDED]
 
 
@@ -262,7 +262,7 @@
     harness = PoolHarness(max_row=1024)
     harness.send()
     connection = harness.accept()
-    connection.dataReceived(b"D" + pg.INT.pack(1 << 20) + b"x" * 10)
+    connection.dataReceived(b"D" + pg.INT32.pack(1 << 20) + b"x" * 10)
     assert harness.outcomes == [Outcome.CONNECTION_LOST] and connection.transport.aborted
 
 
@@ -296,18 +296,18 @@
 
 def test_close_idle_keeps_busy_connections():
     harness, first = logged_in()
-    first.dataReceived(ROW_RESPONSE + pg.ready("I"))
+    first.dataReceived(ROW_RESPONSE + pg.ready_for_query("I"))
     harness.send()
     harness.send()
     second = harness.accept()
-    second.dataReceived(ROW_RESPONSE + pg.ready("I"))
+    second.dataReceived(ROW_RESPONSE + pg.ready_for_query("I"))
     harness.pools.close_idle(1)
     assert second.state is ConnectionState.CLOSED and first.state is ConnectionState.BUSY
 
 
 def test_expired_idle_connections_are_closed():
     harness, connection = logged_in(idle_link_ms=1000)
-    connection.dataReceived(ROW_RESPONSE + pg.ready("I"))
+    connection.dataReceived(ROW_RESPONSE + pg.ready_for_query("I"))
     harness.pools.close_expired()
     assert connection.state is ConnectionState.IDLE
     harness.reactor.advance(2)
@@ -317,7 +317,7 @@
 
 def test_a_changed_address_replaces_the_connections():
     harness, connection = logged_in()
-    connection.dataReceived(ROW_RESPONSE + pg.ready("I"))
+    connection.dataReceived(ROW_RESPONSE + pg.ready_for_query("I"))
     harness.pools.set_address(1, "10.0.0.2", 5432)
     harness.send()
     assert connection.state is ConnectionState.CLOSED and harness.reactor.tcpClients[-1][:2] == (
@@ -340,7 +340,7 @@
     harness.streams[0].memory.record_buffered = lambda stream, size: harness.streams[0].set_paused(
         True
     )
-    connection.dataReceived(ROW_RESPONSE + pg.ready("I"))
+    connection.dataReceived(ROW_RESPONSE + pg.ready_for_query("I"))
     assert (
         harness.outcomes == [Outcome.SUCCEEDED]
         and connection.transport.producerState == "producing"
