--- a/tests/http_router/test_endings.py
+++ b/tests/http_router/test_endings.py
@@ -1,4 +1,7 @@
-"""Clients, nodes, discovery and signals at random on the driven clock: what each end still owes."""
+"""Random clients, nodes, discovery updates and signals on the simulated clock.
+
+Checks which answers and frames the router still owes or may no longer send after each event.
+"""
 
 import json
 import re
@@ -12,7 +15,7 @@
 from test_discovery import CHUNKED_RESPONSE_HEAD, endpoint_list_chunk
 
 WINDOW, GRACE, NODES = 0.25, 0.1, 4  # s, s
-AFTER_END = 0.1  # s after the end of its query in which a frame may still leave
+AFTER_END = 0.1  # s after the end of its query within which a frame may still be sent
 CLASSES = {"look": "read_like", "book": "non_idempotent", "move": "idempotency_key"}
 SERVICES = [
     {
@@ -41,17 +44,17 @@
 )
 
 
-class Asked:
-    """One request, what reached nodes of it, and how it was answered."""
+class SentQuery:
+    """A query, the shard requests of it that reached nodes, and its answer."""
 
     def __init__(self, id, cls, shards, sent, deadline):
         self.id, self.cls, self.shards, self.sent, self.deadline = id, cls, shards, sent, deadline
-        self.left = self.answered = self.status = None  # times
-        self.tries = defaultdict(list)  # by shard: [time, what is known of it]
+        self.left_at = self.answered_at = self.status = None  # times
+        self.attempts = defaultdict(list)  # by shard: [time, state, peer, shard]
         self.values = defaultdict(set)
 
-    def ran(self, shard):
-        return [one for one in self.tries[shard] if one[1] != "busy"]
+    def executed_attempts(self, shard):
+        return [one for one in self.attempts[shard] if one[1] != "busy"]
 
 
 class Endings(RuleBasedStateMachine):
@@ -65,64 +68,69 @@
             )
         )
         self.live.discovery[0].accept().send(CHUNKED_RESPONSE_HEAD + endpoint_list_chunk(5))
-        self.spoke = [self.live.discovery[0]]
-        self.asked, self.clients, self.peers = {}, [], []
-        self.told = {}  # by node: when it was told to go
-        self.version, self.numbers, self.gone, self.stopping = 5, 0, set(), False
-        self.look()
+        self.answered_watches = [self.live.discovery[0]]
+        self.queries, self.clients, self.peers = {}, [], []
+        self.draining_since = {}  # by node: time at which discovery said that it drains
+        self.version, self.query_count, self.gone, self.stopping = 5, 0, set(), False
+        self.check_output()
 
     @property
     def now(self):
         return self.live.reactor.seconds()
 
-    # --- what is seen --------------------------------------------------------------
+    # --- checks ---------------------------------------------------------------------
 
-    def look(self):
-        """Sort what was written, and check it against what had ended by now."""
+    def check_output(self):
+        """Check all bytes written since the last call against what has ended by now."""
         self.live.run(0)
         for peer in self.live.nodes:
-            peer.held, peer.over = [], False  # what its system has not taken; whether it refused
+            # Frames that the kernel has not taken; whether the node refused the connection.
+            peer.unsent_frames, peer.refused = [], False
             self.peers.append(peer)
         self.live.nodes = []
         for peer in self.peers:
             if peer.transport is not None:
                 for id, shard, wait, _ in peer.take_shard_requests():
-                    self.begun(peer, id.rpartition(".")[0], shard, wait)
+                    self.check_frame_started(peer, id.rpartition(".")[0], shard, wait)
                 if not peer.transport.stuck:
-                    self.gone_out(peer)
+                    self.record_frames_sent(peer)
                 elif peer.transport.over:
-                    peer.held = []  # what the system had not taken when this side closed
+                    peer.unsent_frames = []  # what the kernel had not taken when the router closed
         for client in self.clients:
-            self.read(client)
+            self.check_answers(client)
 
-    def begun(self, peer, id, shard, wait):
-        query = self.asked[id]
+    def check_frame_started(self, peer, id, shard, wait):
+        query = self.queries[id]
         host = int(peer.host.rpartition(".")[2])
-        assert query.left is None, f"{id} was sent on after its client had left"
-        assert query.answered is None, f"{id} was sent on after its answer"
+        assert query.left_at is None, f"{id} was sent after its client had left"
+        assert query.answered_at is None, f"{id} was sent after its answer"
         assert wait >= 1 and self.now <= query.sent + query.deadline + 0.01
-        if host in self.told:
-            assert self.now <= self.told[host] + GRACE, f"node {host} was told to go"
-        peer.held.append((query, shard))
+        if host in self.draining_since:
+            assert self.now <= self.draining_since[host] + GRACE, f"node {host} is draining"
+        peer.unsent_frames.append((query, shard))
 
-    def gone_out(self, peer):
-        """The frames of this peer have left: what they carry may have run."""
+    def record_frames_sent(self, peer):
+        """Record that the frames to this peer were sent: their shard requests may have run."""
         host = int(peer.host.rpartition(".")[2])
-        for query, shard in peer.held:
-            assert self.now <= self.told.get(host, self.now) + GRACE, f"node {host} had drained"
-            assert self.now <= (query.left or self.now) + AFTER_END, f"{query.id}: client had left"
-            assert self.now <= (query.answered or self.now) + AFTER_END, f"{query.id}: answered"
-            ran = query.ran(shard)
+        for query, shard in peer.unsent_frames:
+            assert self.now <= self.draining_since.get(host, self.now) + GRACE, (
+                f"node {host} had drained"
+            )
+            assert self.now <= (query.left_at or self.now) + AFTER_END, (
+                f"{query.id}: client had left"
+            )
+            assert self.now <= (query.answered_at or self.now) + AFTER_END, f"{query.id}: answered"
+            ran = query.executed_attempts(shard)
             if CLASSES[query.cls] == "non_idempotent":
                 assert not ran, f"{query.id} may take effect twice"
             if CLASSES[query.cls] == "idempotency_key" and ran:
-                assert self.now <= ran[0][0] + WINDOW, f"{query.id} was repeated after its window"
+                assert self.now <= ran[0][0] + WINDOW, f"{query.id} was retried after its window"
             attempt = [self.now, "out", peer, shard]
-            query.tries[shard].append(attempt)
-            peer.out.append((query, attempt))
-        peer.held = []
+            query.attempts[shard].append(attempt)
+            peer.awaiting_reply.append((query, attempt))
+        peer.unsent_frames = []
 
-    def read(self, client):
+    def check_answers(self, client):
         _protocol, transport, requests = client
         written = transport.take()
         while written:
@@ -132,11 +140,11 @@
                 written[found.end() : found.end() + length],
                 written[found.end() + length :],
             )
-            query = next((query for query in requests if query.answered is None), None)
-            assert query is not None, "an answer that nothing asked for"
-            query.answered, query.status = self.now, status
+            query = next((query for query in requests if query.answered_at is None), None)
+            assert query is not None, "an answer without a request"
+            query.answered_at, query.status = self.now, status
             assert self.now <= query.sent + query.deadline + 0.5
-            ran = any(query.ran(shard) for shard in query.shards)
+            ran = any(query.executed_attempts(shard) for shard in query.shards)
             if status == 200:
                 hits = json.loads(body)
                 assert hits["complete"] and {hit["shard"] for hit in hits["hits"]} == set(
@@ -144,9 +152,13 @@
                 )
                 assert all(hit["doc"] in query.values[hit["shard"]] for hit in hits["hits"])
             elif CLASSES[query.cls] != "read_like":
-                assert status == 504 or not ran, f"{query.id} was refused, and may have run"
+                assert status == 504 or not ran, f"{query.id} was rejected but may have run"
         if transport.over:
-            lost = [query.id for query in requests if query.answered is None and query.left is None]
+            lost = [
+                query.id
+                for query in requests
+                if query.answered_at is None and query.left_at is None
+            ]
             assert not lost, f"{lost}: their connection ended without an answer"
 
     # --- clients -------------------------------------------------------------------
@@ -159,19 +171,19 @@
         left=st.booleans(),
         cut=st.integers(0, 400),
     )
-    def ask(self, cls, shards, deadline, new, left, cut):
+    def send_query(self, cls, shards, deadline, new, left, cut):
         usable = [
             one
             for one in self.clients
-            if not one[1].over and not any(query.answered is None for query in one[2])
+            if not one[1].over and not any(query.answered_at is None for query in one[2])
         ]
         if self.stopping and not usable:
             return
         client = usable[-1] if (usable and not new) or self.stopping else (*self.live.client(), [])
         self.clients += [client] if client not in self.clients else []
-        self.numbers += 1
-        query = Asked(f"q{self.numbers}", cls, sorted(shards), self.now, deadline / 1000)
-        self.asked[query.id] = query
+        self.query_count += 1
+        query = SentQuery(f"q{self.query_count}", cls, sorted(shards), self.now, deadline / 1000)
+        self.queries[query.id] = query
         more = "Idempotency-Key: 69df97975326601f\r\n" if cls == "move" else ""
         data = post(
             query.id, f"/{cls}", [(s, 1 / len(shards)) for s in query.shards], deadline, None, more
@@ -181,38 +193,38 @@
             client[0].dataReceived(data[cut:])
         client[2].append(query)
         if left:
-            self.end_client(client)
-        self.look()
+            self.disconnect(client)
+        self.check_output()
 
-    def end_client(self, client):
+    def disconnect(self, client):
         for query in client[2]:
-            if query.answered is None:
-                query.left = self.now
+            if query.answered_at is None:
+                query.left_at = self.now
         client[1].end()
 
     @precondition(lambda self: any(not one[1].over for one in self.clients))
-    @rule(at=st.integers(0, 99))
-    def leave(self, at):
+    @rule(index=st.integers(0, 99))
+    def disconnect_client(self, index):
         standing = [one for one in self.clients if not one[1].over]
-        self.end_client(standing[at % len(standing)])
-        self.look()
+        self.disconnect(standing[index % len(standing)])
+        self.check_output()
 
     # --- nodes ---------------------------------------------------------------------
 
-    def pick(self, at, fit):
+    def pick_peer(self, index, fit):
         found = [peer for peer in self.peers if fit(peer)]
-        return found[at % len(found)] if found else None
+        return found[index % len(found)] if found else None
 
-    @rule(at=st.integers(0, 99), up=st.booleans())
-    def connect(self, at, up):
-        if peer := self.pick(at, lambda peer: peer.transport is None and not peer.over):
-            peer.out = []
+    @rule(index=st.integers(0, 99), up=st.booleans())
+    def connect(self, index, up):
+        if peer := self.pick_peer(index, lambda peer: peer.transport is None and not peer.refused):
+            peer.awaiting_reply = []
             if not up:
-                peer.over = True
+                peer.refused = True
                 peer.refuse()
             else:
                 peer.accept()
-            self.look()
+            self.check_output()
 
     @rule()
     def connect_all(self):
@@ -220,14 +232,16 @@
             self.connect(0, True)
 
     @rule(
-        at=st.integers(0, 99),
+        index=st.integers(0, 99),
         end=st.sampled_from(["ok", "ok", "ok", "err", "busy", "spoilt", "half"]),
     )
-    def reply(self, at, end):
-        peer = self.pick(at, lambda peer: peer.transport and not peer.transport.over and peer.out)
+    def reply(self, index, end):
+        peer = self.pick_peer(
+            index, lambda peer: peer.transport and not peer.transport.over and peer.awaiting_reply
+        )
         if peer is None:
             return
-        query, attempt = peer.out.pop(at % len(peer.out))
+        query, attempt = peer.awaiting_reply.pop(index % len(peer.awaiting_reply))
         shard, value = attempt[3], f"{query.id}/{attempt[3]}"
         complete = answer(f"{query.id}.{shard}", end if end in ("err", "busy") else "ok", value)
         if end == "busy":
@@ -235,70 +249,74 @@
         if end in ("ok", "half"):
             query.values[shard].add(value)
         sent = {"half": complete[:-3], "spoilt": frame(b"A", b"\x91\x07\xfe")}.get(end, complete)
-        # A node that left a frame half goes on with the rest of it before it says anything else.
+        # A node that sent part of a frame sends the rest of it before anything else.
         rest, peer.rest = getattr(peer, "rest", b""), complete[-3:] if end == "half" else b""
         peer.send(rest + sent)
-        self.look()
+        self.check_output()
 
     @rule()
-    def serve_all(self):
+    def answer_all(self):
         self.connect_all()
         for _ in range(20):
             self.reply(0, "ok")
 
-    @rule(at=st.integers(0, 99))
-    def reset(self, at):
-        if peer := self.pick(at, lambda peer: peer.transport and not peer.transport.over):
-            peer.held = []  # what had not left never will
+    @rule(index=st.integers(0, 99))
+    def reset(self, index):
+        if peer := self.pick_peer(index, lambda peer: peer.transport and not peer.transport.over):
+            peer.unsent_frames = []  # what was not sent is lost
             peer.transport.end()
-            self.look()
+            self.check_output()
 
-    @rule(at=st.integers(0, 99))
-    def hang_or_wake(self, at):
-        if peer := self.pick(at, lambda peer: peer.transport and not peer.transport.over):
+    @rule(index=st.integers(0, 99))
+    def toggle_stuck_socket(self, index):
+        if peer := self.pick_peer(index, lambda peer: peer.transport and not peer.transport.over):
             peer.transport.stuck = not peer.transport.stuck
             if not peer.transport.stuck:
-                self.let_leave(peer)
-            self.look()
+                self.flush(peer)
+            self.check_output()
 
-    def let_leave(self, peer):
-        """The system takes what this peer's socket holds, unless the router takes it back."""
+    def flush(self, peer):
+        """The kernel takes what this peer's socket holds, unless the router revokes it."""
         if peer.protocol.may_write():
             peer.protocol.on_bytes_written()
-            self.gone_out(peer)
+            self.record_frames_sent(peer)
         else:
-            peer.held = []
+            peer.unsent_frames = []
         peer.protocol.resumeProducing()
 
-    @rule(at=st.integers(0, 99))
-    def half_leaves(self, at):
-        """The system takes a part of the frame that a full socket holds."""
-        if peer := self.pick(at, lambda peer: peer.transport and self.is_held(peer)):
+    @rule(index=st.integers(0, 99))
+    def flush_part_of_frame(self, index):
+        """The kernel takes a part of the frame that a full socket holds."""
+        if peer := self.pick_peer(
+            index, lambda peer: peer.transport and self.has_unsent_frames(peer)
+        ):
             if peer.protocol.may_write():
                 peer.protocol.on_bytes_written()
             else:
-                peer.held = []
+                peer.unsent_frames = []
                 peer.protocol.resumeProducing()
-            self.look()
+            self.check_output()
 
-    @rule(at=st.integers(0, 99), by_node=st.booleans())
-    def leaves_and_ends(self, at, by_node):
-        """A frame leaves in the instant before its connection ends, by a reset or by the router."""
-        if peer := self.pick(at, lambda peer: peer.transport and self.is_held(peer)):
-            self.let_leave(peer)
+    @rule(index=st.integers(0, 99), by_node=st.booleans())
+    def flush_and_end_connection(self, index, by_node):
+        """A frame is sent just before its connection ends, by a reset or by the router."""
+        if peer := self.pick_peer(
+            index, lambda peer: peer.transport and self.has_unsent_frames(peer)
+        ):
+            self.flush(peer)
             if by_node:
                 peer.transport.end()
             else:
                 peer.protocol.close()
-            self.look()
+            self.check_output()
 
     @staticmethod
-    def is_held(peer):
-        return peer.transport.stuck and not peer.transport.over and peer.held
+    def has_unsent_frames(peer):
+        return peer.transport.stuck and not peer.transport.over and peer.unsent_frames
 
     @rule(steps=st.sampled_from([1, 10]))
     def fill_sockets(self, steps):
-        """All sockets are full for a while: what is sent then waits in them."""
+        """All sockets are full for a while: frames written then wait in them."""
         for peer in self.peers:
             if peer.transport is not None and not peer.transport.over:
                 peer.transport.stuck = True
@@ -310,94 +328,94 @@
         node=st.integers(1, NODES),
         state=st.sampled_from(["terminating", "terminated", "in_service"]),
     )
-    def told_by_discovery(self, node, state):
+    def update_by_discovery(self, node, state):
         watch = self.live.discovery[-1]
-        if watch.factory.protocol.ended:  # the router has closed it: what is written is not heard
+        if watch.factory.protocol.ended:  # the router has closed it and reads nothing from it
             return
         if watch.transport is None:
             watch.accept()
         if watch.transport.over:
             return
         self.version += 1
-        if watch not in self.spoke:
+        if watch not in self.answered_watches:
             watch.send(CHUNKED_RESPONSE_HEAD)
-            self.spoke.append(watch)
+            self.answered_watches.append(watch)
         watch.send(endpoint_list_chunk(self.version, entry(node, state)))
         if state == "in_service":
-            self.told.pop(node, None)
+            self.draining_since.pop(node, None)
         else:
-            self.told.setdefault(node, self.now)
-        self.look()
+            self.draining_since.setdefault(node, self.now)
+        self.check_output()
 
     @rule(
-        at=st.integers(0, 99),
+        index=st.integers(0, 99),
         state=st.sampled_from(["terminating", "terminated"]),
         up=st.booleans(),
         shard=st.integers(0, 8),
     )
-    def drain_under_a_send(self, at, state, up, shard):
-        """A node is told to go while its connection comes up, or a frame waits in its socket."""
+    def drain_under_a_send(self, index, state, up, shard):
+        """A node drains while its connection is being set up or a frame waits in its socket."""
         if up:
             self.fill_sockets(1)
-        self.ask("look", {shard}, 1900, True, False, 0)
+        self.send_query("look", {shard}, 1900, True, False, 0)
         for peer in self.peers:
-            if up and peer.transport is None and not peer.over:
-                peer.out = []
+            if up and peer.transport is None and not peer.refused:
+                peer.awaiting_reply = []
                 peer.accept(stuck=True)
-        self.look()
+        self.check_output()
 
         def waits(peer):
-            return peer.held if up else peer.transport is None and not peer.over
+            return peer.unsent_frames if up else peer.transport is None and not peer.refused
 
-        if peer := self.pick(at, waits):
-            self.told_by_discovery(int(peer.host.rpartition(".")[2]), state)
+        if peer := self.pick_peer(index, waits):
+            self.update_by_discovery(int(peer.host.rpartition(".")[2]), state)
             self.wait(round(GRACE / 0.005) + 5)
             if up and not peer.transport.over:
                 peer.transport.stuck = False
-                self.let_leave(peer)
+                self.flush(peer)
             elif not up:
-                peer.out = []
+                peer.awaiting_reply = []
                 peer.accept()
-            self.look()
+            self.check_output()
 
-    @rule(at=st.integers(0, 99))
-    def repeat_late(self, at):
-        """A connection breaks under what it has, and the next one comes up after a while."""
-        if peer := self.pick(
-            at, lambda peer: peer.transport and not peer.transport.over and peer.out
+    @rule(index=st.integers(0, 99))
+    def retry_late(self, index):
+        """A connection with requests in flight is lost; the next one is established later."""
+        if peer := self.pick_peer(
+            index, lambda peer: peer.transport and not peer.transport.over and peer.awaiting_reply
         ):
             self.wait(10)
-            peer.held = []
+            peer.unsent_frames = []
             peer.transport.end()
-            self.look()
+            self.check_output()
             self.wait(10)
             self.connect_all()
 
-    @rule(at=st.integers(0, 99), shard=st.integers(0, 8), cls=st.sampled_from(sorted(CLASSES)))
-    def repeat_behind_full_sockets(self, at, shard, cls):
-        """A connection breaks under a request, and repeats wait in sockets past their window."""
-        self.ask(cls, {shard}, 1900, True, False, 0)
+    @rule(index=st.integers(0, 99), shard=st.integers(0, 8), cls=st.sampled_from(sorted(CLASSES)))
+    def retry_behind_full_sockets(self, index, shard, cls):
+        """A connection is lost during a request; retries wait in sockets past their window."""
+        self.send_query(cls, {shard}, 1900, True, False, 0)
         self.connect_all()
-        if peer := self.pick(
-            at, lambda peer: peer.transport and not peer.transport.over and peer.out
+        if peer := self.pick_peer(
+            index, lambda peer: peer.transport and not peer.transport.over and peer.awaiting_reply
         ):
             others = [one for one in self.peers if one is not peer and self.is_up(one)]
             for one in others:
                 one.transport.stuck = True
-            peer.held = []
+            peer.unsent_frames = []
             peer.transport.end()
-            self.look()
+            self.check_output()
             for one in self.peers:
-                if one.transport is None and not one.over:
-                    one.out = []
+                if one.transport is None and not one.refused:
+                    one.awaiting_reply = []
                     one.accept(stuck=True)
                     others.append(one)
-            self.look()
+            self.check_output()
             self.wait(round(WINDOW / 0.005) + 10)
             for one in filter(self.is_up, others):
                 one.transport.stuck = False
-                self.let_leave(one)
-                self.look()
+                self.flush(one)
+                self.check_output()
 
     @staticmethod
     def is_up(peer):
@@ -408,36 +426,36 @@
         watch = self.live.discovery[-1]
         if watch.transport is not None:
             watch.transport.end()
-        self.look()
+        self.check_output()
 
     @rule(steps=st.sampled_from([1, 3, 10, 30]))
     def wait(self, steps):
         for _ in range(steps):
             self.live.run(0.005)
-            self.look()
+            self.check_output()
 
     @precondition(lambda self: not self.stopping)
-    @rule(yes=st.integers(0, 5))
-    def sigterm(self, yes):
-        if not yes:
+    @rule(skip=st.integers(0, 5))
+    def sigterm(self, skip):
+        if not skip:
             self.stopping = True
             self.live.daemon.terminate()
-            self.look()
+            self.check_output()
 
     def teardown(self):
         for peer in self.peers:
             if peer.transport and peer.transport.stuck and not peer.transport.over:
                 peer.transport.stuck = False
-                self.let_leave(peer)
+                self.flush(peer)
         for _ in range(200):
             self.live.run(0.005)
-            self.look()
+            self.check_output()
         owed = [
             query.id
-            for query in self.asked.values()
-            if query.answered is None and query.left is None
+            for query in self.queries.values()
+            if query.answered_at is None and query.left_at is None
         ]
-        assert not owed, f"{owed} were never answered"
+        assert not owed, f"{owed} were not answered"
         daemon = self.live.daemon
         coordinator, router = daemon.coordinator, daemon.coordinator.loop.policy
         assert (
@@ -463,8 +481,8 @@
         left = {
             getattr(call.func, "__qualname__", "") for call in self.live.reactor.getDelayedCalls()
         }
-        ours = "ConnectionPool.", "OutgoingCall.", "NodeConnection.", "ClientConnection."
-        assert not {name for name in left if name.startswith(ours)}
+        router_prefixes = "ConnectionPool.", "OutgoingCall.", "NodeConnection.", "ClientConnection."
+        assert not {name for name in left if name.startswith(router_prefixes)}
 
 
 limits.register_profile(
--- a/tests/http_router/test_endings_mutations.py
+++ b/tests/http_router/test_endings_mutations.py
@@ -1,4 +1,7 @@
-"""The machine of random ends finds each of these faults, put into the router one at a time."""
+"""Checks that the state machine of `test_endings` finds each of these faults.
+
+Each test puts one fault into the router.
+"""
 
 import pytest
 from hypothesis import settings as limits
@@ -12,18 +15,18 @@
 from tansycrank.http_router.outgoing_call import OutgoingCall
 from tansycrank.lifecycle import AnswerKind, Lifecycle
 
-EXAMPLES = 400  # at most, until the fault is found
+EXAMPLES = 400  # upper limit until the fault is found
 
 
-def clients_that_leave_are_not_heard(patch):
+def client_disconnects_are_ignored(patch):
     patch.setattr(Coordinator, "abandon", lambda self, query: None)
 
 
-def drains_are_not_heard(patch):
+def drains_are_ignored(patch):
     patch.setitem(endpoint_directory.STATUSES, "terminating", routing.EndpointStatus.IN_SERVICE)
 
 
-def a_broken_connection_is_taken_for_one_that_never_stood(patch):
+def a_lost_connection_is_reported_as_a_failed_connect(patch):
     finish = OutgoingCall.finish
 
     def finished(self, outcome, *more):
@@ -38,7 +41,7 @@
     patch.setattr(Coordinator, "_forget", lambda self, shard_request: None)
 
 
-def a_request_that_may_have_run_is_repeated(patch):
+def a_request_that_may_have_run_is_retried(patch):
     patch.setattr(Lifecycle, "_retry_denial", lambda self, attempt, now: None)
     patch.setattr(
         routing.Outcome,
@@ -58,17 +61,17 @@
     patch.setattr(Coordinator, "_on_attempt_ended", swapped)
 
 
-def a_frame_in_a_full_socket_is_not_taken_back(patch):
+def a_frame_in_a_full_socket_is_not_revoked(patch):
     patch.setattr(NodeConnection, "may_write", lambda self: True)
     patch.setattr(NodeConnection, "revoke", lambda self, call: None)
 
 
-def a_keyed_repeat_leaves_after_its_window(patch):
+def a_keyed_retry_is_sent_after_its_deduplication_window(patch):
     patch.setattr(OutgoingCall, "_on_transmit_limit", lambda self: None)
     patch.setattr(NodeConnection, "may_write", lambda self: True)
 
 
-def a_frame_that_left_is_taken_for_one_that_has_not(patch):
+def a_sent_frame_is_treated_as_unsent(patch):
     resume = NodeConnection.resumeProducing
 
     def resumed(self):
@@ -79,7 +82,7 @@
     patch.setattr(NodeConnection, "resumeProducing", resumed)
 
 
-def what_may_have_run_is_called_harmless(patch):
+def a_request_that_may_have_run_is_rejected_as_not_executed(patch):
     answer = Lifecycle.answer
 
     def rejected(self, query, kind, now, missing=0):
@@ -89,29 +92,29 @@
     patch.setattr(Lifecycle, "answer", rejected)
 
 
-def a_query_is_never_given_up(patch):
+def a_query_is_never_rejected_or_failed(patch):
     patch.setattr(Coordinator, "_reject", lambda self, action: None)
     patch.setattr(Coordinator, "_fail", lambda self, action: None)
 
 
 FAULTS = (
-    clients_that_leave_are_not_heard,
-    drains_are_not_heard,
-    a_broken_connection_is_taken_for_one_that_never_stood,
+    client_disconnects_are_ignored,
+    drains_are_ignored,
+    a_lost_connection_is_reported_as_a_failed_connect,
     ended_attempts_are_kept,
-    a_request_that_may_have_run_is_repeated,
+    a_request_that_may_have_run_is_retried,
     values_of_two_requests_are_swapped,
-    a_frame_in_a_full_socket_is_not_taken_back,
-    a_keyed_repeat_leaves_after_its_window,
-    a_frame_that_left_is_taken_for_one_that_has_not,
-    what_may_have_run_is_called_harmless,
-    a_query_is_never_given_up,
+    a_frame_in_a_full_socket_is_not_revoked,
+    a_keyed_retry_is_sent_after_its_deduplication_window,
+    a_sent_frame_is_treated_as_unsent,
+    a_request_that_may_have_run_is_rejected_as_not_executed,
+    a_query_is_never_rejected_or_failed,
 )
 
 
-@pytest.mark.parametrize("put_in", FAULTS, ids=lambda fault: fault.__name__)
-def test_the_machine_finds(monkeypatch, put_in):
-    put_in(monkeypatch)
+@pytest.mark.parametrize("inject", FAULTS, ids=lambda fault: fault.__name__)
+def test_the_state_machine_finds(monkeypatch, inject):
+    inject(monkeypatch)
     with pytest.raises(AssertionError):
         run_state_machine_as_test(
             Endings,
