--- a/tests/http_router/real.py
+++ b/tests/http_router/real.py
@@ -1,8 +1,7 @@
-"""The program on loopback sockets, between peers that hold each crossing open and let it go on
-purpose.
+"""Runs the router as a process on loopback sockets, between peers that tests control.
 
-`Program.halt` stops the process itself: what its peers do meanwhile lies in the system when it goes
-on.
+The peers delay connections, reads and answers until a test continues them. `Program.suspend` sends
+SIGSTOP to the process: what its peers send meanwhile is pending in the kernel when it resumes.
 """
 
 import contextlib
@@ -23,23 +22,23 @@
 from tansycrank.testbed.ports import ReservedPort
 
 ROOT = Path(__file__).parent.parent.parent
-PATIENCE = 30  # s until a peer that waits for something fails; nothing asserts how long it took
+PEER_TIMEOUT = 30  # s until a wait for a peer or the program fails; no test measures the wait
 SYN_SENT = "02"
 STOP_POINTS = ROOT / "tests" / "stop_points.py"
 
 
-def until(found, what):
-    """Wait for what cannot be waited on."""
-    for _ in range(PATIENCE * 200):
-        if value := found():
+def wait_until(condition, description):
+    """Poll until the condition is true, for what cannot be waited on; returns its value."""
+    for _ in range(PEER_TIMEOUT * 200):
+        if value := condition():
             return value
         time.sleep(0.005)
-    raise AssertionError(f"never seen: {what}")
+    raise AssertionError(f"timed out waiting for: {description}")
 
 
-def leave(connection, how):
-    """A peer goes: FIN, or RST."""
-    with contextlib.suppress(OSError):  # who reads it in a thread lets go of it
+def close_connection(connection, how):
+    """Close a peer's connection by FIN or RST."""
+    with contextlib.suppress(OSError):  # ends a read that blocks in a thread
         connection.shutdown(socket.SHUT_RD)
     if how == "RST":
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -47,28 +46,34 @@
 
 
 class Node:
-    """A data node. It records each whole frame and, if `serves`, answers each part, once `wakes` is
-    set.
+    """A data node that records each complete frame and, if `serves`, answers each shard request.
+
+    It reads once `read_enabled` is set and accepts connections once `accept_enabled` is set.
     """
 
-    def __init__(self, serves=True, reads=True, narrow=False, comes_up=True):
+    def __init__(self, serves=True, reads=True, small_buffers=False, accepts_connections=True):
         self.listening = socket.socket()
-        if narrow:  # the far system takes little that is not read
+        if small_buffers:  # its kernel buffers little that it has not read
             self.listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             self.listening.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, 536)
         self.listening.bind(("127.0.0.1", 0))
-        self.listening.listen(64 if comes_up else 0)
+        self.listening.listen(64 if accepts_connections else 0)
         self.port = self.listening.getsockname()[1]
-        self.serves, self.wakes, self.accepts = serves, threading.Event(), threading.Event()
+        self.serves, self.read_enabled, self.accept_enabled = (
+            serves,
+            threading.Event(),
+            threading.Event(),
+        )
         if reads:
-            self.wakes.set()
-        self.shard_requests, self.given_up, self.connections = [], [], []  # parts: (connection, id)
+            self.read_enabled.set()
+        # `shard_requests` holds (connection, id); `cancelled` holds ids.
+        self.shard_requests, self.cancelled, self.connections = [], [], []
         self.frames_begun = 0
-        self.waits = {}  # ms that the router said it waits, by id
+        self.wait_ms = {}  # remaining time that the router stated, ms, by id
         self.changed = threading.Condition()
-        if comes_up:
-            self.accepts.set()
-        else:  # one connection fills the queue: further ones come up once it is accepted
+        if accepts_connections:
+            self.accept_enabled.set()
+        else:  # one connection fills the backlog: others are established once it is accepted
             self.filler = socket.create_connection(("127.0.0.1", self.port))
         self._thread(self._accept)
 
@@ -76,7 +81,7 @@
         threading.Thread(target=target, args=args, daemon=True).start()
 
     def _accept(self):
-        self.accepts.wait()
+        self.accept_enabled.wait()
         with contextlib.suppress(OSError):  # closed
             while True:
                 connection, _ = self.listening.accept()
@@ -84,7 +89,7 @@
                 self._thread(self._read, connection)
 
     def _read(self, connection):
-        self.wakes.wait()
+        self.read_enabled.wait()
         stream = connection.makefile("rb")
         with contextlib.suppress(OSError):  # reset
             while len(header := stream.read(4)) == 4:
@@ -94,16 +99,16 @@
                 if len(frame) < size:
                     return
                 with self.changed:
-                    self._note(connection, frame[:1], frame[1:])
+                    self._record_frame(connection, frame[:1], frame[1:])
                     self.changed.notify_all()
 
-    def _note(self, connection, letter, rest):
-        if letter == b"X":
-            self.given_up.append(rest.decode())
+    def _record_frame(self, connection, kind, payload):
+        if kind == b"X":
+            self.cancelled.append(payload.decode())
             return
-        for id, _, wait, text in parse_shard_requests(rest):
+        for id, _, wait, text in parse_shard_requests(payload):
             self.shard_requests.append((connection, id))
-            self.waits[id] = wait
+            self.wait_ms[id] = wait
             if self.serves:
                 connection.sendall(answer(id, value=text.decode()[:16]))
 
@@ -111,80 +116,83 @@
     def ids(self):
         return [id for _, id in self.shard_requests]
 
-    def got(self, id):
-        """Wait for a part; the connection that brought it."""
+    def wait_for_shard_request(self, id):
+        """Wait for a shard request; returns the connection that it came on."""
         with self.changed:
-            assert self.changed.wait_for(lambda: id in self.ids, PATIENCE), f"{id} never came"
+            assert self.changed.wait_for(lambda: id in self.ids, PEER_TIMEOUT), (
+                f"{id} was not received"
+            )
             return next(connection for connection, one in self.shard_requests if one == id)
 
     @property
-    def called(self):
-        """Whether somebody tries to connect and the connection does not come up."""
+    def connecting(self):
+        """Whether a connection to this node is being established (SYN sent, no answer)."""
         return any(state == SYN_SENT for state, _ in self._sockets())
 
     @property
-    def blocked(self):
-        """Whether bytes for this node wait in its callers' system."""
+    def has_unsent_bytes(self):
+        """Whether bytes for this node are unsent in the kernel of its callers."""
         return any(int(unsent, 16) for _, unsent in self._sockets())
 
     def _sockets(self):
-        """(state, bytes unsent) of those that lead here."""
+        """(state, unsent bytes) of the TCP sockets connected to this node, both in hex."""
         lines = [line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:]]
         return [(f[3], f[4].partition(":")[0]) for f in lines if f[2].endswith(f":{self.port:04X}")]
 
 
 class DiscoveryClient:
-    """Accepts watches and says what it is told to."""
+    """A discovery server that accepts watches and polls and sends what a test gives it."""
 
     def __init__(self):
         self.listening = socket.create_server(("127.0.0.1", 0))
-        self.listening.settimeout(PATIENCE)
+        self.listening.settimeout(PEER_TIMEOUT)
         self.port = self.listening.getsockname()[1]
 
-    def poll(self):
-        """Accept a poll; answer it by `answer_poll`."""
-        self.polling, _ = self.listening.accept()
-        self.polling.recv(4096)
+    def accept_poll(self):
+        """Accept a poll and read its request; `answer_poll` answers it."""
+        self.poll_connection, _ = self.listening.accept()
+        self.poll_connection.recv(4096)
 
     def answer_poll(self, version, *servers):
         body = json.dumps({"version": version, "full": True, "servers": servers}).encode()
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
-        self.polling.sendall(head + body)
+        self.poll_connection.sendall(head + body)
 
-    def watch(self):
+    def accept_watch(self):
         self.connection, _ = self.listening.accept()
-        self.asked = self.connection.recv(4096)
+        self.watch_request = self.connection.recv(4096)
         self.connection.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 
-    def say(self, version, *servers, full=False, indent=None):
-        told = {"version": version, "full": full, "servers": servers}
-        body = json.dumps(told, indent=indent).encode() + b"\n"
+    def send_update(self, version, *servers, full=False, indent=None):
+        update = {"version": version, "full": full, "servers": servers}
+        body = json.dumps(update, indent=indent).encode() + b"\n"
         self.connection.sendall(b"%x\r\n%b\r\n" % (len(body), body))
 
 
 class Program:
-    """One router as a process, its nodes listed under 1, 2, ... `told` replaces settings, by
-    group.
+    """A router process and its peers; its nodes are listed as 1, 2, ...
+
+    `overrides` replaces settings of the operator, by group.
     """
 
     def __init__(
         self,
         folder,
         nodes,
-        told=None,
+        overrides=None,
         listed=None,
         cells=None,
         limits=None,
         ready=True,
         environment=None,
-        stops_at=None,
+        stop_point=None,
     ):
-        """`stops_at` is a point of `stop_points`, for `stop_at_point`."""
+        """`stop_point` is one of `stop_points.POINTS`, for `suspend_at_point`."""
         self.nodes, self.discovery, self.cells = nodes, DiscoveryClient(), cells
         self.reserved = ReservedPort()
         self.port = self.reserved.number
         settings = json.loads(json.dumps(OPERATOR_SETTINGS))
-        for group, more in (told or {}).items():
+        for group, more in (overrides or {}).items():
             if group == "services":
                 for service in settings["services"]:
                     service.update(more)
@@ -204,43 +212,43 @@
                 **({"limits": limits} if limits else {}),
             )
         )
-        environ = (
+        process_environment = (
             os.environ | {"NODE_CONFIG": str(path), "PYTHONPATH": str(ROOT)} | (environment or {})
         )
         self.trigger = folder / "stop"
         command = (
-            ["-m", "tansycrank"] if stops_at is None else [STOP_POINTS, stops_at, self.trigger]
+            ["-m", "tansycrank"] if stop_point is None else [STOP_POINTS, stop_point, self.trigger]
         )
         self.process = subprocess.Popen(
             [sys.executable, *command, "run"],
             cwd=folder,
-            env=environ,
+            env=process_environment,
             stderr=subprocess.PIPE,
         )
         self.log, self.lines = queue.Queue(), []
-        self.reading = threading.Thread(target=self._read_log, daemon=True)
-        self.reading.start()
+        self.log_reader = threading.Thread(target=self._read_log, daemon=True)
+        self.log_reader.start()
         if ready:
-            self.discovery.watch()
-            self.discovery.say(5)
-            self.logged("became_ready")
+            self.discovery.accept_watch()
+            self.discovery.send_update(5)
+            self.wait_for_log("became_ready")
 
     def _read_log(self):
         for line in self.process.stderr:
             self.log.put(line)
 
-    def logged(self, event):
-        """Wait for a line of the log."""
-        last = time.monotonic() + PATIENCE
+    def wait_for_log(self, event):
+        """Wait for the next log line of this event."""
+        deadline = time.monotonic() + PEER_TIMEOUT
         while True:
-            line = self.log.get(timeout=max(last - time.monotonic(), 0.0))
+            line = self.log.get(timeout=max(deadline - time.monotonic(), 0.0))
             self.lines.append(line)
             if f'"event":"{event}"'.encode() in line:
                 return
 
-    def said(self, event):
-        """How often the program logged this, from its start to its end."""
-        self.reading.join(PATIENCE)
+    def count_logged(self, event):
+        """How often the program logged this event, from its start to its exit."""
+        self.log_reader.join(PEER_TIMEOUT)
         self.lines += list(self.log.queue)
         return sum(f'"event":"{event}"'.encode() in line for line in self.lines)
 
@@ -251,43 +259,44 @@
     def signal(self, number):
         self.process.send_signal(number)
 
-    def halt(self):
+    def suspend(self):
         self.signal(signal.SIGSTOP)
         os.waitid(os.P_PID, self.process.pid, os.WSTOPPED | os.WNOWAIT)
 
-    def stop_at_point(self, *data):
-        """Send this to the program, which stops itself at its point; the client."""
+    def suspend_at_point(self, *data):
+        """Send this to the program and wait until it suspends itself; returns the client."""
         self.trigger.touch()
         client = self.client(*data)
-        until(lambda: not self.trigger.exists(), "the program at its point")
+        wait_until(lambda: not self.trigger.exists(), "the program to reach its stop point")
         os.waitid(os.P_PID, self.process.pid, os.WSTOPPED | os.WNOWAIT)
         return client
 
-    def go_on(self):
+    def resume(self):
         self.signal(signal.SIGCONT)
 
     def client(self, *data):
-        connection = socket.create_connection(("127.0.0.1", self.port), timeout=PATIENCE)
-        for one in data:
-            connection.sendall(one)
+        connection = socket.create_connection(("127.0.0.1", self.port), timeout=PEER_TIMEOUT)
+        for part in data:
+            connection.sendall(part)
         return connection
 
-    def turned(self):
-        """All that was sent to the program before this has been read, and taken or refused."""
+    def wait_for_event_loop(self):
+        """Wait until all that was sent to the program so far is read and accepted or rejected."""
         for _ in range(6):
             with self.client(b"GET /-/healthy HTTP/1.1\r\nHost: a\r\n\r\n") as probe:
                 assert read_answer(probe)[0] == 200
 
-    def ended(self):
-        """End the program; all that it has sent has come by then: the ids that reached each
-        node.
+    def kill(self):
+        """Kill the program; returns the ids received by each node.
+
+        All that the program has sent has been delivered by then.
         """
         self.process.kill()
         self.process.wait()
         self.reserved.release()
         for node in self.nodes:
-            node.accepts.set()
-            node.wakes.set()
+            node.accept_enabled.set()
+            node.read_enabled.set()
             node.listening.close()
         for node in self.nodes:
             for connection in node.connections:
@@ -297,7 +306,7 @@
 
 
 def read_answer(connection):
-    """Status and body of the next answer; (None, b"") where the connection ends without one."""
+    """Status and body of the next answer; (None, b"") if the connection ends without one."""
     with contextlib.suppress(OSError):
         stream = connection.makefile("rb")
         if first := stream.readline():
